--- a/bencher/routed.go
+++ b/bencher/routed.go
@@ -54,7 +54,7 @@
 	for _, w := range s.workers {
 		config.Workers = append(config.Workers, loader.Worker{Name: w.name, Slots: w.model.Slots})
 	}
-	for _, c := range dispatcher.CellsOf(s.service.name, config) {
+	for _, c := range dispatcher.SplitCells(s.service.name, config) {
 		r.cells = append(r.cells, c.Name)
 		r.owners[c.Name] = dispatcher.New(c, 1, s.workload.classes, dispatcher.Options{Policy: p, Seed: seed})
 	}
@@ -65,7 +65,7 @@
 	r.attempt++
 	target := r.sim.workload.classes[c.class]
 	a := messenger.Ask{
-		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.prompt, Attempt: r.attempt, Fixed: c.flow.fixed,
+		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.prompt, Attempt: r.attempt, NonPreemptible: c.flow.fixed,
 		Deadline: c.arrived + target.Whole.Std() - now, Waited: now - c.arrived, Made: c.made, Output: c.flow.limit - c.made,
 	}
 	if r.exact {
@@ -103,7 +103,7 @@
 
 func (r *routed) granted(now time.Duration, g messenger.Grant) {
 	k := r.calls[g.Request]
-	r.choosers[k.call.host].Note(origin.Add(now), g.Cell, g.Class, g.Wait)
+	r.choosers[k.call.host].RecordWait(origin.Add(now), g.Cell, g.Class, g.Wait)
 	k.grant = g
 	if k.call.tier > 0 {
 		r.lower[g.Cell]++
@@ -114,7 +114,7 @@
 
 func (r *routed) refused(now time.Duration, m messenger.Refuse) {
 	k := r.calls[m.Request]
-	r.choosers[k.call.host].Note(origin.Add(now), m.Cell, m.Class, m.Wait)
+	r.choosers[k.call.host].RecordWait(origin.Add(now), m.Cell, m.Class, m.Wait)
 	delete(r.calls, m.Request)
 	k.call.passed = k.call.tier == 0 && r.lower[m.Cell] > k.lower
 	r.sim.refuse(now, k.call)
--- a/dispatcher/cell.go
+++ b/dispatcher/cell.go
@@ -18,12 +18,12 @@
 	Workers []loader.Worker
 }
 
-// CellsOf splits a service's workers into cells of at most s.Cell workers.
+// SplitCells splits a service's workers into cells of at most s.Cell workers.
 //
 // A worker goes to the cell of its highest rendezvous weight that still has
 // room, so that one worker more or less moves few others: a worker that moves
 // is known to neither dispatcher until its calls in flight are claimed.
-func CellsOf(service string, s loader.Service) []Cell {
+func SplitCells(service string, s loader.Service) []Cell {
 	workers := slices.Clone(s.Workers)
 	slices.SortFunc(workers, func(a, b loader.Worker) int { return strings.Compare(a.Name, b.Name) })
 	count, most := 1, len(workers)
--- a/dispatcher/cell_test.go
+++ b/dispatcher/cell_test.go
@@ -32,7 +32,7 @@
 
 var _ = Describe("Cells", func() {
 	DescribeTable("hold every worker once, and at most so many", func(workers, size int) {
-		cells := dispatcher.CellsOf("s", serviceOf(workers, size))
+		cells := dispatcher.SplitCells("s", serviceOf(workers, size))
 		Expect(homes(cells)).To(HaveLen(workers))
 		for _, c := range cells {
 			Expect(c.Workers).NotTo(BeEmpty())
@@ -50,7 +50,7 @@
 		for n := 90; n < 90+sizes; n++ {
 			more := serviceOf(n+1, 6)
 			less := loader.Service{Cell: 6, Workers: slices.Delete(slices.Clone(more.Workers), n/2, n/2+1)}
-			before, after := homes(dispatcher.CellsOf("s", less)), homes(dispatcher.CellsOf("s", more))
+			before, after := homes(dispatcher.SplitCells("s", less)), homes(dispatcher.SplitCells("s", more))
 			for w, c := range before {
 				if after[w] != c {
 					moved++
@@ -64,7 +64,7 @@
 var _ = Describe("A chooser", func() {
 	It("prefers the cell with the shorter wait, until that is old", func() {
 		var c dispatcher.Chooser
-		c.Note(ready, "a", "check", 2*time.Second)
+		c.RecordWait(ready, "a", "check", 2*time.Second)
 		for r := range uint64(20) {
 			Expect(c.Choose(ready, []string{"a", "b"}, "check", r)).To(Equal("b"))
 		}
--- a/dispatcher/chooser.go
+++ b/dispatcher/chooser.go
@@ -14,16 +14,16 @@
 	at   time.Time
 }
 
-// Note takes the wait that a Grant or a Refuse reported.
-func (c *Chooser) Note(now time.Time, cell, class string, wait time.Duration) {
+// RecordWait takes the wait that a Grant or a Refuse reported.
+func (c *Chooser) RecordWait(now time.Time, cell, class string, wait time.Duration) {
 	if c.waits == nil {
 		c.waits = map[cellClass]reported{}
 	}
 	c.waits[cellClass{cell, class}] = reported{wait: wait, at: now}
 }
 
-// Keep forgets all cells but these.
-func (c *Chooser) Keep(known func(cell string) bool) {
+// Retain forgets all cells but these.
+func (c *Chooser) Retain(known func(cell string) bool) {
 	for k := range c.waits {
 		if !known(k.cell) {
 			delete(c.waits, k)
--- a/dispatcher/due.go
+++ b/dispatcher/due.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// TickEvery is the longest time between two ticks while requests wait.
-	TickEvery = 20 * time.Millisecond
+	// TickInterval is the longest time between two ticks while requests wait.
+	TickInterval = 20 * time.Millisecond
 	// reclaimEvery is the same while none waits, but places are in use: there is
 	// only their leases to look after, of seconds, and a request that comes in
 	// between looks after them itself.
@@ -16,7 +16,7 @@
 func (d *Dispatcher) Next() (at time.Time, ok bool) {
 	switch {
 	case len(d.waiting) > 0:
-		return d.updated.Add(TickEvery), true
+		return d.updated.Add(TickInterval), true
 	case len(d.grants) > 0:
 		return d.updated.Add(reclaimEvery), true
 	default:
@@ -29,7 +29,7 @@
 // be judged by means, weights and leases from before the pause, and the means
 // would then take the message's own place for what was in use all the time.
 func (d *Dispatcher) catchUp(now time.Time) {
-	if now.Sub(d.updated) >= TickEvery {
+	if now.Sub(d.updated) >= TickInterval {
 		d.average(now)
 		d.weigh()
 		d.rest(now)
--- a/dispatcher/due_test.go
+++ b/dispatcher/due_test.go
@@ -54,7 +54,7 @@
 }
 
 func (w *twins) step() {
-	w.now = w.now.Add(dispatcher.TickEvery)
+	w.now = w.now.Add(dispatcher.TickInterval)
 	var out []dispatcher.Output
 	if at, ok := w.lazy.Next(); ok && !w.now.Before(at) {
 		out = w.lazy.Tick(w.now)
@@ -144,6 +144,6 @@
 		},
 		Entry("never while it is idle", 0, time.Duration(0), false),
 		Entry("for the leases while a place is in use", 1, 250*time.Millisecond, true),
-		Entry("at the next tick while a request waits", 2, dispatcher.TickEvery, true),
+		Entry("at the next tick while a request waits", 2, dispatcher.TickInterval, true),
 	)
 })
--- a/dispatcher/fault_test.go
+++ b/dispatcher/fault_test.go
@@ -21,7 +21,7 @@
 			Expect(only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))).To(HaveLen(1))
 			d.Handle(ready, "a", ask("two", "check"))
 			d.Handle(ready, "b", ask("three", "letter"))
-			Expect(d.Lost(ready, "a")).To(BeEmpty())
+			Expect(d.HostLost(ready, "a")).To(BeEmpty())
 			Expect(d.State().Waiting).To(ConsistOf("three"))
 			Expect(d.Tick(ready.Add(1900 * time.Millisecond))).To(BeEmpty())
 			granted := only[messenger.Grant](d.Tick(ready.Add(2 * time.Second)))
@@ -36,7 +36,7 @@
 			d := started(1, 1)
 			g := only[messenger.Grant](d.Handle(ready, "a", ask("one", "summary")))[0]
 			d.Handle(ready, "b", ask("two", "summary"))
-			d.Lost(ready, "a")
+			d.HostLost(ready, "a")
 			again := ask("one", "summary")
 			again.Attempt = 2
 			d.Handle(ready.Add(time.Second), "a", messenger.Claim{Ask: again, Worker: g.Worker})
--- a/dispatcher/overload.go
+++ b/dispatcher/overload.go
@@ -164,7 +164,7 @@
 	var best *grant
 	var most float64
 	for _, g := range d.grants {
-		if g.preempted || g.ask.Fixed || g.class.config.Tier == d.top || !d.takes(now, w, g.worker) {
+		if g.preempted || g.ask.NonPreemptible || g.class.config.Tier == d.top || !d.takes(now, w, g.worker) {
 			continue
 		}
 		left, _ := d.estimates.estimate(g.ask, g.made, d.options.Policy)
--- a/dispatcher/policy_test.go
+++ b/dispatcher/policy_test.go
@@ -78,7 +78,7 @@
 	// twice: calls that must not be repeated keep their places.
 	It("never takes the place of a call that must not be repeated", func() {
 		d, now := busy(2, 20*time.Second)
-		fillWith(d, now, "letter", 2, func(a *messenger.Ask) { a.Fixed = true })
+		fillWith(d, now, "letter", 2, func(a *messenger.Ask) { a.NonPreemptible = true })
 		Expect(d.Handle(now, "a", ask("one", "check"))).To(BeEmpty())
 	})
 
--- a/dispatcher/rebuild.go
+++ b/dispatcher/rebuild.go
@@ -83,9 +83,9 @@
 	}, d.place(c.Worker))
 }
 
-// Lost notes that a host died: what waited for it is dropped, and what it held
+// HostLost notes that a host died: what waited for it is dropped, and what it held
 // is taken back after a grace. A host that was only unreachable claims it again.
-func (d *Dispatcher) Lost(now time.Time, host string) []Output {
+func (d *Dispatcher) HostLost(now time.Time, host string) []Output {
 	d.begin(now)
 	for _, w := range d.waiting {
 		if w.from == host {
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -41,7 +41,7 @@
 	}
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		g.Asks(now)
+		g.LoanRequests(now)
 	}
 }
 
--- a/limiter/gate.go
+++ b/limiter/gate.go
@@ -103,8 +103,8 @@
 	return rates
 }
 
-// Ask is the demand to tell the owner of, where it is time to.
-func (g *Gate) Ask(now time.Time) (demand Rates, sequence uint64, due bool) {
+// LoanRequest is the demand to tell the owner of, where it is time to.
+func (g *Gate) LoanRequest(now time.Time) (demand Rates, sequence uint64, due bool) {
 	every := askEvery
 	if g.asks == 1 {
 		every = askSoon
@@ -131,14 +131,14 @@
 	return demand, g.sequence, true
 }
 
-// Take takes a loan in. Its term counts from the ask, so that it ends here
+// SetLoan takes a loan in. Its term counts from the ask, so that it ends here
 // before it does at the owner. An answer to an earlier ask is out of date.
-func (g *Gate) Take(now time.Time, sequence uint64, loan Rates) {
+func (g *Gate) SetLoan(now time.Time, sequence uint64, loan Rates) {
 	if sequence != g.sequence {
 		return
 	}
 	g.fill(now)
-	g.loan, g.until = loan, g.asked.Add(Term)
+	g.loan, g.until = loan, g.asked.Add(LoanTerm)
 }
 
 // Idle says that nothing would be lost with the gate.
--- a/limiter/gates.go
+++ b/limiter/gates.go
@@ -14,8 +14,8 @@
 	gates  map[string]*Gate
 }
 
-// Ask is one ask for a loan.
-type Ask struct {
+// LoanRequest is one ask for a loan.
+type LoanRequest struct {
 	Organisation string
 	Sequence     uint64
 	Demand       Rates
@@ -77,14 +77,14 @@
 	}
 }
 
-// Asks is the asks that are due.
-func (g *Gates) Asks(now time.Time) []Ask {
+// LoanRequests is the asks that are due.
+func (g *Gates) LoanRequests(now time.Time) []LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	var out []Ask
+	var out []LoanRequest
 	for name, x := range g.gates {
-		if demand, sequence, due := x.Ask(now); due {
-			out = append(out, Ask{name, sequence, demand})
+		if demand, sequence, due := x.LoanRequest(now); due {
+			out = append(out, LoanRequest{name, sequence, demand})
 		} else if x.Idle(now) {
 			delete(g.gates, name)
 		}
@@ -92,12 +92,12 @@
 	return out
 }
 
-// Take takes a loan in.
-func (g *Gates) Take(now time.Time, organisation string, sequence uint64, loan Rates) {
+// SetLoan takes a loan in.
+func (g *Gates) SetLoan(now time.Time, organisation string, sequence uint64, loan Rates) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if x := g.gates[organisation]; x != nil {
-		x.Take(now, sequence, loan)
+		x.SetLoan(now, sequence, loan)
 	}
 }
 
--- a/limiter/lender.go
+++ b/limiter/lender.go
@@ -29,7 +29,7 @@
 // for Term. Since is when this host's roster last changed: loans of an owner
 // before may last until Term after, and nothing is lent so long.
 func (l *Lender) Lend(now, since time.Time, organisation, host string, hosts int, limits, demand Rates) (Rates, bool) {
-	if now.Sub(since) < Term {
+	if now.Sub(since) < LoanTerm {
 		return Rates{}, false
 	}
 	book := l.book(now, organisation)
@@ -55,7 +55,7 @@
 	if held := mine.used(now); now.Before(mine.until) {
 		mine.older, mine.olderUntil = held, mine.until
 	}
-	mine.lent, mine.until = both(share, room, smaller), now.Add(Term)
+	mine.lent, mine.until = both(share, room, smaller), now.Add(LoanTerm)
 	return mine.lent, true
 }
 
--- a/limiter/limiter.go
+++ b/limiter/limiter.go
@@ -19,7 +19,7 @@
 
 // Intervals of borrowing.
 const (
-	Term       = 2 * time.Second        // of a loan
+	LoanTerm   = 2 * time.Second        // of a loan
 	askEvery   = time.Second            // between asks of an active entry
 	askSoon    = 100 * time.Millisecond // between its first two
 	idleAfter  = 10 * time.Second       // an entry forgets what it knew
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -88,7 +88,7 @@
 
 // ask sends a host's ask to the owner, and the answer back.
 func (w *world) ask(i int, g *limiter.Gate) {
-	demand, sequence, due := g.Ask(w.now)
+	demand, sequence, due := g.LoanRequest(w.now)
 	if !due || !w.up || w.cut[i] {
 		return
 	}
@@ -97,7 +97,7 @@
 		if !ok || w.cut[i] {
 			return
 		}
-		w.frames = append(w.frames, frame{at: w.now.Add(w.delay), run: func() { g.Take(w.now, sequence, loan) }})
+		w.frames = append(w.frames, frame{at: w.now.Add(w.delay), run: func() { g.SetLoan(w.now, sequence, loan) }})
 	}})
 }
 
@@ -185,9 +185,9 @@
 			if lent > limit+1e-6 {
 				t.Fatalf("loans of %.2f/s of %.1f", lent, limit)
 			}
-			w.run(limiter.Term, make([]int, hosts)...)
+			w.run(limiter.LoanTerm, make([]int, hosts)...)
 			for _, g := range w.gates {
-				if _, _, due := g.Ask(w.now); due {
+				if _, _, due := g.LoanRequest(w.now); due {
 					t.Fatalf("an idle entry asks")
 				}
 			}
@@ -250,7 +250,7 @@
 		now = now.Add(time.Second)
 		Expect(lend("a", 1)).To(BeNumerically("<", large), "this answer is lost")
 		Expect(lend("b", 1000)).To(BeNumerically("<=", 90-large+1e-6))
-		now = now.Add(limiter.Term)
+		now = now.Add(limiter.LoanTerm)
 		Expect(lend("b", 1000)).To(BeNumerically(">", 60), "the large loan is over")
 	})
 
@@ -260,7 +260,7 @@
 		for range 1000 {
 			w.now = w.now.Add(step)
 			w.gates[0].Admit(w.now, 1, 0)
-			if _, _, due := w.gates[0].Ask(w.now); due {
+			if _, _, due := w.gates[0].LoanRequest(w.now); due {
 				asks++
 			}
 		}
@@ -309,14 +309,14 @@
 		g.Configure(limiter.Rates{Requests: 100}, 10)
 		now := time.Unix(1000, 0)
 		g.Admit(now, 1, 0)
-		_, first, _ := g.Ask(now)
+		_, first, _ := g.LoanRequest(now)
 		g.Admit(now, 1, 0)
-		_, second, due := g.Ask(now.Add(time.Second))
+		_, second, due := g.LoanRequest(now.Add(time.Second))
 		Expect(due).To(BeTrue())
-		g.Take(now.Add(time.Second), second, limiter.Rates{Requests: 20})
-		g.Take(now.Add(time.Second), first, limiter.Rates{Requests: 90})
+		g.SetLoan(now.Add(time.Second), second, limiter.Rates{Requests: 20})
+		g.SetLoan(now.Add(time.Second), first, limiter.Rates{Requests: 90})
 		Expect(g.Rates(now.Add(time.Second)).Requests).To(Equal(20.0))
-		Expect(g.Rates(now.Add(time.Second+limiter.Term)).Requests).To(Equal(10.0), "over: the even part again")
+		Expect(g.Rates(now.Add(time.Second+limiter.LoanTerm)).Requests).To(Equal(10.0), "over: the even part again")
 	})
 })
 
@@ -332,8 +332,8 @@
 		Expect(ok).To(BeTrue())
 		_, ok = g.Admit(now, org, 1, 0)
 		Expect(ok).To(BeFalse())
-		Expect(g.Asks(now)).To(HaveLen(1))
-		Expect(g.Asks(now.Add(time.Minute))).To(BeEmpty())
+		Expect(g.LoanRequests(now)).To(HaveLen(1))
+		Expect(g.LoanRequests(now.Add(time.Minute))).To(BeEmpty())
 		Expect(g.Rates(now)).To(BeEmpty())
 		g.Admit(now, org, 1, 0)
 		g.Configure(nil)
--- a/messenger/config.go
+++ b/messenger/config.go
@@ -8,21 +8,21 @@
 	Name        string
 	Incarnation uint64
 	Address     string // IP:port to listen on
-	// Silence is how long frames may stay unacknowledged on a connection before
+	// AckTimeout is how long frames may stay unacknowledged on a connection before
 	// it is replaced.
-	Silence time.Duration
+	AckTimeout time.Duration
 	// Hold is how long a message waits for a peer that can't be reached before it
 	// is dropped and counted.
 	Hold time.Duration
-	// Idle is how long a connection without traffic is kept.
-	Idle time.Duration
-	// Delay is how long an acknowledgement waits for more frames.
-	Delay time.Duration
-	// Queue is the most messages that wait for or are unacknowledged by one peer.
-	Queue int
-	// Outcome is told when a peer becomes reachable or unreachable, on the
+	// IdleTimeout is how long a connection without traffic is kept.
+	IdleTimeout time.Duration
+	// AckDelay is how long an acknowledgement waits for more frames.
+	AckDelay time.Duration
+	// MaxQueue is the most messages that wait for or are unacknowledged by one peer.
+	MaxQueue int
+	// OnReachability is told when a peer becomes reachable or unreachable, on the
 	// goroutine that sends to the peer.
-	Outcome func(address string, reachable bool)
+	OnReachability func(address string, reachable bool)
 }
 
 func (c Config) withDefaults() Config {
@@ -31,15 +31,15 @@
 			*d = v
 		}
 	}
-	set(&c.Silence, 500*time.Millisecond)
+	set(&c.AckTimeout, 500*time.Millisecond)
 	set(&c.Hold, 10*time.Second)
-	set(&c.Idle, 30*time.Second)
-	set(&c.Delay, 25*time.Millisecond)
-	if c.Queue == 0 {
-		c.Queue = 4096
+	set(&c.IdleTimeout, 30*time.Second)
+	set(&c.AckDelay, 25*time.Millisecond)
+	if c.MaxQueue == 0 {
+		c.MaxQueue = 4096
 	}
-	if c.Outcome == nil {
-		c.Outcome = func(string, bool) {}
+	if c.OnReachability == nil {
+		c.OnReachability = func(string, bool) {}
 	}
 	return c
 }
--- a/messenger/inbox.go
+++ b/messenger/inbox.go
@@ -85,7 +85,7 @@
 	defer m.drop(conn)
 	r := bufio.NewReader(conn)
 	var h hello
-	_ = conn.SetDeadline(time.Now().Add(2 * m.config.Silence))
+	_ = conn.SetDeadline(time.Now().Add(2 * m.config.AckTimeout))
 	n, err := readFrame(r, &h)
 	m.received.Add(uint64(n))
 	if err != nil {
@@ -112,7 +112,7 @@
 // take reads one frame and hands it on; false ends the connection.
 func (m *Messenger) take(i *inbox, h hello, conn net.Conn, r *bufio.Reader, a *acker) bool {
 	var p parcel
-	_ = conn.SetReadDeadline(time.Now().Add(2 * m.config.Idle))
+	_ = conn.SetReadDeadline(time.Now().Add(2 * m.config.IdleTimeout))
 	n, err := readFrame(r, &p)
 	m.received.Add(uint64(n))
 	if err != nil {
@@ -159,9 +159,9 @@
 	case a.count >= ackEvery:
 		a.write()
 	case a.count == 1 && a.timer == nil:
-		a.timer = time.AfterFunc(a.m.config.Delay, a.flush)
+		a.timer = time.AfterFunc(a.m.config.AckDelay, a.flush)
 	case a.count == 1:
-		a.timer.Reset(a.m.config.Delay)
+		a.timer.Reset(a.m.config.AckDelay)
 	}
 }
 
@@ -176,7 +176,7 @@
 func (a *acker) write() {
 	a.count = 0
 	b := binary.BigEndian.AppendUint64(nil, a.last)
-	_ = a.conn.SetWriteDeadline(time.Now().Add(a.m.config.Silence))
+	_ = a.conn.SetWriteDeadline(time.Now().Add(a.m.config.AckTimeout))
 	n, _ := a.conn.Write(b)
 	a.m.sent.Add(uint64(n))
 }
--- a/messenger/member.go
+++ b/messenger/member.go
@@ -1,7 +1,7 @@
 package messenger
 
-// Beat is a heartbeat: the sender, in this incarnation, was alive when it left.
-type Beat struct {
+// Heartbeat is a heartbeat: the sender, in this incarnation, was alive when it left.
+type Heartbeat struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Incarnation uint64
 	Digest      uint64 // of the sender's roster
@@ -23,8 +23,8 @@
 	Incarnation uint64
 }
 
-// Vouch refutes a Suspect: the sender hears the host itself.
-type Vouch struct {
+// Refute refutes a Suspect: the sender hears the host itself.
+type Refute struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Host        string
 	Incarnation uint64
@@ -44,11 +44,11 @@
 	Weight      int // hundredths of a core that the host has; 0 where it does not say
 }
 
-// News passes facts on.
-type News struct {
+// RosterUpdate passes facts on.
+type RosterUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Facts    []Fact
-	Whole    bool // all that the sender knows: answer with what it lacks
+	Full     bool // all that the sender knows: answer with what it lacks
 }
 
 // Sync asks for all facts.
@@ -56,35 +56,35 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 }
 
-// Away tells a dispatcher that a backend server answered a call with "not run".
-type Away struct {
+// WorkerRefused tells a dispatcher that a backend server answered a call with "not run".
+type WorkerRefused struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Address  string
 }
 
-func (Away) kind() string    { return "away" }
-func (Beat) kind() string    { return "beat" }
-func (Probe) kind() string   { return "probe2" }
-func (Suspect) kind() string { return "suspect" }
-func (Vouch) kind() string   { return "vouch" }
-func (News) kind() string    { return "news2" }
-func (Sync) kind() string    { return "sync" }
+func (WorkerRefused) kind() string { return "away" }
+func (Heartbeat) kind() string     { return "beat" }
+func (Probe) kind() string         { return "probe2" }
+func (Suspect) kind() string       { return "suspect" }
+func (Refute) kind() string        { return "vouch" }
+func (RosterUpdate) kind() string  { return "news2" }
+func (Sync) kind() string          { return "sync" }
 
 // decodeMember decodes the messages of this file; ok is false for others.
 func decodeMember(e Envelope) (m Message, ok bool, err error) {
 	switch e.Kind {
 	case "away":
-		m, err = decode[Away](e)
+		m, err = decode[WorkerRefused](e)
 	case "beat":
-		m, err = decode[Beat](e)
+		m, err = decode[Heartbeat](e)
 	case "probe2":
 		m, err = decode[Probe](e)
 	case "suspect":
 		m, err = decode[Suspect](e)
 	case "vouch":
-		m, err = decode[Vouch](e)
+		m, err = decode[Refute](e)
 	case "news2":
-		m, err = decode[News](e)
+		m, err = decode[RosterUpdate](e)
 	case "sync":
 		m, err = decode[Sync](e)
 	default:
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -25,21 +25,21 @@
 // Ask asks a cell's dispatcher for a worker. An Ask that is repeated with the
 // same Request changes nothing.
 type Ask struct {
-	_msgpack     struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Request      string        `msgpack:"request"`
-	Cell         string        `msgpack:"cell"`
-	Class        string        `msgpack:"class"`
-	Organisation string        `msgpack:"org"`
-	Prompt       int           `msgpack:"prompt"` // tokens, estimated by the entry
-	Output       int           `msgpack:"output"` // most tokens the caller allows; 0 where none was given
-	Deadline     time.Duration `msgpack:"deadline"`
-	Waited       time.Duration `msgpack:"waited"`
-	Prefix       uint64        `msgpack:"prefix"` // hash of organisation and prompt prefix; 0 for none
-	Exclude      []string      `msgpack:"exclude"`
-	Attempt      uint64        `msgpack:"attempt"` // grows with each Ask or Claim of an entry; a later one is newer
-	Epoch        uint64        `msgpack:"epoch"`   // highest that the entry has seen of the cell
-	Made         int           `msgpack:"made"`    // tokens that earlier attempts made and the entry kept
-	Fixed        bool          `msgpack:"fixed"`   // must not be preempted
+	_msgpack       struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
+	Request        string        `msgpack:"request"`
+	Cell           string        `msgpack:"cell"`
+	Class          string        `msgpack:"class"`
+	Organisation   string        `msgpack:"org"`
+	Prompt         int           `msgpack:"prompt"` // tokens, estimated by the entry
+	Output         int           `msgpack:"output"` // most tokens the caller allows; 0 where none was given
+	Deadline       time.Duration `msgpack:"deadline"`
+	Waited         time.Duration `msgpack:"waited"`
+	Prefix         uint64        `msgpack:"prefix"` // hash of organisation and prompt prefix; 0 for none
+	Exclude        []string      `msgpack:"exclude"`
+	Attempt        uint64        `msgpack:"attempt"` // grows with each Ask or Claim of an entry; a later one is newer
+	Epoch          uint64        `msgpack:"epoch"`   // highest that the entry has seen of the cell
+	Made           int           `msgpack:"made"`    // tokens that earlier attempts made and the entry kept
+	NonPreemptible bool          `msgpack:"fixed"`   // must not be preempted
 }
 
 // Grant gives a waiting request one place on a worker.
@@ -166,21 +166,21 @@
 	case "lend":
 		return decode[Lend](e)
 	case kindFetch:
-		return decode[Fetch](e)
+		return decode[ConfigRequest](e)
 	case kindFetched:
-		return decode[Fetched](e)
+		return decode[ConfigReply](e)
 	case kindShared:
-		return decode[Shared](e)
+		return decode[FlightUpdate](e)
 	case kindSeek:
-		return decode[Seek](e)
+		return decode[PlacementRequest](e)
 	case kindSought:
-		return decode[Sought](e)
+		return decode[PlacementReply](e)
 	case kindEntries:
-		return decode[Entries](e)
+		return decode[ListSnapshot](e)
 	case kindWord:
-		return decode[Word](e)
+		return decode[ListUpdate](e)
 	case kindMark:
-		return decode[Mark](e)
+		return decode[WorkerReport](e)
 	case kindQuarantine:
 		return decode[Quarantine](e)
 	default:
--- a/messenger/message_limit.go
+++ b/messenger/message_limit.go
@@ -9,7 +9,7 @@
 	Tokens       float64  `msgpack:"tokens"`   // a second, wanted here
 }
 
-// Lend answers Borrow: what may be used until limiter.Term after the ask.
+// Lend answers Borrow: what may be used until limiter.LoanTerm after the request.
 type Lend struct {
 	_msgpack     struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Organisation string   `msgpack:"org"`
--- a/messenger/message_once.go
+++ b/messenger/message_once.go
@@ -29,8 +29,8 @@
 	Order     uint64   `msgpack:"order"` // grows with every operation of the partition
 }
 
-// OnceGo answers OnceReady.
-type OnceGo struct {
+// OnceReadyReply answers OnceReady.
+type OnceReadyReply struct {
 	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Request   string   `msgpack:"request"`
 	Partition int      `msgpack:"part"`
@@ -51,10 +51,10 @@
 	Body     []byte              `msgpack:"body"`
 }
 
-func (Once) kind() string        { return "once" }
-func (OnceReady) kind() string   { return "onceready" }
-func (OnceGo) kind() string      { return "oncego" }
-func (OnceVerdict) kind() string { return "onceverdict" }
+func (Once) kind() string           { return "once" }
+func (OnceReady) kind() string      { return "onceready" }
+func (OnceReadyReply) kind() string { return "oncego" }
+func (OnceVerdict) kind() string    { return "onceverdict" }
 
 // decodeOnce decodes the messages of this file; ok is false for others.
 func decodeOnce(e Envelope) (m Message, ok bool, err error) {
@@ -64,7 +64,7 @@
 	case "onceready":
 		m, err = decode[OnceReady](e)
 	case "oncego":
-		m, err = decode[OnceGo](e)
+		m, err = decode[OnceReadyReply](e)
 	case "onceverdict":
 		m, err = decode[OnceVerdict](e)
 	default:
--- a/messenger/message_quarantine.go
+++ b/messenger/message_quarantine.go
@@ -9,12 +9,12 @@
 
 // Quarantine tells another host which requests the sender holds back.
 type Quarantine struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Held     []Held   `msgpack:"held"`
+	_msgpack struct{}          `msgpack:",as_array"` //nolint:unused // read by msgpack
+	Entries  []QuarantineEntry `msgpack:"held"`
 }
 
-// Held is one request that is held back; see quarantiner.Held.
-type Held struct {
+// QuarantineEntry is one request that is held back; see quarantiner.Held.
+type QuarantineEntry struct {
 	_msgpack    struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Fingerprint uint64        `msgpack:"fingerprint"`
 	For         time.Duration `msgpack:"for"` // from now on
@@ -22,21 +22,21 @@
 	Workers     []string      `msgpack:"workers"` // that it ended, the first ones
 }
 
-// What a Mark says.
+// Events of a WorkerReport.
 const (
-	MarkEnded    = iota // a worker ended with a request
-	MarkAnswered        // a worker answered a request that ended others
-	MarkAlive           // a worker goes on that seemed to have ended
+	WorkerEnded    = iota // a worker ended with a request
+	WorkerAnswered        // a worker answered a request that ended others
+	WorkerAlive           // a worker goes on that seemed to have ended
 )
 
-// Mark tells the host that counts how a request at a worker ended.
-type Mark struct {
+// WorkerReport tells the host that counts how a request at a worker ended.
+type WorkerReport struct {
 	_msgpack    struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
-	What        int           `msgpack:"what"`
+	Event       int           `msgpack:"what"`
 	Fingerprint uint64        `msgpack:"fingerprint"`
 	Worker      string        `msgpack:"worker"`
 	Took        time.Duration `msgpack:"took"` // since it was sent, or for an answer since that came
 }
 
-func (Mark) kind() string       { return kindMark }
-func (Quarantine) kind() string { return kindQuarantine }
+func (WorkerReport) kind() string { return kindMark }
+func (Quarantine) kind() string   { return kindQuarantine }
--- a/messenger/message_seek.go
+++ b/messenger/message_seek.go
@@ -7,8 +7,8 @@
 	kindSought = "sought2"
 )
 
-// Seek asks a host that decides for others for a worker.
-type Seek struct {
+// PlacementRequest asks a host that decides for others for a worker.
+type PlacementRequest struct {
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	ID       uint64        `msgpack:"id"`        // of this question of the host that asks
 	Reply    string        `msgpack:"reply"`     // where its answer goes, IP:port
@@ -30,10 +30,10 @@
 	Fingerprint uint64 `msgpack:"fingerprint"` // of what it asks for; 0 is not known
 }
 
-// Sought answers a Seek: a worker, or why none.
-type Sought struct {
+// PlacementReply answers a PlacementRequest: a worker, or why none.
+type PlacementReply struct {
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
-	ID       uint64        `msgpack:"id"`        // of the Seek
+	ID       uint64        `msgpack:"id"`        // of the PlacementRequest
 	Flight   uint64        `msgpack:"flight"`    // the request's id among all hosts; 0 where it was refused
 	Worker   string        `msgpack:"worker"`
 	Wait     time.Duration `msgpack:"wait"`
@@ -64,5 +64,5 @@
 	Age     time.Duration
 }
 
-func (Seek) kind() string   { return kindSeek }
-func (Sought) kind() string { return kindSought }
+func (PlacementRequest) kind() string { return kindSeek }
+func (PlacementReply) kind() string   { return kindSought }
--- a/messenger/message_share.go
+++ b/messenger/message_share.go
@@ -4,25 +4,25 @@
 
 const kindShared = "shared3"
 
-// Shared tells another host what this one sent to workers since the last Shared,
+// FlightUpdate tells another host what this one sent to workers since the last FlightUpdate,
 // in order: requests sent, those whose first event came, those that ended.
-type Shared struct {
-	_msgpack struct{}  `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Sent     []Sending `msgpack:"sent"`
-	Begun    []uint64  `msgpack:"begun"`
-	Ended    []Ending  `msgpack:"ended"`
+type FlightUpdate struct {
+	_msgpack struct{}    `msgpack:",as_array"` //nolint:unused // read by msgpack
+	Sent     []Flight    `msgpack:"sent"`
+	Begun    []uint64    `msgpack:"begun"`
+	Ended    []FlightEnd `msgpack:"ended"`
 	// Took is how long each of Begun took to its first event, in that order.
 	Took []time.Duration `msgpack:"took"`
 	// Refused is what no worker got, a sum for each service and tier.
 	Refused []Offer `msgpack:"refused"`
 	// Running is what was sent before the receiver started, or began to listen.
-	Running []Sending `msgpack:"running"`
+	Running []Flight `msgpack:"running"`
 	// Limits is what workers named, or name no more.
-	Limits []Limit `msgpack:"limits"`
+	Limits []WorkerLimit `msgpack:"limits"`
 }
 
-// Limit is how many requests a second a worker takes from all hosts together.
-type Limit struct {
+// WorkerLimit is how many requests a second a worker takes from all hosts together.
+type WorkerLimit struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Worker   string   `msgpack:"worker"`
 	Rate     float64  `msgpack:"rate"` // 0 is any number
@@ -38,8 +38,8 @@
 	Read     time.Duration `msgpack:"read"`   // that an engine would have to read for all of them
 }
 
-// Sending is one request on its way to a worker.
-type Sending struct {
+// Flight is one request on its way to a worker.
+type Flight struct {
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	ID       uint64        `msgpack:"id"`
 	Worker   string        `msgpack:"worker"`
@@ -59,11 +59,11 @@
 	Fingerprint uint64 `msgpack:"fingerprint"` // of what it asks for; 0 is not known
 }
 
-// Ending is one request that ended.
-type Ending struct {
+// FlightEnd is one request that ended.
+type FlightEnd struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	ID       uint64   `msgpack:"id"`
 	Outcome  int      `msgpack:"outcome"` // a placer.Outcome
 }
 
-func (Shared) kind() string { return kindShared }
+func (FlightUpdate) kind() string { return kindShared }
--- a/messenger/message_word.go
+++ b/messenger/message_word.go
@@ -2,14 +2,14 @@
 
 const kindWord = "word"
 
-// Word tells another host what the platform's store told this one of a list: all
+// ListUpdate tells another host what the platform's store told this one of a list: all
 // that changed after one version, up to another.
-type Word struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
-	After    uint64   `msgpack:"after"`
-	Upto     uint64   `msgpack:"upto"`
-	Changed  []Change `msgpack:"changed"` // in the order of their revisions
-	Blind    bool     `msgpack:"blind"`   // the store answers this host no more; nothing else is set
+type ListUpdate struct {
+	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
+	After     uint64   `msgpack:"after"`
+	Upto      uint64   `msgpack:"upto"`
+	Changed   []Change `msgpack:"changed"` // in the order of their revisions
+	StoreDown bool     `msgpack:"blind"`   // the store answers this host no more; nothing else is set
 }
 
 // Change is one object of the list that changed.
@@ -21,4 +21,4 @@
 	Deleted  bool     `msgpack:"deleted"`
 }
 
-func (Word) kind() string { return kindWord }
+func (ListUpdate) kind() string { return kindWord }
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -122,9 +122,9 @@
 	return p.add(kind, body)
 }
 
-// Renew replaces the connection to address, so that what is sent next is tried
+// Reconnect replaces the connection to address, so that what is sent next is tried
 // on a new one.
-func (m *Messenger) Renew(address string) {
+func (m *Messenger) Reconnect(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[address]; p != nil {
@@ -135,7 +135,7 @@
 // Flush waits until every peer that can be reached has acknowledged what was
 // sent to it, or ctx ends.
 func (m *Messenger) Flush(ctx context.Context) {
-	ticker := time.NewTicker(m.config.Delay)
+	ticker := time.NewTicker(m.config.AckDelay)
 	defer ticker.Stop()
 	for m.pending() {
 		select {
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -52,7 +52,7 @@
 }
 
 func openWith(c messenger.Config, h messenger.Handler) *messenger.Messenger {
-	c.Silence, c.Delay, c.Hold = cmp.Or(c.Silence, 150*time.Millisecond), 5*time.Millisecond, time.Minute
+	c.AckTimeout, c.AckDelay, c.Hold = cmp.Or(c.AckTimeout, 150*time.Millisecond), 5*time.Millisecond, time.Minute
 	m, clean, err := messenger.Open(c, h)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(clean)
@@ -88,7 +88,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(clean)
 			var failed atomic.Uint64
-			sender := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: "127.0.0.1:0", Outcome: func(_ string, reachable bool) {
+			sender := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: "127.0.0.1:0", OnReachability: func(_ string, reachable bool) {
 				if !reachable {
 					failed.Add(1)
 				}
@@ -127,7 +127,7 @@
 			m := open(name, 1, ownAddress(), func(messenger.Envelope, messenger.Message) { heard.Add(1) })
 			peers = append(peers, m.Address())
 		}
-		a := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: ownAddress(), Queue: 1}, ignore)
+		a := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: ownAddress(), MaxQueue: 1}, ignore)
 		Expect(a.SendAll(peers, messenger.Sync{})).To(Succeed())
 		Eventually(heard.Load, 5*time.Second).Should(BeEquivalentTo(2))
 		nobody := ownAddress()
@@ -154,14 +154,14 @@
 	// reach it, or a grant would be given back that it never had; what comes after does.
 	It("does not give a restarted receiver what its predecessor may have taken", Label(prover.Cell(prover.Granted, prover.Kill)), func() {
 		held := make(chan struct{})
-		first, clean, err := messenger.Open(messenger.Config{Name: "b", Incarnation: 1, Address: ownAddress(), Delay: time.Hour},
+		first, clean, err := messenger.Open(messenger.Config{Name: "b", Incarnation: 1, Address: ownAddress(), AckDelay: time.Hour},
 			func(messenger.Envelope, messenger.Message) { held <- struct{}{} })
 		Expect(err).NotTo(HaveOccurred())
 		// Were the first receiver tried on a second connection, it would say what it has.
 		outcomes := make(chan bool, 100)
 		sender := openWith(messenger.Config{
-			Name: "a", Incarnation: 1, Address: "127.0.0.1:0", Silence: time.Minute,
-			Outcome: func(_ string, reachable bool) { outcomes <- reachable },
+			Name: "a", Incarnation: 1, Address: "127.0.0.1:0", AckTimeout: time.Minute,
+			OnReachability: func(_ string, reachable bool) { outcomes <- reachable },
 		}, ignore)
 		address := first.Address()
 		sendAll(sender, address, []string{"old"})
@@ -215,8 +215,8 @@
 	It("bounds what waits for a peer, counts drops, and tells the outcome", func() {
 		outcomes := make(chan bool, 16)
 		m, clean, err := messenger.Open(messenger.Config{
-			Name: "a", Address: "127.0.0.1:0", Queue: 3, Hold: 50 * time.Millisecond,
-			Outcome: func(_ string, reachable bool) { outcomes <- reachable },
+			Name: "a", Address: "127.0.0.1:0", MaxQueue: 3, Hold: 50 * time.Millisecond,
+			OnReachability: func(_ string, reachable bool) { outcomes <- reachable },
 		}, ignore)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(clean)
--- a/messenger/peer.go
+++ b/messenger/peer.go
@@ -38,7 +38,7 @@
 func (p *peer) add(kind string, body []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.outbox.items) >= p.m.config.Queue {
+	if len(p.outbox.items) >= p.m.config.MaxQueue {
 		p.m.dropped.Add(1)
 		return fmt.Errorf("send to %s: %w", p.address, ErrFull)
 	}
@@ -88,7 +88,7 @@
 	p.known, p.reachable = true, reachable
 	p.mu.Unlock()
 	if changed {
-		p.m.config.Outcome(p.address, reachable)
+		p.m.config.OnReachability(p.address, reachable)
 	}
 }
 
@@ -118,7 +118,7 @@
 
 func (p *peer) greet(conn net.Conn) (welcome, error) {
 	var w welcome
-	_ = conn.SetDeadline(time.Now().Add(p.m.config.Silence))
+	_ = conn.SetDeadline(time.Now().Add(p.m.config.AckTimeout))
 	n, err := writeFrame(conn, hello{Name: p.m.config.Name, Incarnation: p.m.config.Incarnation})
 	p.m.sent.Add(uint64(n))
 	if err != nil {
@@ -135,7 +135,7 @@
 	broken := make(chan struct{})
 	p.m.tasks.Go(func() { defer close(broken); p.readAcks(conn) })
 	w := bufio.NewWriter(conn)
-	timer := time.NewTimer(p.m.config.Idle)
+	timer := time.NewTimer(p.m.config.IdleTimeout)
 	defer timer.Stop()
 	for {
 		if err := p.write(conn, w); err != nil {
@@ -160,7 +160,7 @@
 
 // write writes every waiting frame in one go.
 func (p *peer) write(conn net.Conn, w *bufio.Writer) error {
-	_ = conn.SetWriteDeadline(time.Now().Add(p.m.config.Silence))
+	_ = conn.SetWriteDeadline(time.Now().Add(p.m.config.AckTimeout))
 	for {
 		p.mu.Lock()
 		i, again, ok := p.outbox.take(time.Now())
@@ -183,20 +183,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.outbox.unacknowledged() {
-		return max(p.m.config.Silence-time.Since(p.outbox.progress), time.Millisecond)
+		return max(p.m.config.AckTimeout-time.Since(p.outbox.progress), time.Millisecond)
 	}
-	return p.m.config.Idle
+	return p.m.config.IdleTimeout
 }
 
 // expired says whether the connection is to be closed: silent, or idle.
 func (p *peer) expired() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.outbox.silent(time.Now(), p.m.config.Silence) {
+	if p.outbox.silent(time.Now(), p.m.config.AckTimeout) {
 		p.m.replaced.Add(1)
 		return true
 	}
-	return len(p.outbox.items) == 0 && time.Since(p.outbox.progress) >= p.m.config.Idle
+	return len(p.outbox.items) == 0 && time.Since(p.outbox.progress) >= p.m.config.IdleTimeout
 }
 
 func (p *peer) readAcks(conn net.Conn) {
--- a/observer/observer_test.go
+++ b/observer/observer_test.go
@@ -56,7 +56,7 @@
 // present is the workers that get new work.
 func present(o *observer.Observer, now time.Time) string {
 	var names []string
-	for _, c := range dispatcher.CellsOf("lm", o.Services()["lm"]) {
+	for _, c := range dispatcher.SplitCells("lm", o.Services()["lm"]) {
 		for _, w := range o.Present(now, c).Workers {
 			names = append(names, w.Name)
 		}
--- a/registrar/hearing.go
+++ b/registrar/hearing.go
@@ -9,28 +9,28 @@
 // Hear takes a message of another host.
 func (m *Members) Hear(now time.Time, from string, msg messenger.Message) []Output {
 	switch msg := msg.(type) {
-	case messenger.Beat:
+	case messenger.Heartbeat:
 		if m.beaten(now, from, msg.Incarnation, msg.Digest) && msg.Reply {
 			m.confirmed(now)
 		}
 	case messenger.Probe:
 		m.merge(now, from, []messenger.Fact{msg.Self})
 		if m.beaten(now, from, msg.Self.Incarnation, msg.Digest) {
-			m.send(from, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest, Reply: true})
+			m.send(from, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest, Reply: true})
 		}
 	case messenger.Suspect:
 		m.accused(now, from, msg)
-	case messenger.Vouch:
+	case messenger.Refute:
 		if x := m.members[msg.Host]; x != nil && x.fact.Incarnation == msg.Incarnation {
 			x.trust(now)
 		}
-	case messenger.News:
+	case messenger.RosterUpdate:
 		m.merge(now, from, msg.Facts)
-		if msg.Whole {
+		if msg.Full {
 			m.complete(from, msg.Facts)
 		}
 	case messenger.Sync:
-		m.send(from, messenger.News{Facts: m.facts(), Whole: true})
+		m.send(from, messenger.RosterUpdate{Facts: m.facts(), Full: true})
 	}
 	return m.flush()
 }
@@ -44,7 +44,7 @@
 		return false
 	}
 	if incarnation < x.fact.Incarnation || x.fact.Status == gone {
-		m.out = append(m.out, Send{To: x.record(), Message: messenger.News{Facts: []messenger.Fact{x.fact}}})
+		m.out = append(m.out, Send{To: x.record(), Message: messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}}})
 		return false
 	}
 	x.direct = now
@@ -94,9 +94,9 @@
 	switch {
 	case x == nil || s.Incarnation > x.fact.Incarnation:
 	case x == m.self || x.fact.Status == gone || s.Incarnation < x.fact.Incarnation:
-		m.send(from, messenger.News{Facts: []messenger.Fact{x.fact}})
+		m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}})
 	case now.Sub(x.direct) < m.after(suspectBeats):
-		m.send(from, messenger.Vouch{Host: s.Host, Incarnation: s.Incarnation})
+		m.send(from, messenger.Refute{Host: s.Host, Incarnation: s.Incarnation})
 	default:
 		x.vote(now, from)
 	}
@@ -124,6 +124,6 @@
 		}
 	}
 	if len(lacking) > 0 {
-		m.send(to, messenger.News{Facts: lacking})
+		m.send(to, messenger.RosterUpdate{Facts: lacking})
 	}
 }
--- a/registrar/members_test.go
+++ b/registrar/members_test.go
@@ -286,10 +286,10 @@
 			m := registrar.NewMembers(epoch(0), registrar.Record{Name: "a", Control: "a", Incarnation: 1}, beat)
 			fact := messenger.Fact{Name: "b", Control: "b", Incarnation: 1}
 			if status > 0 {
-				m.Hear(epoch(0), "c", messenger.News{Facts: []messenger.Fact{fact}})
+				m.Hear(epoch(0), "c", messenger.RosterUpdate{Facts: []messenger.Fact{fact}})
 				dead := fact
 				dead.Status = status
-				m.Hear(epoch(0), "c", messenger.News{Facts: []messenger.Fact{dead}})
+				m.Hear(epoch(0), "c", messenger.RosterUpdate{Facts: []messenger.Fact{dead}})
 			}
 			var answers []messenger.Message
 			for _, o := range m.Hear(epoch(beat), "b", messenger.Probe{Self: fact}) {
@@ -304,20 +304,20 @@
 			}
 			Expect(names).To(Equal(roster))
 			beats := slices.DeleteFunc(answers, func(a messenger.Message) bool {
-				_, ok := a.(messenger.Beat)
+				_, ok := a.(messenger.Heartbeat)
 				return !ok
 			})
 			Expect(beats).To(HaveLen(map[bool]int{status == 0: 1}[true]), "a Beat says that the sender counts")
 		},
-		Entry("of a host that is gone", uint8(2), messenger.News{}, "a"),
-		Entry("of an unknown host", uint8(0), messenger.Beat{}, "a", "b"),
+		Entry("of a host that is gone", uint8(2), messenger.RosterUpdate{}, "a"),
+		Entry("of an unknown host", uint8(0), messenger.Heartbeat{}, "a", "b"),
 	)
 
 	// Guards against a superseded process that goes by a roster of long ago.
 	It("keeps the roster of a superseded host up to date", func() {
 		m := registrar.NewMembers(epoch(0), registrar.Record{Name: "a", Control: "a", Incarnation: 1}, beat)
 		hear := func(name string, incarnation uint64) {
-			m.Hear(epoch(0), "c", messenger.News{Facts: []messenger.Fact{{Name: name, Control: name, Incarnation: incarnation}}})
+			m.Hear(epoch(0), "c", messenger.RosterUpdate{Facts: []messenger.Fact{{Name: name, Control: name, Incarnation: incarnation}}})
 		}
 		hear("a", 2)
 		for i := range 8 {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -22,8 +22,8 @@
 // Transport is the port to other hosts.
 type Transport interface {
 	Send(address string, m messenger.Message) error
-	// Renew makes the next Send to address use a new connection.
-	Renew(address string)
+	// Reconnect makes the next Send to address use a new connection.
+	Reconnect(address string)
 }
 
 // Config is what a Registrar is made with.
@@ -116,7 +116,7 @@
 	}
 	r.sought = time.Now()
 	for _, p := range r.config.Peers {
-		_ = r.config.Transport.Send(p, messenger.News{Facts: []messenger.Fact{factOf(r.members.Self())}})
+		_ = r.config.Transport.Send(p, messenger.RosterUpdate{Facts: []messenger.Fact{factOf(r.members.Self())}})
 		_ = r.config.Transport.Send(p, messenger.Sync{})
 	}
 }
@@ -138,7 +138,7 @@
 // membership. It does not block.
 func (r *Registrar) Hear(from string, m messenger.Message) bool {
 	switch m.(type) {
-	case messenger.Beat, messenger.Probe, messenger.Suspect, messenger.Vouch, messenger.News, messenger.Sync:
+	case messenger.Heartbeat, messenger.Probe, messenger.Suspect, messenger.Refute, messenger.RosterUpdate, messenger.Sync:
 	default:
 		return false
 	}
@@ -191,7 +191,7 @@
 		switch o := o.(type) {
 		case Send:
 			if o.Fresh {
-				r.config.Transport.Renew(o.To.Control)
+				r.config.Transport.Reconnect(o.To.Control)
 			}
 			_ = r.config.Transport.Send(o.To.Control, o.Message) // a full queue is counted there
 		case Changed:
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -35,7 +35,7 @@
 	name string
 }
 
-func (e end) Renew(string) {}
+func (e end) Reconnect(string) {}
 
 func (e end) Send(address string, m messenger.Message) error {
 	e.w.mu.Lock()
--- a/registrar/rejoining.go
+++ b/registrar/rejoining.go
@@ -20,7 +20,7 @@
 	switch {
 	case m.ended || m.replaced:
 	case f.Incarnation < m.self.fact.Incarnation:
-		m.send(from, messenger.News{Facts: []messenger.Fact{m.self.fact}})
+		m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}})
 	case f.Incarnation > m.self.fact.Incarnation:
 		m.replaced = true
 		m.out = append(m.out, Superseded{Self: m.self.record()})
@@ -51,7 +51,7 @@
 	m.rebuild(now)
 	m.spread(m.self.fact.Name, "")
 	m.pass(now)
-	m.send(from, messenger.News{Facts: []messenger.Fact{m.self.fact}}) // which may be gone in turn, as seen from here
+	m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}}) // which may be gone in turn, as seen from here
 	m.out = append(m.out, Rejoined{Self: m.self.record()})
 }
 
--- a/registrar/renewing.go
+++ b/registrar/renewing.go
@@ -114,7 +114,7 @@
 		incarnation := m.members[o].fact.Incarnation
 		m.introduced[o] = incarnation
 		if known[o] != incarnation {
-			m.send(o, messenger.News{Facts: []messenger.Fact{m.self.fact}})
+			m.send(o, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}})
 		}
 	}
 }
--- a/registrar/spreading.go
+++ b/registrar/spreading.go
@@ -33,7 +33,7 @@
 	}
 	for _, to := range m.ring.targets() {
 		if facts := m.factsFor(to); len(facts) > 0 {
-			m.send(to, messenger.News{Facts: facts})
+			m.send(to, messenger.RosterUpdate{Facts: facts})
 		}
 	}
 	m.pending, m.passedAt = nil, now
--- a/registrar/ticking.go
+++ b/registrar/ticking.go
@@ -48,7 +48,7 @@
 func (m *Members) sendBeats(now time.Time) {
 	m.turn++
 	for _, o := range m.ring.observers[m.self.fact.Name] {
-		m.send(o, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
+		m.send(o, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
 	}
 	if m.turn%remoteEvery == 0 {
 		m.beatAbroad()
@@ -71,7 +71,7 @@
 	}
 	if len(dead) > 0 {
 		x := dead[(m.turn/remoteEvery)%len(dead)]
-		m.send(x.fact.Name, messenger.News{Facts: []messenger.Fact{x.fact}})
+		m.send(x.fact.Name, messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}})
 	}
 }
 
@@ -162,7 +162,7 @@
 	for _, name := range slices.Sorted(maps.Keys(regions)) {
 		hosts := regions[name]
 		to := hosts[(mine+m.turn/partnerTurns)%len(hosts)]
-		m.send(to, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
+		m.send(to, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
 	}
 }
 
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -58,7 +58,7 @@
 // dispatcher is an older one than this host has heard of, which came back from a
 // freeze and does not know what its successor granted.
 func (c *control) granted(now time.Time, from string, g messenger.Grant) {
-	c.chooser.Note(now, g.Cell, g.Class, g.Wait)
+	c.chooser.RecordWait(now, g.Cell, g.Class, g.Wait)
 	k := c.calls[g.Request]
 	same := k != nil && k.ask.Cell == g.Cell && k.ask.Attempt == g.Attempt
 	if same && k.worker == g.Worker && k.owner == from {
@@ -90,7 +90,7 @@
 }
 
 func (c *control) refused(now time.Time, m messenger.Refuse) {
-	c.chooser.Note(now, m.Cell, m.Class, m.Wait)
+	c.chooser.RecordWait(now, m.Cell, m.Class, m.Wait)
 	k := c.calls[m.Request]
 	if k == nil || k.worker != "" || k.ask.Attempt != m.Attempt {
 		return
--- a/runner/catching.go
+++ b/runner/catching.go
@@ -33,12 +33,12 @@
 	}
 	p.log.Info("tell running", zap.Strings("hosts", fresh), zap.Int("requests", len(running)), zap.Int("limits", len(limits)))
 	if len(limits) > 0 {
-		if err := p.sender.SendAll(fresh, messenger.Shared{Limits: limits}); err != nil {
+		if err := p.sender.SendAll(fresh, messenger.FlightUpdate{Limits: limits}); err != nil {
 			p.log.Warn("tell limits", zap.Error(err))
 		}
 	}
 	for part := range slices.Chunk(running, runningMost) {
-		var m messenger.Shared
+		var m messenger.FlightUpdate
 		for _, r := range part {
 			s := sendingOf(r.Flight)
 			s.Host, s.Begun = r.Host, r.Begun
--- a/runner/catching_test.go
+++ b/runner/catching_test.go
@@ -36,7 +36,7 @@
 	told := func(out []sent) map[string]int {
 		n := map[string]int{}
 		for _, s := range out {
-			if m, ok := s.m.(messenger.Shared); ok {
+			if m, ok := s.m.(messenger.FlightUpdate); ok {
 				n[s.to] += len(m.Running)
 			}
 		}
@@ -76,7 +76,7 @@
 			var out []sent
 			c := runner.NewChoosing(h.Name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
 			c.Enroll(now, before)
-			c.Hear(now, owners[0].Name, messenger.Shared{Sent: []messenger.Sending{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
+			c.Hear(now, owners[0].Name, messenger.FlightUpdate{Sent: []messenger.Flight{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
 			out = nil
 			c.Enroll(now, registrar.NewRoster(left...))
 			if n := told(out); len(n) > 0 {
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -53,7 +53,7 @@
 	hosts      int // the most that the roster had
 	deciding   deciding
 	windows    map[string]*retrier.Window
-	shared     messenger.Shared
+	shared     messenger.FlightUpdate
 	quarantine *quarantining
 	share      *time.Timer
 	shareAt    time.Time // when the timer is due; zero where it is not set
--- a/runner/control.go
+++ b/runner/control.go
@@ -166,14 +166,14 @@
 		c.refused(now, m)
 	case messenger.Preempt:
 		c.preempted(m)
-	case messenger.Away:
+	case messenger.WorkerRefused:
 		c.observer.Refused(now, m.Address)
 		c.observe(now, nil)
 	case messenger.Borrow:
 		c.lend(now, from, m)
 	case messenger.Lend:
 		c.lent(now, m)
-	case messenger.Mark:
+	case messenger.WorkerReport:
 		c.quarantine.mark(now, m)
 	case messenger.Quarantine:
 		c.quarantine.hear(now, quarantineHeard{from: from, held: heldOf(m)})
@@ -204,7 +204,7 @@
 	c.limiting.configure(e.folder)
 	c.cells, c.byService = map[string]dispatcher.Cell{}, map[string][]string{}
 	for name, s := range c.observer.Services() {
-		for _, cell := range dispatcher.CellsOf(name, s) {
+		for _, cell := range dispatcher.SplitCells(name, s) {
 			c.cells[cell.Name] = cell
 			c.byService[name] = append(c.byService[name], cell.Name)
 		}
@@ -226,7 +226,7 @@
 			c.register(now, k)
 		}
 	}
-	c.chooser.Keep(known)
+	c.chooser.Retain(known)
 	maps.DeleteFunc(c.epochs, func(cell string, _ uint64) bool { return !known(cell) })
 	c.ownAll(now)
 }
@@ -240,7 +240,7 @@
 		}
 		lost = append(lost, h.Name)
 		for _, d := range c.owned {
-			out := d.Lost(now, h.Name)
+			out := d.HostLost(now, h.Name)
 			c.awaits(d)
 			c.emit(now, out)
 		}
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -69,11 +69,11 @@
 type (
 	seekHeard struct {
 		from string
-		seek messenger.Seek
+		seek messenger.PlacementRequest
 	}
 	soughtHeard struct {
 		from   string
-		sought messenger.Sought
+		sought messenger.PlacementReply
 	}
 	seekLate struct{ id uint64 }
 )
@@ -197,7 +197,7 @@
 // answerSeek decides for another host.
 func (p *choosing) answerSeek(now time.Time, e seekHeard) {
 	s := e.seek
-	answer := messenger.Sought{ID: s.ID}
+	answer := messenger.PlacementReply{ID: s.ID}
 	choice, refusal := p.view.PlaceFor(now, e.from, rand.Uint64(), askOf(s))
 	if refusal != nil {
 		answer.Why, answer.After, answer.Basis = refusal.Why, refusal.After, basisTo(choice.Basis)
@@ -258,8 +258,8 @@
 	return &m
 }
 
-func seekOf(id uint64, self registrar.Record, a placer.Ask) messenger.Seek {
-	s := messenger.Seek{
+func seekOf(id uint64, self registrar.Record, a placer.Ask) messenger.PlacementRequest {
+	s := messenger.PlacementRequest{
 		ID: id, Reply: self.Control, Zone: self.Zone, Service: a.Service, Prompt: a.Prompt, Output: a.Output, Rank: a.Rank,
 		Left: a.Left, Patience: a.Patience, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
 		Fingerprint: uint64(a.Fingerprint),
@@ -268,7 +268,7 @@
 	return s
 }
 
-func askOf(s messenger.Seek) placer.Ask {
+func askOf(s messenger.PlacementRequest) placer.Ask {
 	return placer.Ask{
 		Service: s.Service, Zone: s.Zone, Parts: partsOf(s.Keys, s.Tokens), Prompt: s.Prompt, Output: s.Output, Rank: s.Rank,
 		Left: s.Left, Patience: s.Patience, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -35,10 +35,10 @@
 		c.Enroll(now, r)
 		return c
 	}
-	seek := func() (sent, messenger.Seek) {
+	seek := func() (sent, messenger.PlacementRequest) {
 		Expect(out).NotTo(BeEmpty())
 		last := out[len(out)-1]
-		return last, last.m.(messenger.Seek)
+		return last, last.m.(messenger.PlacementRequest)
 	}
 	BeforeEach(func() {
 		now, out, names = time.Now(), nil, nil
@@ -59,11 +59,11 @@
 		to, s := seek()
 		Expect(names[:3]).To(ContainElement(to.to))
 		Expect(got).NotTo(Receive())
-		c.Hear(now, to.to, messenger.Sought{ID: s.ID, Flight: 7, Worker: "d-2"})
+		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 		got = c.Ask(now, quote)
 		to, s = seek()
-		c.Hear(now, to.to, messenger.Sought{ID: s.ID, Why: "overload", After: time.Second})
+		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Why: "overload", After: time.Second})
 		Eventually(got).Should(Receive(Equal("refused overload")))
 	})
 
@@ -106,14 +106,14 @@
 		}
 		least := c.Patience()
 		for name, id := range late {
-			c.Hear(now.Add(90*time.Millisecond), name, messenger.Sought{ID: id, Why: "slots", After: time.Second})
+			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Why: "slots", After: time.Second})
 		}
 		Expect(c.Patience()).To(And(BeNumerically(">", least), BeNumerically("<=", 200*time.Millisecond)))
 		before := len(out)
 		got := c.Ask(now.Add(100*time.Millisecond), quote)
 		Expect(out).To(HaveLen(before + 1))
 		to, s := seek()
-		c.Hear(now.Add(103*time.Millisecond), to.to, messenger.Sought{ID: s.ID, Flight: 9, Worker: "d-2"})
+		c.Hear(now.Add(103*time.Millisecond), to.to, messenger.PlacementReply{ID: s.ID, Flight: 9, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 	})
 
@@ -124,13 +124,13 @@
 		c.Ask(now, quote)
 		to, s := seek()
 		c.Silent(now, s.ID)
-		c.Hear(now, to.to, messenger.Sought{ID: s.ID, Flight: 7, Worker: "d-2"})
+		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		out = nil
 		c.Tell()
 		Expect(out).To(HaveLen(5), "the deciders and two that come after them")
 		for _, x := range out {
 			Expect(names[:5]).To(ContainElement(x.to))
-			Expect(x.m.(messenger.Shared).Ended).To(Equal([]messenger.Ending{{ID: 7, Outcome: int(placer.Dropped)}}))
+			Expect(x.m.(messenger.FlightUpdate).Ended).To(Equal([]messenger.FlightEnd{{ID: 7, Outcome: int(placer.Dropped)}}))
 		}
 	})
 
@@ -139,10 +139,10 @@
 	It("counts requests under the host that sends them, until it is gone", func() {
 		c := choosing(names[0], roster)
 		for id := range uint64(4) {
-			c.Hear(now, names[10], messenger.Seek{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
+			c.Hear(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
 		}
 		c.Tell()
-		shared := out[len(out)-1].m.(messenger.Shared)
+		shared := out[len(out)-1].m.(messenger.FlightUpdate)
 		Expect(shared.Sent).To(HaveLen(4))
 		other := choosing(names[1], roster)
 		other.Hear(now, names[0], shared)
@@ -180,8 +180,8 @@
 			Expect(c.Due(now)).To(BeNumerically("<", soon))
 		}
 		// What another host sends, the decider tells it of.
-		decider.Hear(now, names[10], messenger.Seek{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
-		Expect(out[len(out)-1].m.(messenger.Sought).Filling).To(BeTrue())
+		decider.Hear(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
+		Expect(out[len(out)-1].m.(messenger.PlacementReply).Filling).To(BeTrue())
 	})
 
 	// What a caller said is lost between the host that it reached and the one that decides:
--- a/runner/entries.go
+++ b/runner/entries.go
@@ -22,13 +22,13 @@
 // wordHeard is another host's word of the workers' entries.
 type wordHeard struct {
 	from string
-	word messenger.Word
+	word messenger.ListUpdate
 }
 
 // entriesHeard is another host's word of all entries.
 type entriesHeard struct {
 	from    string
-	entries messenger.Entries
+	entries messenger.ListSnapshot
 }
 
 // next implements listing's question of when to call.
@@ -86,7 +86,7 @@
 	p.takeList(now, w.Changed, restored)
 	p.known.Store(true)
 	if restored && p.relay.Watching() {
-		p.toOthers(messenger.Entries{Upto: uint64(w.Upto), All: changesOf(w.Changed)})
+		p.toOthers(messenger.ListSnapshot{Upto: uint64(w.Upto), All: changesOf(w.Changed)})
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // hearWord takes another host's word of the entries.
 func (p *choosing) hearWord(now time.Time, e wordHeard) {
-	if e.word.Blind {
+	if e.word.StoreDown {
 		p.relay.Blind(e.from)
 		p.takeTurn(now, "watcher blind")
 		return
@@ -147,7 +147,7 @@
 
 // spread tells all other hosts a word.
 func (p *choosing) spread(w relayer.Word) {
-	p.toOthers(messenger.Word{After: uint64(w.After), Upto: uint64(w.Upto), Changed: changesOf(w.Changed)})
+	p.toOthers(messenger.ListUpdate{After: uint64(w.After), Upto: uint64(w.Upto), Changed: changesOf(w.Changed)})
 }
 
 // changesOf is objects of the store as hosts tell them to each other.
@@ -178,7 +178,7 @@
 		p.spread(w)
 	case !ok && p.watching:
 		p.watching = false
-		p.toOthers(messenger.Word{Blind: true})
+		p.toOthers(messenger.ListUpdate{StoreDown: true})
 	}
 }
 
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -205,7 +205,7 @@
 func (x Choosing) Patience() time.Duration { return x.c.deciding.within() }
 
 // AskOf is the request that a question of another host is about.
-func AskOf(s messenger.Seek) placer.Ask { return askOf(s) }
+func AskOf(s messenger.PlacementRequest) placer.Ask { return askOf(s) }
 
 // Tell tells the others what happened since it last did.
 func (x Choosing) Tell() { x.c.tell() }
--- a/runner/following.go
+++ b/runner/following.go
@@ -66,9 +66,9 @@
 func (g *following) take(e messenger.Envelope, m messenger.Message) bool {
 	g.Confirmed(e.From, e.Generation, time.Now())
 	switch m := m.(type) {
-	case messenger.Fetch:
+	case messenger.ConfigRequest:
 		g.answer(m)
-	case messenger.Fetched:
+	case messenger.ConfigReply:
 		g.Received(e.From, m.Packed)
 	default:
 		return false
@@ -77,9 +77,9 @@
 }
 
 // answer sends the configuration in force to a host that asked.
-func (g *following) answer(f messenger.Fetch) {
+func (g *following) answer(f messenger.ConfigRequest) {
 	h := g.Head()
-	var c messenger.Fetched
+	var c messenger.ConfigReply
 	if h.Generation > f.Have {
 		c.Packed = h.Packed()
 	}
@@ -88,7 +88,7 @@
 
 // ask asks a peer, or a few for "", for a configuration newer than have.
 func (g *following) ask(peer string, have uint64) {
-	m := messenger.Fetch{Have: have, Reply: g.settings.Control}
+	m := messenger.ConfigRequest{Have: have, Reply: g.settings.Control}
 	for _, address := range g.addresses(peer) {
 		g.send(address, m)
 	}
--- a/runner/holding.go
+++ b/runner/holding.go
@@ -50,7 +50,7 @@
 func (h *holding) release(now time.Time, f *loader.Folder, generation uint64) []frameArrived {
 	cells := map[string]bool{}
 	for name, s := range f.Services {
-		for _, c := range dispatcher.CellsOf(name, s) {
+		for _, c := range dispatcher.SplitCells(name, s) {
 			cells[c.Name] = true
 		}
 	}
--- a/runner/host.go
+++ b/runner/host.go
@@ -113,8 +113,8 @@
 	forward.OnRefused(h.observing.refused)
 	connected := make(chan struct{})
 	m, closeMessenger, err := messenger.Open(messenger.Config{
-		Name: s.Name, Incarnation: incarnation, Address: s.Control, Silence: s.Limits.Link.Std(), Delay: ackDelay,
-		Outcome: func(address string, reachable bool) {
+		Name: s.Name, Incarnation: incarnation, Address: s.Control, AckTimeout: s.Limits.Link.Std(), AckDelay: ackDelay,
+		OnReachability: func(address string, reachable bool) {
 			<-connected
 			h.registrar.Reach(address, reachable)
 		},
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -122,7 +122,7 @@
 	switch m := m.(type) {
 	case messenger.Once:
 		k.asked(now, from, m)
-	case messenger.OnceGo:
+	case messenger.OnceReadyReply:
 		if p := k.keepers[m.Partition]; p != nil && len(m.ID) == len(keeper.ID{}) {
 			k.handle(now, p, keeper.Went{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
 		}
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -117,7 +117,7 @@
 func (k *keeping) ready(now time.Time, from string, m messenger.OnceReady) {
 	c := k.calls[m.Request]
 	ok := c != nil && c.waiter.Ready(keeper.Ready{Epoch: m.Order})
-	k.control.send(now, from, messenger.OnceGo{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
+	k.control.send(now, from, messenger.OnceReadyReply{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
 }
 
 func (k *keeping) verdict(now time.Time, m messenger.OnceVerdict) {
--- a/runner/limiting.go
+++ b/runner/limiting.go
@@ -71,7 +71,7 @@
 		return
 	}
 	l.next = now.Add(limitEvery)
-	for _, a := range l.gates.Asks(now) {
+	for _, a := range l.gates.LoanRequests(now) {
 		owner, ok := c.roster.Owner("limit/" + a.Organisation)
 		if !ok {
 			continue
@@ -102,5 +102,5 @@
 }
 
 func (c *control) lent(now time.Time, m messenger.Lend) {
-	c.limiting.gates.Take(now, m.Organisation, m.Sequence, limiter.Rates{Requests: m.Requests, Tokens: m.Tokens})
+	c.limiting.gates.SetLoan(now, m.Organisation, m.Sequence, limiter.Rates{Requests: m.Requests, Tokens: m.Tokens})
 }
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -34,15 +34,15 @@
 	if q == nil || u.Took == 0 {
 		return
 	}
-	m := messenger.Mark{Fingerprint: uint64(u.Fingerprint), Worker: worker, Took: u.Took}
+	m := messenger.WorkerReport{Fingerprint: uint64(u.Fingerprint), Worker: worker, Took: u.Took}
 	answered := u.First > 0 && !u.Failed
 	switch {
 	case u.Ended:
-		m.What = messenger.MarkEnded
+		m.Event = messenger.WorkerEnded
 	case answered && q.book.Suspected(u.Fingerprint):
-		m.What, m.Took = messenger.MarkAnswered, u.Took-u.First
+		m.Event, m.Took = messenger.WorkerAnswered, u.Took-u.First
 	case answered && q.book.Alive(now, worker, now.Add(u.First-u.Took)):
-		m.What, m.Took = messenger.MarkAlive, u.Took-u.First
+		m.Event, m.Took = messenger.WorkerAlive, u.Took-u.First
 	default:
 		return
 	}
@@ -56,17 +56,17 @@
 }
 
 // mark counts what this host or another saw.
-func (q *quarantining) mark(now time.Time, m messenger.Mark) {
+func (q *quarantining) mark(now time.Time, m messenger.WorkerReport) {
 	if q == nil {
 		return
 	}
 	f := quarantiner.Fingerprint(m.Fingerprint)
-	switch m.What {
-	case messenger.MarkEnded:
+	switch m.Event {
+	case messenger.WorkerEnded:
 		q.book.Ended(now, f, m.Worker, now.Add(-m.Took))
-	case messenger.MarkAnswered:
+	case messenger.WorkerAnswered:
 		q.book.Answered(f)
-	case messenger.MarkAlive:
+	case messenger.WorkerAlive:
 		q.book.Alive(now, m.Worker, now.Add(-m.Took))
 	}
 	q.notice(now)
--- a/runner/naming.go
+++ b/runner/naming.go
@@ -27,12 +27,12 @@
 	if rate != was {
 		p.log.Info("limit", zap.String("worker", e.worker), zap.Float64("was", was), zap.Float64("rate", rate))
 	}
-	p.shared.Limits = append(p.shared.Limits, messenger.Limit{Worker: e.worker, Rate: rate})
+	p.shared.Limits = append(p.shared.Limits, messenger.WorkerLimit{Worker: e.worker, Rate: rate})
 	p.tellWithin(now, p.within(sentWithin, sentByDeciders))
 }
 
 // hearLimits takes what workers named to other hosts.
-func (p *choosing) hearLimits(now time.Time, from string, limits []messenger.Limit) {
+func (p *choosing) hearLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
 	for _, l := range limits {
 		if was := p.view.Rate(l.Worker); was != l.Rate {
 			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", was), zap.Float64("rate", l.Rate), zap.String("by", from))
@@ -42,10 +42,10 @@
 }
 
 // limitsOf is all limits that this host knows of.
-func limitsOf(list []placer.Named) []messenger.Limit {
-	var out []messenger.Limit
+func limitsOf(list []placer.Named) []messenger.WorkerLimit {
+	var out []messenger.WorkerLimit
 	for _, n := range list {
-		out = append(out, messenger.Limit{Worker: n.Worker, Rate: n.Rate})
+		out = append(out, messenger.WorkerLimit{Worker: n.Worker, Rate: n.Rate})
 	}
 	return out
 }
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -209,7 +209,7 @@
 	for name, cell := range c.cells {
 		for _, w := range cell.Workers {
 			if owner, ok := c.roster.Owner(name); ok && w.Address == address && owner.Name != c.self {
-				c.send(now, owner.Name, messenger.Away{Address: address})
+				c.send(now, owner.Name, messenger.WorkerRefused{Address: address})
 			}
 		}
 	}
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -196,7 +196,7 @@
 func (q *quarantining) tell(hosts []registrar.Record, held []quarantiner.Held) {
 	var m messenger.Quarantine
 	for _, h := range held {
-		m.Held = append(m.Held, messenger.Held{Fingerprint: uint64(h.Fingerprint), For: h.For, Span: h.Span, Workers: h.Workers})
+		m.Entries = append(m.Entries, messenger.QuarantineEntry{Fingerprint: uint64(h.Fingerprint), For: h.For, Span: h.Span, Workers: h.Workers})
 	}
 	var addresses []string
 	for _, h := range hosts {
@@ -211,7 +211,7 @@
 
 func heldOf(m messenger.Quarantine) []quarantiner.Held {
 	var out []quarantiner.Held
-	for _, h := range m.Held {
+	for _, h := range m.Entries {
 		out = append(out, quarantiner.Held{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), For: h.For, Span: h.Span, Workers: h.Workers})
 	}
 	return out
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -47,17 +47,17 @@
 		return false
 	}
 	switch m := m.(type) {
-	case messenger.Shared:
+	case messenger.FlightUpdate:
 		g.choosing.post(sharedHeard{from: from, shared: m})
-	case messenger.Seek:
+	case messenger.PlacementRequest:
 		g.choosing.post(seekHeard{from: from, seek: m})
-	case messenger.Sought:
+	case messenger.PlacementReply:
 		g.choosing.post(soughtHeard{from: from, sought: m})
 	case messenger.Quarantine:
 		g.choosing.post(quarantineHeard{from: from, held: heldOf(m)})
-	case messenger.Word:
+	case messenger.ListUpdate:
 		g.choosing.post(wordHeard{from: from, word: m})
-	case messenger.Entries:
+	case messenger.ListSnapshot:
 		g.choosing.post(entriesHeard{from: from, entries: m})
 	default:
 		return false
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -31,7 +31,7 @@
 // sharedHeard is what another host sent to workers.
 type sharedHeard struct {
 	from   string
-	shared messenger.Shared
+	shared messenger.FlightUpdate
 }
 
 // tellSent has the others told of a request that a host sends to a worker.
@@ -47,7 +47,7 @@
 // taken, and callers are refused before idle workers. So the end of what was sent to a
 // worker that is filling is told as soon as what is sent.
 func (p *choosing) tellEnded(now time.Time, e sendEnded) {
-	p.shared.Ended = append(p.shared.Ended, messenger.Ending{ID: e.id, Outcome: int(e.outcome)})
+	p.shared.Ended = append(p.shared.Ended, messenger.FlightEnd{ID: e.id, Outcome: int(e.outcome)})
 	within := p.within(restWithin, restToDeciders)
 	if e.filling || e.outcome == placer.Ended {
 		within = p.within(sentWithin, sentByDeciders)
@@ -55,13 +55,13 @@
 	p.tellWithin(now, within)
 }
 
-func sendingOf(f placer.Flight) messenger.Sending {
-	s := messenger.Sending{ID: f.ID, Worker: f.Worker, Read: f.Read, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
+func sendingOf(f placer.Flight) messenger.Flight {
+	s := messenger.Flight{ID: f.ID, Worker: f.Worker, Read: f.Read, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
 	s.Keys, s.Tokens = keysOf(f.Parts)
 	return s
 }
 
-func flightOf(s messenger.Sending) placer.Flight {
+func flightOf(s messenger.Flight) placer.Flight {
 	return placer.Flight{
 		ID: s.ID, Worker: s.Worker, Parts: partsOf(s.Keys, s.Tokens), Read: s.Read, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
@@ -106,7 +106,7 @@
 	p.shareAt = time.Time{}
 	m := p.shared
 	m.Refused = offersOf(p.view.Refused())
-	p.shared = messenger.Shared{}
+	p.shared = messenger.FlightUpdate{}
 	if len(p.deciding.deciders) == 0 {
 		p.toOthers(m)
 		return
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -49,7 +49,7 @@
 		s.faults.Plan([]faker.Fault{{Kind: faker.Trip, At: 5, Hook: func(string) { s.places.preemptLast() }}})
 		Expect(s.stream().whole()).To(Succeed())
 		Expect(s.places.asks).To(HaveLen(1))
-		Expect(s.places.asks[0].Fixed).To(BeTrue(), "the dispatcher is told beforehand")
+		Expect(s.places.asks[0].NonPreemptible).To(BeTrue(), "the dispatcher is told beforehand")
 	})
 
 	It("leaves a call alone that must not be repeated", func() {
--- a/server/request.go
+++ b/server/request.go
@@ -70,7 +70,7 @@
 	return messenger.Ask{
 		Request: name, Made: made, Class: q.class, Organisation: q.organisation, Prompt: q.prompt, Output: output,
 		Deadline: max(q.deadline-time.Since(q.started), 0), Waited: time.Since(q.started), Prefix: q.prefix,
-		Exclude: exclude, Fixed: q.once || q.engine && q.stream && !q.resumable,
+		Exclude: exclude, NonPreemptible: q.once || q.engine && q.stream && !q.resumable,
 	}
 }
 
