--- a/dispatcher/bench_test.go
+++ b/dispatcher/bench_test.go
@@ -12,14 +12,15 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// thin is the baseline: one sorted queue, places counted anew for each grant.
-type thin struct {
+// baseline is the implementation to compare with: one sorted queue, and places
+// that are counted again for each grant.
+type baseline struct {
 	slots  map[string]int
 	queue  []messenger.Ask
 	grants map[string]string
 }
 
-func (t *thin) ask(a messenger.Ask) {
+func (t *baseline) ask(a messenger.Ask) {
 	i, _ := slices.BinarySearchFunc(t.queue, a, func(x, y messenger.Ask) int {
 		return cmp.Or(cmp.Compare(x.Deadline, y.Deadline), cmp.Compare(x.Request, y.Request))
 	})
@@ -27,13 +28,13 @@
 	t.fill()
 }
 
-func (t *thin) done(request string) {
+func (t *baseline) done(request string) {
 	t.queue = slices.DeleteFunc(t.queue, func(a messenger.Ask) bool { return a.Request == request })
 	delete(t.grants, request)
 	t.fill()
 }
 
-func (t *thin) fill() {
+func (t *baseline) fill() {
 	for len(t.queue) > 0 {
 		used := map[string]int{}
 		for _, w := range t.grants {
@@ -53,24 +54,26 @@
 	}
 }
 
-// waitingInBench is how many letters wait while the measured requests come and go.
-const waitingInBench = 2000
+// waitingLetters is how many requests of class letter wait while the measured
+// ones come and go.
+const waitingLetters = 2000
 
-// sizes are workers in a cell, of 8 slots.
-var sizes = []int{6, 100, 830}
+// cellSizes are numbers of workers in a cell, of 8 slots each.
+var cellSizes = []int{6, 100, 830}
 
-// BenchmarkCycle is one ask, grant and done of a check with the queue full of
-// letters and all but one place in use.
+// BenchmarkCycle measures the ask, grant and done of one check while letters
+// fill the queue and all places but one are in use.
 func BenchmarkCycle(b *testing.B) {
-	for _, workers := range sizes {
-		b.Run(fmt.Sprintf("ours/workers=%d", workers), func(b *testing.B) { cycleOurs(b, workers) })
-		b.Run(fmt.Sprintf("thin/workers=%d", workers), func(b *testing.B) { cycleThin(b, workers) })
+	for _, workers := range cellSizes {
+		b.Run(fmt.Sprintf("dispatcher/workers=%d", workers), func(b *testing.B) { cycleDispatcher(b, workers) })
+		b.Run(fmt.Sprintf("baseline/workers=%d", workers), func(b *testing.B) { cycleBaseline(b, workers) })
 	}
 }
 
-// taught is a dispatcher whose breaker and estimator know every worker.
-func taught(workers int) *dispatcher.Dispatcher {
-	const rounds = 6 // enough for the breaker to compare
+// warmedUp returns a dispatcher whose breaker and estimator have samples of
+// every worker.
+func warmedUp(workers int) *dispatcher.Dispatcher {
+	const rounds = 6 // enough for the breaker to compare workers
 	d := started(workers, 8)
 	for round := range rounds {
 		var held []messenger.Grant
@@ -84,15 +87,15 @@
 	return d
 }
 
-func cycleOurs(b *testing.B, workers int) {
-	d := taught(workers)
+func cycleDispatcher(b *testing.B, workers int) {
+	d := warmedUp(workers)
 	now := ready
 	for i := range workers*8 - 1 {
 		a := ask(fmt.Sprintf("held-%d", i), "summary")
 		a.Deadline = time.Hour
 		d.Handle(now, "a", a)
 	}
-	for i := range waitingInBench {
+	for i := range waitingLetters {
 		a := ask(fmt.Sprintf("wait-%d", i), "letter")
 		a.Deadline, a.Organisation = time.Hour, fmt.Sprintf("o%d", i%940)
 		d.Handle(now, "a", a)
@@ -115,18 +118,18 @@
 	}
 }
 
-// checkIDs are two requests that follow each other on one place.
+// checkIDs are two requests that alternate on one place.
 var checkIDs = []string{"check-0", "check-1"}
 
-func cycleThin(b *testing.B, workers int) {
-	t := &thin{slots: map[string]int{}, grants: map[string]string{}}
+func cycleBaseline(b *testing.B, workers int) {
+	t := &baseline{slots: map[string]int{}, grants: map[string]string{}}
 	for i := range workers {
 		t.slots[fmt.Sprintf("w%d", i)] = 8
 	}
 	for i := range workers*8 - 1 {
 		t.grants[fmt.Sprintf("held-%d", i)] = fmt.Sprintf("w%d", i/8)
 	}
-	for i := range waitingInBench {
+	for i := range waitingLetters {
 		t.queue = append(t.queue, messenger.Ask{Request: fmt.Sprintf("wait-%d", i), Deadline: time.Hour})
 	}
 	last := "full"
@@ -140,11 +143,11 @@
 	}
 }
 
-// BenchmarkTick is one look through a cell whose places are all in use.
+// BenchmarkTick measures one tick of a cell whose places are all in use.
 func BenchmarkTick(b *testing.B) {
-	for _, workers := range sizes {
+	for _, workers := range cellSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
-			d := taught(workers)
+			d := warmedUp(workers)
 			for i := range workers * 8 {
 				d.Handle(ready, "a", ask(fmt.Sprintf("held-%d", i), "check"))
 			}
--- a/dispatcher/cell_test.go
+++ b/dispatcher/cell_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-func homes(cells []dispatcher.Cell) map[string]string {
+func cellByWorker(cells []dispatcher.Cell) map[string]string {
 	home := map[string]string{}
 	for _, c := range cells {
 		for _, w := range c.Workers {
@@ -30,27 +30,27 @@
 	return home
 }
 
-var _ = Describe("Cells", func() {
-	DescribeTable("hold every worker once, and at most so many", func(workers, size int) {
+var _ = Describe("SplitCells", func() {
+	DescribeTable("puts each worker into one cell, and no more than the maximum into any", func(workers, size int) {
 		cells := dispatcher.SplitCells("s", serviceOf(workers, size))
-		Expect(homes(cells)).To(HaveLen(workers))
+		Expect(cellByWorker(cells)).To(HaveLen(workers))
 		for _, c := range cells {
 			Expect(c.Workers).NotTo(BeEmpty())
 			if size > 0 {
 				Expect(len(c.Workers)).To(BeNumerically("<=", size))
 			}
 		}
-	}, Entry("all in one", 12, 0), Entry("one each", 5, 1), Entry("uneven", 13, 6), Entry("many", 830, 6))
+	}, Entry("one cell", 12, 0), Entry("one worker per cell", 5, 1), Entry("not divisible", 13, 6), Entry("many workers", 830, 6))
 
-	// A worker that moves between cells is unknown to its new dispatcher until its
-	// calls are claimed: an added worker must not move half of the others.
-	It("move few workers when one is added or removed", func() {
+	// A worker that moves is unknown to its new dispatcher until its calls are
+	// claimed: adding one worker must not move half of the others.
+	It("moves few workers when one is added or removed", func() {
 		const sizes, meanMoved = 20, 5
 		moved := 0
 		for n := 90; n < 90+sizes; n++ {
 			more := serviceOf(n+1, 6)
 			less := loader.Service{Cell: 6, Workers: slices.Delete(slices.Clone(more.Workers), n/2, n/2+1)}
-			before, after := homes(dispatcher.SplitCells("s", less)), homes(dispatcher.SplitCells("s", more))
+			before, after := cellByWorker(dispatcher.SplitCells("s", less)), cellByWorker(dispatcher.SplitCells("s", more))
 			for w, c := range before {
 				if after[w] != c {
 					moved++
@@ -61,8 +61,8 @@
 	})
 })
 
-var _ = Describe("A chooser", func() {
-	It("prefers the cell with the shorter wait, until that is old", func() {
+var _ = Describe("Chooser", func() {
+	It("prefers the cell with the shorter expected wait until the report is out of date", func() {
 		var c dispatcher.Chooser
 		c.RecordWait(ready, "a", "check", 2*time.Second)
 		for r := range uint64(20) {
--- a/dispatcher/chooser.go
+++ b/dispatcher/chooser.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Chooser picks the cell of a request, for an entry. It knows of each cell only
-// what the cell's last answers said. The zero value works.
-type Chooser struct{ waits map[cellClass]reported }
+// Chooser picks the cell of a request on its entry host. Of each cell it knows
+// only the expected wait that the cell's last answers reported. The zero value
+// is ready to use.
+type Chooser struct{ waits map[cellClass]reportedWait }
 
 type cellClass struct{ cell, class string }
 
-// reported is a wait that a dispatcher reported.
-type reported struct {
+// reportedWait is an expected wait that a dispatcher reported.
+type reportedWait struct {
 	wait time.Duration
 	at   time.Time
 }
 
-// RecordWait takes the wait that a Grant or a Refuse reported.
+// RecordWait records the expected wait that a Grant or a Refuse reported.
 func (c *Chooser) RecordWait(now time.Time, cell, class string, wait time.Duration) {
 	if c.waits == nil {
-		c.waits = map[cellClass]reported{}
+		c.waits = map[cellClass]reportedWait{}
 	}
-	c.waits[cellClass{cell, class}] = reported{wait: wait, at: now}
+	c.waits[cellClass{cell, class}] = reportedWait{wait: wait, at: now}
 }
 
-// Retain forgets all cells but these.
+// Retain drops the cells for which known returns false.
 func (c *Chooser) Retain(known func(cell string) bool) {
 	for k := range c.waits {
 		if !known(k.cell) {
@@ -31,8 +32,8 @@
 	}
 }
 
-// Choose picks one of two random cells, the one with the shorter wait. random
-// is any 64 random bits. cells must not be empty.
+// Choose picks two random cells and returns the one with the shorter expected
+// wait. random holds 64 random bits; cells must not be empty.
 func (c *Chooser) Choose(now time.Time, cells []string, class string, random uint64) string {
 	n := uint64(len(cells))
 	a := cells[random%n]
@@ -46,8 +47,8 @@
 	return a
 }
 
-// wait is what is left of a reported wait: a queue that nobody heard of since
-// has drained meanwhile, and must be tried again.
+// wait returns the rest of a reported wait. It shrinks with time: a queue
+// without newer reports drains meanwhile, and its cell must be tried again.
 func (c *Chooser) wait(now time.Time, cell, class string) time.Duration {
 	r := c.waits[cellClass{cell, class}]
 	return max(r.wait-now.Sub(r.at), 0)
--- a/dispatcher/dispatcher_suite_test.go
+++ b/dispatcher/dispatcher_suite_test.go
@@ -10,7 +10,7 @@
 
 func TestDispatcher(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// The same schedules each run.
+	// A fixed seed: the same schedules in each run.
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if flag.Lookup(name).Value.String() == flag.Lookup(name).DefValue {
 			if err := flag.Set(name, value); err != nil {
--- a/dispatcher/due.go
+++ b/dispatcher/due.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	// TickInterval is the longest time between two ticks while requests wait.
+	// TickInterval is the maximum time between two ticks while requests wait.
 	TickInterval = 20 * time.Millisecond
-	// reclaimEvery is the same while none waits, but places are in use: there is
-	// only their leases to look after, of seconds, and a request that comes in
-	// between looks after them itself.
-	reclaimEvery = 250 * time.Millisecond
+	// reclaimInterval is the same while no request waits but places are in use.
+	// Only the leases need checking then; they last for seconds, and a request
+	// that arrives between two ticks has them checked as well.
+	reclaimInterval = 250 * time.Millisecond
 )
 
-// Next is when the next Tick is due; ok is false while none is: nothing waits
-// and no place is in use. A message may bring it forward.
+// Next returns when the next Tick is due. ok is false if none is: no request
+// waits and no place is in use. Handling a message may bring the time forward.
 func (d *Dispatcher) Next() (at time.Time, ok bool) {
 	switch {
 	case len(d.waiting) > 0:
-		return d.updated.Add(TickInterval), true
+		return d.averagedAt.Add(TickInterval), true
 	case len(d.grants) > 0:
-		return d.updated.Add(reclaimEvery), true
+		return d.averagedAt.Add(reclaimInterval), true
 	default:
 		return time.Time{}, false
 	}
 }
 
-// catchUp brings what follows time up to now before a message is handled.
-// Failure: the dispatcher was left alone while nothing was due; a message would
-// be judged by means, weights and leases from before the pause, and the means
-// would then take the message's own place for what was in use all the time.
+// catchUp applies the time that has passed since the last tick before a message
+// is handled. No ticks occur while none is due; without catchUp the message
+// would be judged by means, weights and leases from before the pause, and the
+// means would then count the message's own place as in use during all of it.
 func (d *Dispatcher) catchUp(now time.Time) {
-	if now.Sub(d.updated) >= TickInterval {
-		d.average(now)
-		d.weigh()
-		d.rest(now)
+	if now.Sub(d.averagedAt) >= TickInterval {
+		d.updateMeans(now)
+		d.updateWeights()
+		d.updateTopClear(now)
 		d.reclaim(now)
 	}
 }
 
-// rest notes that no request of the top tier waits that may still be in time.
-func (d *Dispatcher) rest(now time.Time) {
+// updateTopClear notes the time if no request of the top tier waits that can
+// still meet its target.
+func (d *Dispatcher) updateTopClear(now time.Time) {
 	if inTime, _ := d.topWaiting(); inTime == 0 {
-		d.calm = now
+		d.topClearAt = now
 	}
 }
--- a/dispatcher/due_test.go
+++ b/dispatcher/due_test.go
@@ -13,8 +13,9 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// told is what a decision said, without times, which may differ by a rounding.
-func told(out []dispatcher.Output) []string {
+// decisions returns the decisions among outputs, without times, which may
+// differ by a rounding.
+func decisions(out []dispatcher.Output) []string {
 	var all []string
 	for _, o := range out {
 		switch m := o.Message.(type) {
@@ -29,7 +30,7 @@
 	return all
 }
 
-// waits is the waits that decisions told the entries to expect.
+// waits returns the expected waits that outputs report to the entries.
 func waits(out []dispatcher.Output) []time.Duration {
 	var all []time.Duration
 	for _, o := range out {
@@ -43,43 +44,43 @@
 	return all
 }
 
-// twins is a dispatcher that is ticked all the time and one that is ticked when
-// it says so. Both get the same messages.
-type twins struct {
-	t           *rapid.T
-	now         time.Time
-	eager, lazy *dispatcher.Dispatcher
-	asked       int
-	held        []messenger.Grant
+// dispatcherPair is a dispatcher that is ticked in every interval and one that
+// is ticked only when Next says. Both get the same messages.
+type dispatcherPair struct {
+	t               *rapid.T
+	now             time.Time
+	always, whenDue *dispatcher.Dispatcher
+	asked           int
+	held            []messenger.Grant
 }
 
-func (w *twins) step() {
+func (w *dispatcherPair) step() {
 	w.now = w.now.Add(dispatcher.TickInterval)
 	var out []dispatcher.Output
-	if at, ok := w.lazy.Next(); ok && !w.now.Before(at) {
-		out = w.lazy.Tick(w.now)
+	if at, ok := w.whenDue.Next(); ok && !w.now.Before(at) {
+		out = w.whenDue.Tick(w.now)
 	}
-	w.compare(w.eager.Tick(w.now), out)
+	w.compare(w.always.Tick(w.now), out)
 }
 
-func (w *twins) handle(m messenger.Message) {
-	w.compare(w.eager.Handle(w.now, "a", m), w.lazy.Handle(w.now, "a", m))
+func (w *dispatcherPair) handle(m messenger.Message) {
+	w.compare(w.always.Handle(w.now, "a", m), w.whenDue.Handle(w.now, "a", m))
 }
 
-func (w *twins) compare(eager, lazy []dispatcher.Output) {
-	if a, b := told(eager), told(lazy); !slices.Equal(a, b) {
+func (w *dispatcherPair) compare(always, whenDue []dispatcher.Output) {
+	if a, b := decisions(always), decisions(whenDue); !slices.Equal(a, b) {
 		w.t.Fatalf("at %v: always ticked %v, ticked when due %v", w.now.Sub(ready), a, b)
 	}
-	a, b := waits(eager), waits(lazy)
+	a, b := waits(always), waits(whenDue)
 	for i := range a {
 		if diff := (a[i] - b[i]).Abs(); diff > time.Millisecond {
-			w.t.Fatalf("at %v: expects a wait of %v where always ticked, of %v when due", w.now.Sub(ready), a[i], b[i])
+			w.t.Fatalf("at %v: expected wait %v if always ticked, %v if ticked when due", w.now.Sub(ready), a[i], b[i])
 		}
 	}
-	w.held = append(w.held, only[messenger.Grant](eager)...)
+	w.held = append(w.held, only[messenger.Grant](always)...)
 }
 
-func (w *twins) ask() {
+func (w *dispatcherPair) ask() {
 	w.asked++
 	class := rapid.SampledFrom([]string{"check", "summary", "letter"}).Draw(w.t, "class")
 	a := ask(fmt.Sprint("r", w.asked), class)
@@ -87,8 +88,9 @@
 	w.handle(a)
 }
 
-// end gives the oldest place back, or loses its Done: then only a lease ends it.
-func (w *twins) end() {
+// end gives the oldest place back or loses its Done, in which case only the
+// lease ends it.
+func (w *dispatcherPair) end() {
 	if len(w.held) == 0 {
 		return
 	}
@@ -99,13 +101,13 @@
 	}
 }
 
-// A host that ticks its dispatchers only when they say so uses a fraction of the
-// processor time. Were a time left out of Next, a caller would see a refusal or a
-// grant late, or after a pause be judged by figures from before it.
-var _ = Describe("a dispatcher that is ticked when due", func() {
-	It("decides what one that is always ticked does, at the same time", func() {
+// Hosts tick a dispatcher only when Next says, which takes a fraction of the
+// processor time. If Next left out an event, refusals and grants would be late,
+// or be based on means from before a pause.
+var _ = Describe("Dispatcher ticked when due", func() {
+	It("makes the same decisions at the same times as one that is always ticked", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			w := &twins{t: t, now: ready, eager: started(2, 2), lazy: started(2, 2)}
+			w := &dispatcherPair{t: t, now: ready, always: started(2, 2), whenDue: started(2, 2)}
 			for range rapid.IntRange(30, 150).Draw(t, "events") {
 				pause := rapid.SampledFrom([]int{0, 0, 0, 0, 1, 1, 3, 20, 60, 1500}).Draw(t, "steps")
 				for range pause {
@@ -120,9 +122,9 @@
 		})
 	})
 
-	// A caller waits for a place that nobody holds: its entry's Done was lost, the
-	// lease ran out between two ticks, and the next tick is a while off.
-	It("takes back a lapsed place for a request that comes before the next tick", func() {
+	// A Done is lost and the lease expires between two ticks: a request that
+	// arrives then must get the place without waiting for the next tick.
+	It("reclaims an expired place for a request that arrives before the next tick", func() {
 		d := started(1, 1)
 		first := ask("r1", "letter")
 		Expect(only[messenger.Grant](d.Handle(ready, "a", first))).To(HaveLen(1))
@@ -130,7 +132,7 @@
 		Expect(only[messenger.Grant](d.Handle(ready.Add(25*time.Second), "a", ask("r2", "letter")))).To(HaveLen(1))
 	})
 
-	DescribeTable("says when it is due",
+	DescribeTable("reports when the next tick is due",
 		func(asks int, wanted time.Duration, due bool) {
 			d := started(1, 1)
 			for i := range asks {
@@ -142,8 +144,8 @@
 				Expect(at).To(Equal(ready.Add(wanted)))
 			}
 		},
-		Entry("never while it is idle", 0, time.Duration(0), false),
-		Entry("for the leases while a place is in use", 1, 250*time.Millisecond, true),
-		Entry("at the next tick while a request waits", 2, dispatcher.TickInterval, true),
+		Entry("never while idle", 0, time.Duration(0), false),
+		Entry("after the reclaim interval while a place is in use", 1, 250*time.Millisecond, true),
+		Entry("after the tick interval while a request waits", 2, dispatcher.TickInterval, true),
 	)
 })
--- a/dispatcher/estimator.go
+++ b/dispatcher/estimator.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	mostSketches  = 8192 // organisations times classes; beyond, the class decides
-	fewSamples    = 8
-	sketchBuckets = 28  // half powers of two: 1 to 16,000 tokens
-	sketchMost    = 512 // samples before the older ones are halved
-	paceWeight    = 0.05
-	estimateAt    = 0.75 // quantile: long tails pull a mean far above what is usual
-	longestAt     = 0.9  // quantile that still has to fit before the deadline
+	maxHistograms       = 8192 // organisations times classes; beyond, the estimates of the class are used
+	minSamples          = 8    // fewer give no estimate
+	histogramBuckets    = 28   // half powers of two: 1 to 16,000 tokens
+	histogramMaxSamples = 512  // at this number all counts are halved, so that recent samples weigh more
+	paceWeight          = 0.05 // of a new sample in a moving mean
+	estimateQuantile    = 0.75 // a mean would be far above the usual length, as lengths have a long tail
+	longestQuantile     = 0.9  // of the lengths that must still fit before the deadline
 )
 
-// sketch is a histogram of output lengths in half powers of two.
-type sketch struct {
-	counts [sketchBuckets]uint16
+// histogram counts output lengths in half powers of two.
+type histogram struct {
+	counts [histogramBuckets]uint16
 	total  int
 }
 
-func (s *sketch) add(tokens int) {
+func (s *histogram) add(tokens int) {
 	i := int(2 * math.Log2(float64(max(tokens, 1))))
-	s.counts[min(i, sketchBuckets-1)]++
+	s.counts[min(i, histogramBuckets-1)]++
 	s.total++
-	if s.total < sketchMost {
+	if s.total < histogramMaxSamples {
 		return
 	}
 	s.total = 0
@@ -37,12 +37,13 @@
 	}
 }
 
-// quantile is the length in tokens under which a part q lies, of those that are
-// longer than over.
-func (s *sketch) quantile(q float64, over int) float64 {
+// quantile returns the length in tokens below which a fraction q lies of the
+// samples that are longer than longerThan. Without such samples it returns the
+// next bucket's length.
+func (s *histogram) quantile(q float64, longerThan int) float64 {
 	from := 0
-	if over > 0 {
-		from = min(int(2*math.Log2(float64(over))), sketchBuckets-1)
+	if longerThan > 0 {
+		from = min(int(2*math.Log2(float64(longerThan))), histogramBuckets-1)
 	}
 	total := 0
 	for _, n := range s.counts[from:] {
@@ -54,42 +55,45 @@
 			return math.Exp2(float64(from+i)/2 + 0.25)
 		}
 	}
-	return float64(over) * math.Sqrt2
+	return float64(longerThan) * math.Sqrt2
 }
 
-type sketchKey struct{ class, organisation string }
+type histogramKey struct{ class, organisation string }
 
-// pace is the mean time on a place by token, and by request.
+// pace is the moving mean of the time that a request holds a place, per token
+// and per request.
 type pace struct {
-	token, request float64 // seconds
-	samples        int
+	perToken, perRequest float64 // seconds
+	samples              int
 }
 
-// estimator learns how long answers of a class and organisation are and what a
-// token takes. The zero value knows nothing and estimates nothing.
+// estimator learns how long the answers of a class and organisation are and how
+// long a token takes. The zero value is ready to use; estimates are 0 until
+// there are enough samples.
 type estimator struct {
-	sketches map[sketchKey]*sketch
-	paces    map[string]*pace
+	histograms map[histogramKey]*histogram
+	paces      map[string]*pace
 }
 
-func (e *estimator) sketch(class, organisation string) *sketch {
-	key := sketchKey{class, organisation}
-	s := e.sketches[key]
-	if s == nil && len(e.sketches) < mostSketches {
-		if e.sketches == nil {
-			e.sketches = map[sketchKey]*sketch{}
+func (e *estimator) histogramOf(class, organisation string) *histogram {
+	key := histogramKey{class, organisation}
+	s := e.histograms[key]
+	if s == nil && len(e.histograms) < maxHistograms {
+		if e.histograms == nil {
+			e.histograms = map[histogramKey]*histogram{}
 		}
-		s = &sketch{}
-		e.sketches[key] = s
+		s = &histogram{}
+		e.histograms[key] = s
 	}
 	return s
 }
 
-// learn takes the tokens that a request made on one place, in the time it held
-// it. With those of its earlier places they are its whole length.
+// learn records the tokens that a request generated on one place and the time
+// for which it held the place. The answer's whole length includes the tokens of
+// its earlier attempts.
 func (e *estimator) learn(a messenger.Ask, tokens int, held time.Duration) {
 	for _, organisation := range []string{"", a.Organisation} {
-		if s := e.sketch(a.Class, organisation); s != nil {
+		if s := e.histogramOf(a.Class, organisation); s != nil {
 			s.add(a.Made + tokens)
 		}
 	}
@@ -103,43 +107,44 @@
 	}
 	p.samples++
 	weight := max(paceWeight, 1/float64(p.samples))
-	p.token += weight * (held.Seconds()/float64(max(tokens, 1)) - p.token)
-	p.request += weight * (held.Seconds() - p.request)
+	p.perToken += weight * (held.Seconds()/float64(max(tokens, 1)) - p.perToken)
+	p.perRequest += weight * (held.Seconds() - p.perRequest)
 }
 
-// estimate is the tokens still to come of a request that has made some already,
-// and the seconds they take; both are 0 while too little was seen.
+// estimate returns how many tokens a request still has to generate after made
+// tokens on its present place, and the seconds that they take. Both are 0 while
+// there are too few samples.
 func (e *estimator) estimate(a messenger.Ask, made int, policy Policy) (tokens, seconds float64) {
-	return e.at(estimateAt, a, made, policy)
+	return e.atQuantile(estimateQuantile, a, made, policy)
 }
 
-// longest is the seconds that a request may well take.
+// longest returns the seconds that a request takes at longestQuantile.
 func (e *estimator) longest(a messenger.Ask, policy Policy) float64 {
-	_, seconds := e.at(longestAt, a, 0, policy)
+	_, seconds := e.atQuantile(longestQuantile, a, 0, policy)
 	return seconds
 }
 
-func (e *estimator) at(q float64, a messenger.Ask, made int, policy Policy) (tokens, seconds float64) {
+func (e *estimator) atQuantile(q float64, a messenger.Ask, made int, policy Policy) (tokens, seconds float64) {
 	p := e.paces[a.Class]
-	if p == nil || p.samples < fewSamples {
+	if p == nil || p.samples < minSamples {
 		return 0, 0
 	}
 	if policy.NoEstimate {
-		return p.request / p.token, p.request
+		return p.perRequest / p.perToken, p.perRequest
 	}
 	made += a.Made
 	if policy.Exact {
 		tokens = float64(max(a.Output-made, 1))
-		return tokens, tokens * p.token
+		return tokens, tokens * p.perToken
 	}
-	s := e.sketches[sketchKey{a.Class, a.Organisation}]
-	if s == nil || s.total < fewSamples {
-		s = e.sketches[sketchKey{a.Class, ""}]
+	s := e.histograms[histogramKey{a.Class, a.Organisation}]
+	if s == nil || s.total < minSamples {
+		s = e.histograms[histogramKey{a.Class, ""}]
 	}
 	tokens = s.quantile(q, made)
 	if a.Output > 0 {
 		tokens = min(tokens, float64(a.Output+a.Made))
 	}
 	tokens = max(tokens-float64(made), 1)
-	return tokens, tokens * p.token
+	return tokens, tokens * p.perToken
 }
--- a/dispatcher/fakes_test.go
+++ b/dispatcher/fakes_test.go
@@ -11,7 +11,7 @@
 
 var (
 	epochStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	ready      = epochStart.Add(time.Second) // its gathering is over
+	ready      = epochStart.Add(time.Second) // the claim window is over
 )
 
 func classes() map[string]loader.Class {
@@ -31,7 +31,7 @@
 	return c
 }
 
-// started is a dispatcher whose gathering is over at ready.
+// started returns a dispatcher whose claim window is over at ready.
 func started(workers, slots int) *dispatcher.Dispatcher {
 	d := dispatcher.New(cellOf(workers, slots), 1, classes(), dispatcher.Options{Seed: 7})
 	d.Tick(epochStart)
@@ -44,7 +44,7 @@
 	return messenger.Ask{Request: request, Cell: "crew/0", Class: class, Organisation: "o", Deadline: deadline, Attempt: 1}
 }
 
-// only is the outputs of one message type.
+// only returns the messages of one type among outputs.
 func only[M messenger.Message](out []dispatcher.Output) []M {
 	var found []M
 	for _, o := range out {
--- a/dispatcher/fault_test.go
+++ b/dispatcher/fault_test.go
@@ -11,11 +11,11 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-var _ = Describe("Faults at the entries", func() {
-	// A host dies with a call on a worker. Its connection to the worker breaks, so
-	// the worker is free; nobody will ever send the Done. Without the guard the
-	// place is lost until the dispatcher itself ends.
-	It("takes a dead host's places back after a grace, and its queue at once",
+var _ = Describe("Dispatcher with failing entries", func() {
+	// A host fails with a call on a worker. Its connection to the worker
+	// breaks, so the worker is free, but nobody sends the Done: without the
+	// grace period the place would stay in use as long as the dispatcher runs.
+	It("reclaims a failed host's places after a grace period, and drops its waiting requests immediately",
 		Label(prover.Cell(prover.Granted, prover.Kill), prover.Cell(prover.Queued, prover.Kill)), func() {
 			d := started(1, 1)
 			Expect(only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))).To(HaveLen(1))
@@ -29,9 +29,10 @@
 			Expect(granted[0].Request).To(Equal("three"))
 		})
 
-	// The roster loses a host that only was frozen or cut off. It comes back with
-	// its call still running and claims it: the place must not be given twice.
-	It("keeps a place that its host claims again within the grace",
+	// The roster loses a host that was only frozen or cut off. The host returns
+	// with its call still running and claims it: the place must not be granted
+	// twice.
+	It("keeps a place that its host claims again within the grace period",
 		Label(prover.Cell(prover.Granted, prover.Freeze), prover.Cell(prover.Granted, prover.CutBoth)), func() {
 			d := started(1, 1)
 			g := only[messenger.Grant](d.Handle(ready, "a", ask("one", "summary")))[0]
@@ -44,9 +45,9 @@
 			Expect(d.State().Granted).To(HaveKey("one"))
 		})
 
-	// A Done is lost with the connection that carried it; its host lives on. The
-	// entry cut the call at its deadline, so after that the place is free.
-	It("takes a place back when its deadline is long over and no Done came",
+	// A Done is lost with its connection; its host lives on. The entry cut the
+	// call off at its deadline, so the place is free after that.
+	It("reclaims a place whose deadline has passed without a Done",
 		Label(prover.Cell(prover.Granted, prover.Silence), prover.Cell(prover.Sent, prover.Silence)), func() {
 			d := started(1, 1)
 			d.Handle(ready, "a", ask("one", "check"))
@@ -57,10 +58,10 @@
 			Expect(d.State().Classes[0].Counts).To(Equal(dispatcher.Counts{Granted: 1, Reclaimed: 1}))
 		})
 
-	// A frame is sent twice, or again on a new connection after a later one. The
-	// caller has gone: were its Ask to count after the Cancel, a place would go to
-	// nobody.
-	DescribeTable("leaves no ghost when messages are doubled or overtake each other",
+	// A frame is sent twice, or again on a new connection after a later one.
+	// The caller has gone: an Ask that counted after its Cancel would get a
+	// place for nobody.
+	DescribeTable("leaves no request behind when messages are duplicated or reordered",
 		func(order ...messenger.Message) {
 			d := started(1, 1)
 			for _, m := range order {
@@ -79,9 +80,9 @@
 			ask("one", "check"), messenger.Done{Request: "one", Attempt: 1}, ask("one", "check")),
 	)
 
-	// The Grant is lost on its way. The entry asks again, with a newer attempt; a
-	// second place for it would stay in use for ever.
-	It("repeats a grant that was lost, on the same place",
+	// The Grant is lost on its way and the entry asks again with a newer
+	// attempt. A second place for the request would stay in use for ever.
+	It("repeats a lost grant on the same place",
 		Label(prover.Cell(prover.Granted, prover.CutOne)), func() {
 			d := started(2, 1)
 			first := only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))[0]
@@ -91,16 +92,16 @@
 			Expect(second.Worker).To(Equal(first.Worker))
 			Expect(second.Attempt).To(Equal(uint64(2)))
 			Expect(d.State().Granted).To(HaveLen(1))
-			d.Handle(ready, "a", done(first)) // gave the first back as stale
+			d.Handle(ready, "a", done(first)) // gives the first grant back as outdated
 			Expect(d.State().Granted).To(HaveLen(1))
 		})
 })
 
-var _ = Describe("A new dispatcher", func() {
-	// A dispatcher's host dies with its workers full. The next one knows nothing
-	// of the grants in use: were it to grant at once, every worker would get
-	// twice what it can take.
-	It("grants nothing until the claims are in, and then only what is free",
+var _ = Describe("New dispatcher of a cell", func() {
+	// A dispatcher's host fails while its workers are full. The next dispatcher
+	// doesn't know the grants in use: granting immediately, it would give every
+	// worker twice what it can take.
+	It("grants nothing until the claims have arrived, and then only free places",
 		Label(prover.Cell(prover.Taken, prover.Kill), prover.Pair(prover.Taken, prover.Kill, prover.Queued, prover.Kill)), func() {
 			d := dispatcher.New(cellOf(1, 2), 1, classes(), dispatcher.Options{})
 			Expect(d.Handle(epochStart, "a", ask("one", "check"))).To(BeEmpty())
@@ -111,10 +112,10 @@
 			Expect(only[messenger.Grant](out)).To(HaveLen(1))
 		})
 
-	// The old dispatcher was frozen, its successor has granted, and it comes
-	// back. Entries refuse the older epoch; so the successor's must be the newer
-	// one even where its clock is behind.
-	It("raises its epoch over any that an entry has seen, and the order of its grants with it",
+	// The previous dispatcher was frozen, its successor has granted places, and
+	// the previous one returns. Entries refuse the older epoch, so the
+	// successor's must be higher even if its clock is behind.
+	It("raises its epoch, and with it the order of its grants, above any that an entry has seen",
 		Label(prover.Cell(prover.Taken, prover.Freeze)), func() {
 			d := started(1, 4)
 			before := only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))[0]
--- a/dispatcher/heap.go
+++ b/dispatcher/heap.go
@@ -1,6 +1,6 @@
 package dispatcher
 
-// heap is a binary heap whose items know their index, so that any of them can
+// heap is a binary heap whose items store their index, so that any of them can
 // be removed or moved in logarithmic time.
 type heap[T any] struct {
 	items []T
@@ -28,7 +28,7 @@
 	}
 }
 
-// fix restores the order after the item at i changed.
+// fix restores the order after the item at i has changed.
 func (h *heap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
--- a/dispatcher/order.go
+++ b/dispatcher/order.go
@@ -9,9 +9,11 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// unknownTier is the tier of a class that this host's configuration lacks.
+// unknownTier is the tier of a class that is missing from this host's
+// configuration: behind all others.
 const unknownTier = 1 << 20
 
+// class returns the class of a name and adds it if it is not configured.
 func (d *Dispatcher) class(name string) *class {
 	k := d.classes[name]
 	if k == nil {
@@ -23,32 +25,33 @@
 }
 
 func (d *Dispatcher) sortClasses() {
-	d.order, d.top = d.order[:0], unknownTier
+	d.classesByTier, d.topTier = d.classesByTier[:0], unknownTier
 	for _, k := range d.classes {
-		d.order = append(d.order, k)
-		d.top = min(d.top, k.config.Tier)
+		d.classesByTier = append(d.classesByTier, k)
+		d.topTier = min(d.topTier, k.config.Tier)
 	}
-	slices.SortFunc(d.order, func(a, b *class) int {
+	slices.SortFunc(d.classesByTier, func(a, b *class) int {
 		return cmp.Or(cmp.Compare(a.config.Tier, b.config.Tier), cmp.Compare(a.name, b.name))
 	})
 }
 
-// fill grants what has room, then preempts for the top tier what still waits.
-func (d *Dispatcher) fill(now time.Time) {
-	if len(d.waiting) == 0 || d.gathering(now) {
+// schedule grants free places, then preempts for requests of the top tier that
+// still wait.
+func (d *Dispatcher) schedule(now time.Time) {
+	if len(d.waiting) == 0 || d.awaitingClaims(now) {
 		return
 	}
-	var blocked []*class // its first request excludes every worker with room
-	for d.room(now) {
-		k := d.next(now, blocked)
+	var blocked []*class // classes whose first request excludes every worker with room
+	for d.hasRoom(now) {
+		k := d.nextClass(now, blocked)
 		if k == nil {
 			break
 		}
 		w := k.first()
-		p := d.pick(now, w.ask)
+		p := d.pickWorker(now, w.ask)
 		if p == nil && d.excludesAll(w.ask) {
-			w.ask.Exclude = nil // better a worker that failed it once than none
-			p = d.pick(now, w.ask)
+			w.ask.Exclude = nil // a worker that failed the request before is better than none
+			p = d.pickWorker(now, w.ask)
 		}
 		if p == nil {
 			blocked = append(blocked, k)
@@ -60,47 +63,49 @@
 }
 
 func (d *Dispatcher) excludesAll(a messenger.Ask) bool {
-	return !slices.ContainsFunc(d.workers, func(p *place) bool { return !excluded(a, p.name) })
+	return !slices.ContainsFunc(d.workers, func(p *workerPlaces) bool { return !excluded(a, p.name) })
 }
 
-// next is the class whose first request gets the next place: the top tier's,
-// unless it can spare the place for a starving class; else a class under its
-// share; else the most urgent.
-func (d *Dispatcher) next(now time.Time, blocked []*class) *class {
-	var best, under *class
-	for _, k := range d.order {
+// nextClass returns the class whose first request gets the next place: the top
+// tier's, unless that can spare the place for a starving class; otherwise the
+// class furthest below its share; otherwise the most urgent.
+func (d *Dispatcher) nextClass(now time.Time, blocked []*class) *class {
+	var best, underShare *class
+	for _, k := range d.classesByTier {
 		if k.waiting == 0 || slices.Contains(blocked, k) {
 			continue
 		}
 		if best == nil || (k.config.Tier == best.config.Tier && before(k.first(), best.first())) {
 			best = k
 		}
-		if k.held < d.share(k) && (under == nil || d.poorer(k, under)) {
-			under = k
+		if k.used < d.share(k) && (underShare == nil || d.furtherBelowShare(k, underShare)) {
+			underShare = k
 		}
 	}
 	if best == nil {
 		return nil
 	}
-	if best.config.Tier > d.top {
-		return cmp.Or(under, best)
+	if best.config.Tier > d.topTier {
+		return cmp.Or(underShare, best)
 	}
-	if s := d.starving(now, blocked); s != nil && d.spares(now, best.first()) {
+	if s := d.starving(now, blocked); s != nil && d.canSpare(now, best.first()) {
 		return s
 	}
 	return best
 }
 
-// poorer says whether a has less of its share than b, or as little for longer.
-func (d *Dispatcher) poorer(a, b *class) bool {
-	if x, y := a.held*d.share(b), b.held*d.share(a); x != y {
+// furtherBelowShare reports whether a uses a smaller part of its share than b,
+// or an equal part and has waited longer for a grant.
+func (d *Dispatcher) furtherBelowShare(a, b *class) bool {
+	if x, y := a.used*d.share(b), b.used*d.share(a); x != y {
 		return x < y
 	}
-	return a.fed.Before(b.fed)
+	return a.unservedSince.Before(b.unservedSince)
 }
 
-// share is the places that a class is guaranteed against all but the top tier.
-// Holding them whenever it waits is its part of the worker time.
+// share returns the number of places that a class is guaranteed against all but
+// the top tier. A class that uses them whenever it has requests gets its
+// configured part of the worker time.
 func (d *Dispatcher) share(k *class) int {
 	if d.options.Policy.NoShare {
 		return 0
@@ -108,60 +113,62 @@
 	return max(1, int(k.config.Share*float64(d.slots)))
 }
 
-// starving is the class under the top tier that waits longest with no place in
-// use, once that is longer than its patience. While any class under the top
-// tier has a place none is starving: so at most one place of a cell is ever
-// taken ahead of the top tier.
+// starving returns the class below the top tier that has waited longest with no
+// place in use, if that is longer than starvationTime. While any class below
+// the top tier has a place, none is starving: at most one place of a cell is
+// ever granted ahead of the top tier.
 func (d *Dispatcher) starving(now time.Time, blocked []*class) *class {
-	if d.options.Policy.NoShare || d.heldUnder(d.top) > 0 {
+	if d.options.Policy.NoShare || d.usedBelow(d.topTier) > 0 {
 		return nil
 	}
 	var longest *class
-	for _, k := range d.order {
-		if k.config.Tier == d.top || k.waiting == 0 || now.Sub(k.fed) < patience || slices.Contains(blocked, k) {
+	for _, k := range d.classesByTier {
+		if k.config.Tier == d.topTier || k.waiting == 0 || now.Sub(k.unservedSince) < starvationTime || slices.Contains(blocked, k) {
 			continue
 		}
-		if longest == nil || k.fed.Before(longest.fed) {
+		if longest == nil || k.unservedSince.Before(longest.unservedSince) {
 			longest = k
 		}
 	}
 	return longest
 }
 
-// heldUnder is the places in use by tiers under this one.
-func (d *Dispatcher) heldUnder(tier int) int {
+// usedBelow returns the number of places in use by tiers below the given one.
+func (d *Dispatcher) usedBelow(tier int) int {
 	n := 0
-	for _, k := range d.order {
+	for _, k := range d.classesByTier {
 		if k.config.Tier > tier {
-			n += k.held
+			n += k.used
 		}
 	}
 	return n
 }
 
-// spares says whether the next place can go to another than the top tier's
-// first request: that request must still start in time, and none of the tier may
-// be late that could have the place. Late ones go behind those in time, so once
-// these have kept every place busy for as long as a class must starve, no late
-// one gets a place in any case.
-func (d *Dispatcher) spares(now time.Time, w *waiter) bool {
-	if w.late || w.due.Sub(now) <= seconds(spareFactor*d.nextPlace()) {
+// canSpare reports whether the next place can go to another class instead of w,
+// the top tier's first request. w must still start in time, and no postponed
+// request of the tier may be waiting that could have the place. Postponed
+// requests come after those in time: once requests in time have been waiting
+// without a break for starvationTime, no postponed one would get a place in any
+// case.
+func (d *Dispatcher) canSpare(now time.Time, w *waiter) bool {
+	if w.postponed || w.targetStart.Sub(now) <= seconds(spareFactor*d.nextPlace()) {
 		return false
 	}
-	_, late := d.topWaiting()
-	return late == 0 || now.Sub(d.calm) >= patience
+	_, postponed := d.topWaiting()
+	return postponed == 0 || now.Sub(d.topClearAt) >= starvationTime
 }
 
-// topWaiting is the top tier's waiting requests, in time and late.
-func (d *Dispatcher) topWaiting() (inTime, late int) {
-	for _, k := range d.order {
-		if k.config.Tier == d.top {
-			inTime += k.waiting - k.late
-			late += k.late
+// topWaiting returns the number of waiting requests of the top tier, in time
+// and postponed.
+func (d *Dispatcher) topWaiting() (inTime, postponed int) {
+	for _, k := range d.classesByTier {
+		if k.config.Tier == d.topTier {
+			inTime += k.waiting - k.postponed
+			postponed += k.postponed
 		}
 	}
-	return inTime, late
+	return inTime, postponed
 }
 
-// nextPlace is the seconds until a place is expected to become free.
-func (d *Dispatcher) nextPlace() float64 { return d.hold / float64(max(d.used, 1)) }
+// nextPlace returns the expected seconds until a place becomes free.
+func (d *Dispatcher) nextPlace() float64 { return d.meanHold / float64(max(d.used, 1)) }
--- a/dispatcher/overload.go
+++ b/dispatcher/overload.go
@@ -8,110 +8,113 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// averageOver is the time constant of how many places tiers and lines use.
-const averageOver = 2 * time.Second
+// meanTimeConstant is the time constant of the moving means of places in use.
+const meanTimeConstant = 2 * time.Second
 
-// average follows the places that each tier and those above it use.
-func (d *Dispatcher) average(now time.Time) {
-	weight := 1 - math.Exp(-now.Sub(d.updated).Seconds()/averageOver.Seconds())
-	d.updated = now
+// updateMeans updates the mean number of places in use by each organisation
+// queue, and by each tier together with the more urgent ones.
+func (d *Dispatcher) updateMeans(now time.Time) {
+	weight := 1 - math.Exp(-now.Sub(d.averagedAt).Seconds()/meanTimeConstant.Seconds())
+	d.averagedAt = now
 	sum := 0
-	for i, k := range d.order {
-		k.average(weight)
-		sum += k.held
-		if i+1 < len(d.order) && d.order[i+1].config.Tier == k.config.Tier {
+	for i, k := range d.classesByTier {
+		k.updateMeans(weight)
+		sum += k.used
+		if i+1 < len(d.classesByTier) && d.classesByTier[i+1].config.Tier == k.config.Tier {
 			continue
 		}
-		d.above[k.config.Tier] += weight * (float64(sum) - d.above[k.config.Tier])
+		d.meanUsedUpTo[k.config.Tier] += weight * (float64(sum) - d.meanUsedUpTo[k.config.Tier])
 	}
 }
 
-// expected is how long a request of a class that comes now is expected to wait;
-// behind its own organisation's line l, or behind the whole class where l is nil.
-func (d *Dispatcher) expected(k *class, l *line) time.Duration {
+// expectedWait returns how long a request of class k that arrives now is
+// expected to wait: behind its organisation's queue l, or behind the whole
+// class if l is nil.
+func (d *Dispatcher) expectedWait(k *class, q *orgQueue) time.Duration {
 	if d.used < d.slots && k.waiting == 0 {
 		return 0
 	}
 	ahead, above := 0.0, 0.0
-	for _, o := range d.order {
+	for _, o := range d.classesByTier {
 		if o != k && o.config.Tier <= k.config.Tier {
 			ahead += o.backlog
 		}
 		if o.config.Tier < k.config.Tier {
-			above = d.above[o.config.Tier]
+			above = d.meanUsedUpTo[o.config.Tier]
 		}
 	}
 	places := d.capacity - above
-	if k.config.Tier > d.top {
+	if k.config.Tier > d.topTier {
 		places = max(places, float64(d.share(k)))
 	} else {
-		places -= d.reserve()
+		places -= d.starvingReserve()
 	}
 	places = max(places, 1)
-	return seconds(k.wait(l, places) + ahead/places + d.nextPlace())
+	return seconds(k.expectedWait(q, places) + ahead/places + d.nextPlace())
 }
 
-// reserve is the part of a place that starving classes may take ahead of the top
-// tier. The top tier is admitted as if they always did: whether it is refused
-// does not depend on what the others ask for.
-func (d *Dispatcher) reserve() float64 {
+// starvingReserve returns the fraction of a place that starving classes may
+// take ahead of the top tier. The top tier is admitted as if they always took
+// it, so that its refusals don't depend on the load of the other tiers.
+func (d *Dispatcher) starvingReserve() float64 {
 	if d.options.Policy.NoShare {
 		return 0
 	}
 	longest := 0.0
-	for _, k := range d.order {
-		if p := d.estimates.paces[k.name]; p != nil && k.config.Tier > d.top {
-			longest = max(longest, p.request)
+	for _, k := range d.classesByTier {
+		if p := d.estimator.paces[k.name]; p != nil && k.config.Tier > d.topTier {
+			longest = max(longest, p.perRequest)
 		}
 	}
-	return longest / (longest + patience.Seconds())
+	return longest / (longest + starvationTime.Seconds())
 }
 
-// full says whether a request would wait too long to be of use, and how long it
-// would. A class with an empty queue always takes one: it must progress.
-func (d *Dispatcher) full(now time.Time, w *waiter) (time.Duration, bool) {
-	if d.options.Policy.NoRefusal || w.class.waiting == 0 || d.gathering(now) {
+// overloaded reports whether a request would wait too long to be of use, and
+// how long it would wait. A class with an empty queue always accepts a request,
+// so that every class makes progress.
+func (d *Dispatcher) overloaded(now time.Time, w *waiter) (time.Duration, bool) {
+	if d.options.Policy.NoRefusal || w.class.waiting == 0 || d.awaitingClaims(now) {
 		return 0, false
 	}
-	wait, slack := d.expected(w.class, w.class.lineOf(w.ask.Organisation)), w.due.Sub(now)
-	margin := lowerMargin
-	if w.class.config.Tier == d.top {
-		margin = admitMargin
+	wait, slack := d.expectedWait(w.class, w.class.queueOf(w.ask.Organisation)), w.targetStart.Sub(now)
+	margin := lowerTierMargin
+	if w.class.config.Tier == d.topTier {
+		margin = topTierMargin
 	}
 	return wait, wait.Seconds() > margin*slack.Seconds()
 }
 
-// expire answers the requests that would miss their deadline if they started
-// now.
+// expire postpones requests that missed their targets and refuses those that
+// would miss their deadline if they started now.
 func (d *Dispatcher) expire(now time.Time) {
-	for len(d.soon.items) > 0 && !now.Before(d.soon.first().due) {
-		w := d.soon.first()
-		d.soon.remove(w.inSoon)
-		// Only the top tier's: late ones at its head would hold a starving
-		// class's place back for ever. Below it, keeping the turn is as good for
-		// goodput and halves the worst waits.
-		if !d.options.Policy.NoPostpone && w.class.config.Tier == d.top {
+	for len(d.byTargetStart.items) > 0 && !now.Before(d.byTargetStart.first().targetStart) {
+		w := d.byTargetStart.first()
+		d.byTargetStart.remove(w.targetIndex)
+		// Only in the top tier: there, late requests at the head would keep a
+		// starving class from its place for ever. In lower tiers, requests that
+		// keep their turn give the same goodput and half the worst-case wait.
+		if !d.options.Policy.NoPostpone && w.class.config.Tier == d.topTier {
 			w.class.postpone(w)
 		}
 	}
-	for len(d.late.items) > 0 && !now.Before(d.late.first().end) {
-		w := d.late.first()
+	for len(d.byLatestStart.items) > 0 && !now.Before(d.byLatestStart.first().latestStart) {
+		w := d.byLatestStart.first()
 		d.remove(w)
-		d.refuse(w, ReasonDeadline, d.expected(w.class, nil))
+		d.refuse(w, ReasonDeadline, d.expectedWait(w.class, nil))
 	}
 }
 
-// preempt asks for places of lower tiers back where requests of the top tier
-// would be late without. One that waits only for a place that comes in time
-// anyway preempts nothing: that would be work thrown away.
+// preempt asks for places of lower tiers back if requests of the top tier would
+// otherwise be late. A request for which a place becomes free in time anyway
+// preempts nothing: the work on the preempted place would be wasted.
 func (d *Dispatcher) preempt(now time.Time) {
 	if d.options.Policy.NoPreempt || len(d.waiting) == 0 {
 		return
 	}
 	var first *waiter
 	waiting, asked := 0, 0
-	for _, k := range d.order {
-		if k.config.Tier != d.top || k.waiting == 0 {
+	for _, k := range d.classesByTier {
+		if k.config.Tier != d.topTier || k.waiting == 0 {
 			continue
 		}
 		waiting += k.waiting
@@ -119,11 +122,11 @@
 			first = w
 		}
 	}
-	if first == nil || d.heldUnder(d.top) == 0 {
+	if first == nil || d.usedBelow(d.topTier) == 0 {
 		return
 	}
-	slack := first.due.Sub(now).Seconds()
-	if slack > 2*float64(waiting)*d.cautious(now) {
+	slack := first.targetStart.Sub(now).Seconds()
+	if slack > 2*float64(waiting)*d.cautiousNextPlace(now) {
 		return
 	}
 	for _, g := range d.grants {
@@ -142,41 +145,42 @@
 	}
 }
 
-// cautious is nextPlace, but for a dispatcher that has seen no place come free
-// yet: there the longest use so far counts. Without, one that starts among long
-// answers hopes for a place at any moment, and its top tier misses its deadlines.
-func (d *Dispatcher) cautious(now time.Time) float64 {
-	if d.hold > 0 {
+// cautiousNextPlace is nextPlace, but takes the longest use so far as the mean
+// while no place has become free yet. A dispatcher that starts among long
+// answers would otherwise expect a free place at any moment, and its top tier
+// would miss its deadlines.
+func (d *Dispatcher) cautiousNextPlace(now time.Time) float64 {
+	if d.meanHold > 0 {
 		return d.nextPlace()
 	}
 	longest := 0.0
 	for _, g := range d.grants {
-		longest = max(longest, now.Sub(g.at).Seconds())
+		longest = max(longest, now.Sub(g.grantedAt).Seconds())
 	}
 	return longest / float64(max(d.used, 1))
 }
 
-// victim is the grant that costs least to preempt for a request: of the lowest
-// tier, and then the one with the most left to do, by what it was estimated and
-// has made. Its place must be one that the request can take: else a lower tier
-// gets it back, and is preempted again, without end.
+// victim returns the grant that is cheapest to preempt for w: one of the lowest
+// tier, and of those the one with the most work left, by its estimate and its
+// generated tokens. w must be able to use its place: otherwise a lower tier
+// would get the place again and be preempted again, without end.
 func (d *Dispatcher) victim(now time.Time, w *waiter) *grant {
 	var best *grant
-	var most float64
+	var mostLeft float64
 	for _, g := range d.grants {
-		if g.preempted || g.ask.NonPreemptible || g.class.config.Tier == d.top || !d.takes(now, w, g.worker) {
+		if g.preempted || g.ask.NonPreemptible || g.class.config.Tier == d.topTier || !d.canTake(now, w, g.worker) {
 			continue
 		}
-		left, _ := d.estimates.estimate(g.ask, g.made, d.options.Policy)
-		if best == nil || cmp.Or(cmp.Compare(g.class.config.Tier, best.class.config.Tier), cmp.Compare(left, most), cmp.Compare(g.order, best.order)) > 0 {
-			best, most = g, left
+		left, _ := d.estimator.estimate(g.ask, g.made, d.options.Policy)
+		if best == nil || cmp.Or(cmp.Compare(g.class.config.Tier, best.class.config.Tier), cmp.Compare(left, mostLeft), cmp.Compare(g.order, best.order)) > 0 {
+			best, mostLeft = g, left
 		}
 	}
 	return best
 }
 
-// takes says whether a request could have a worker's next place.
-func (d *Dispatcher) takes(now time.Time, w *waiter, worker string) bool {
+// canTake reports whether a request could use a worker's next free place.
+func (d *Dispatcher) canTake(now time.Time, w *waiter, worker string) bool {
 	p := d.places[worker]
 	if p.used > p.slots || d.leaving[worker] || excluded(w.ask, worker) {
 		return false
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -9,44 +9,44 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// ordersBits is the low part of a grant's order, which counts the grants of an
-// epoch; the epoch is the high part, so that it grows from one dispatcher of a
-// cell to the next too.
-const ordersBits = 22
-
-// place is one worker's room.
-type place struct {
-	name  string
-	slots int // 0 where the worker is no longer of the cell
-	used  int
-	worth float64 // beside its peers, by the breaker; kept by weigh
+// grantedBits is the number of low bits of a grant's order that count the
+// grants of an epoch. The epoch is in the high bits, so that orders also
+// increase from one dispatcher of a cell to the next.
+const grantedBits = 22
+
+// workerPlaces is the places of one worker.
+type workerPlaces struct {
+	name   string
+	slots  int // 0 if the worker has left the cell
+	used   int
+	weight float64 // relative to the other workers, by the breaker
 }
 
-// grant is a place in use.
+// grant is a place in use by a request.
 type grant struct {
-	from      string
-	ask       messenger.Ask
-	worker    string
-	class     *class
-	at        time.Time
-	ends      time.Time // its entry has cut it by then
-	order     uint64
-	tokens    float64 // estimated
-	made      int
-	claimed   bool // of an earlier dispatcher
-	preempted bool
-	judged    bool // the breaker has its result
-	renewed   time.Time
-	orphaned  time.Time // its host was lost
+	from              string
+	ask               messenger.Ask
+	worker            string
+	class             *class
+	grantedAt         time.Time
+	expiresAt         time.Time // its entry has cut the call off by then
+	order             uint64
+	tokens            float64 // of output, estimated
+	made              int     // tokens that the entry reported
+	claimed           bool    // given by a previous dispatcher
+	preempted         bool    // its entry was asked to give it back
+	reportedToBreaker bool
+	renewedAt         time.Time // last sign of its entry
+	orphanedAt        time.Time // when its host failed; zero if it did not
 }
 
-// seen notes that a grant's entry still holds it.
-func (g *grant) seen(now time.Time) { g.renewed, g.orphaned = now, time.Time{} }
+// renew notes that the entry still holds the grant.
+func (g *grant) renew(now time.Time) { g.renewedAt, g.orphanedAt = now, time.Time{} }
 
 func (g *grant) message(d *Dispatcher) messenger.Grant {
 	return messenger.Grant{
 		Request: g.ask.Request, Attempt: g.ask.Attempt, Cell: d.cell.Name, Worker: g.worker,
-		Epoch: d.epoch, Order: g.order, Wait: d.expected(g.class, nil), Class: g.class.name,
+		Epoch: d.epoch, Order: g.order, Wait: d.expectedWait(g.class, nil), Class: g.class.name,
 	}
 }
 
@@ -55,72 +55,76 @@
 		p.slots = 0
 	}
 	d.workers, d.slots = d.workers[:0], 0
-	d.names = nil
+	d.workerNames = nil
 	for _, w := range workers {
-		p := d.place(w.Name)
-		p.slots, p.worth = w.Slots, 1
+		p := d.placesOf(w.Name)
+		p.slots, p.weight = w.Slots, 1
 		d.workers = append(d.workers, p)
 		d.slots += w.Slots
 	}
-	slices.SortFunc(d.workers, func(a, b *place) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(d.workers, func(a, b *workerPlaces) int { return strings.Compare(a.name, b.name) })
 	for _, p := range d.workers {
-		d.names = append(d.names, p.name)
+		d.workerNames = append(d.workerNames, p.name)
 	}
 	for name, p := range d.places {
 		if p.slots == 0 && p.used == 0 {
 			delete(d.places, name)
 		}
 	}
-	d.breaker.Keep(d.names)
+	d.breaker.Keep(d.workerNames)
 	d.capacity = float64(d.slots)
 }
 
-// weigh asks the breaker what each worker is worth, and sums the places that
-// requests can expect: those of a worker that is out would make every expected
-// wait too short.
-func (d *Dispatcher) weigh() {
+// updateWeights reads the workers' weights from the breaker and sums the
+// capacity that requests can expect. Counting the places of workers that are
+// out of use would make every expected wait too short.
+func (d *Dispatcher) updateWeights() {
 	if d.options.Policy.NoBreaker {
 		return
 	}
 	d.capacity = 0
-	weights := d.breaker.Weights(d.names)
+	weights := d.breaker.Weights(d.workerNames)
 	for i, p := range d.workers {
-		p.worth = weights[i]
+		p.weight = weights[i]
 		if !d.leaving[p.name] {
-			d.capacity += p.worth * float64(p.slots)
+			d.capacity += p.weight * float64(p.slots)
 		}
 	}
 	d.capacity = max(d.capacity, 1)
 }
 
-// SetLeaving names the workers that get nothing new; what they have stays.
+// SetLeaving sets the workers that get no new requests; their calls in flight
+// continue.
 func (d *Dispatcher) SetLeaving(workers map[string]bool) { d.leaving = workers }
 
-func (d *Dispatcher) place(worker string) *place {
+// placesOf returns the places of a worker and adds the worker if it is unknown.
+func (d *Dispatcher) placesOf(worker string) *workerPlaces {
 	p := d.places[worker]
 	if p == nil {
-		p = &place{name: worker}
+		p = &workerPlaces{name: worker}
 		d.places[worker] = p
 	}
 	return p
 }
 
-// usable says whether a worker may get a request.
-func (d *Dispatcher) usable(now time.Time, p *place) bool {
+// usable reports whether a worker may get a request.
+func (d *Dispatcher) usable(now time.Time, p *workerPlaces) bool {
 	if p.used >= p.slots || d.leaving[p.name] {
 		return false
 	}
 	return d.options.Policy.NoBreaker || d.breaker.Allowed(now, p.name)
 }
 
-// pick is the worker with the most room for a request, by this dispatcher's own
-// count: a report lags behind what was granted since. A slow one comes last: it
-// is still worth its part when all others are full.
-func (d *Dispatcher) pick(now time.Time, a messenger.Ask) *place {
-	var best *place
+// pickWorker returns the worker for a request: of those with the highest weight
+// the one with the largest part of its places free. Only this dispatcher's own
+// count is used, as load reports lag behind its latest grants. Slow workers,
+// whose weight is lower, come last but still get requests when all others are
+// full.
+func (d *Dispatcher) pickWorker(now time.Time, a messenger.Ask) *workerPlaces {
+	var best *workerPlaces
 	for _, p := range d.workers {
-		better := best == nil || p.worth > best.worth ||
-			(p.worth == best.worth && (p.slots-p.used)*best.slots > (best.slots-best.used)*p.slots)
+		better := best == nil || p.weight > best.weight ||
+			(p.weight == best.weight && (p.slots-p.used)*best.slots > (best.slots-best.used)*p.slots)
 		if better && !excluded(a, p.name) && d.usable(now, p) {
 			best = p
 		}
@@ -130,57 +134,57 @@
 
 func excluded(a messenger.Ask, worker string) bool { return slices.Contains(a.Exclude, worker) }
 
-// room says whether any worker may get a request.
-func (d *Dispatcher) room(now time.Time) bool {
+// hasRoom reports whether any worker may get a request.
+func (d *Dispatcher) hasRoom(now time.Time) bool {
 	if d.used >= d.slots {
 		return false
 	}
-	return slices.ContainsFunc(d.workers, func(p *place) bool { return d.usable(now, p) })
+	return slices.ContainsFunc(d.workers, func(p *workerPlaces) bool { return d.usable(now, p) })
 }
 
-// grant gives a waiting request a place.
-func (d *Dispatcher) grant(now time.Time, w *waiter, p *place) {
+// grant gives a waiting request a place on a worker.
+func (d *Dispatcher) grant(now time.Time, w *waiter, p *workerPlaces) {
 	d.remove(w)
-	d.orders++
-	if d.orders >= 1<<ordersBits {
-		d.epoch, d.orders = d.epoch+1, 1
+	d.granted++
+	if d.granted >= 1<<grantedBits {
+		d.epoch, d.granted = d.epoch+1, 1
 	}
 	g := &grant{
-		from: w.from, ask: w.ask, worker: p.name, class: w.class, at: now, renewed: now, tokens: w.tokens,
-		ends:  w.asked.Add(w.ask.Deadline + orphanGrace),
-		order: d.epoch<<ordersBits | d.orders,
+		from: w.from, ask: w.ask, worker: p.name, class: w.class, grantedAt: now, renewedAt: now, tokens: w.tokens,
+		expiresAt: w.askedAt.Add(w.ask.Deadline + orphanGrace),
+		order:     d.epoch<<grantedBits | d.granted,
 	}
 	d.occupy(g, p)
-	w.class.fed = now
+	w.class.unservedSince = now
 	w.class.counts.Granted++
 	w.class.charge(w.ask.Organisation, w.tokens)
 	d.breaker.Granted(p.name)
 	d.send(w.from, g.message(d))
 }
 
-// occupy counts a grant's place as used.
-func (d *Dispatcher) occupy(g *grant, p *place) {
+// occupy stores a grant and counts its place as used.
+func (d *Dispatcher) occupy(g *grant, p *workerPlaces) {
 	d.grants[g.ask.Request] = g
 	p.used++
 	d.used++
-	g.class.held++
-	g.class.lineOf(g.ask.Organisation).held++
+	g.class.used++
+	g.class.queueOf(g.ask.Organisation).used++
 }
 
-// free gives a grant's place back.
+// free removes a grant and counts its place as free.
 func (d *Dispatcher) free(now time.Time, g *grant) {
 	delete(d.grants, g.ask.Request)
-	p := d.place(g.worker)
+	p := d.placesOf(g.worker)
 	p.used--
 	d.used--
-	g.class.held--
-	l := g.class.lineOf(g.ask.Organisation)
-	l.held--
-	g.class.forget(l)
+	g.class.used--
+	q := g.class.queueOf(g.ask.Organisation)
+	q.used--
+	g.class.prune(q)
 	if p.slots == 0 && p.used == 0 {
 		delete(d.places, p.name)
 	}
-	if !g.judged {
+	if !g.reportedToBreaker {
 		d.breaker.Ended(now, g.worker, 0, false)
 	}
 }
--- a/dispatcher/policy.go
+++ b/dispatcher/policy.go
@@ -2,49 +2,53 @@
 
 import "time"
 
-// Policy switches mechanisms off, to measure what each is worth. The zero value
-// has all of them on; hosts use that.
+// Policy switches mechanisms off, to measure the effect of each. The zero
+// value, which hosts use, has all of them on.
 type Policy struct {
 	NoShare    bool // no guaranteed places: strict tiers
 	NoPreempt  bool
-	NoEstimate bool // every request is taken to cost its class's mean
-	NoFairness bool // earliest deadline first, whoever asks
-	NoRefusal  bool // refuse only what is late already
-	NoPostpone bool // what missed its targets keeps its turn in the top tier too
+	NoEstimate bool // every request is assumed to cost its class's mean
+	NoFairness bool // earliest deadline first, whatever the organisation
+	NoRefusal  bool // refuse only requests that are already late
+	NoPostpone bool // requests that missed their targets keep their turn in the top tier too
 	NoBreaker  bool
-	Exact      bool // Ask.Output is the output's true length
+	Exact      bool // Ask.Output is the exact length of the output
 }
 
-// Options of a Dispatcher.
+// Options are the settings of a Dispatcher.
 type Options struct {
 	Policy Policy
 	Seed   uint64 // of the jitter in Retry-After
 }
 
 const (
-	// gatherTime is how long a new dispatcher waits for claims before it grants:
-	// a grant before them could fill a worker that is full already.
-	gatherTime = 300 * time.Millisecond
-	// orphanGrace is how long a dead host's grants stay in use: a host that is
-	// only unreachable claims them again within it.
+	// claimWindow is how long a new dispatcher waits for claims before it
+	// grants: an earlier grant could overfill a worker that is already full.
+	claimWindow = 300 * time.Millisecond
+	// orphanGrace is how long a failed host's grants stay in use: a host that
+	// was only unreachable claims them again within this time.
 	orphanGrace = 2 * time.Second
-	// grantLease is how long a grant stays in use without a sign of its entry. A
-	// Done that was lost would else keep the place until the deadline.
+	// grantLease is how long a grant stays in use without a sign of its entry.
+	// Without it, a lost Done would keep the place in use until the deadline.
 	grantLease = 25 * time.Second
-	// patience is how long a class waits with no place in use before it is
-	// starving and may get one ahead of the top tier.
-	patience = 5 * time.Second
-	// spareFactor is how many times the wait for the next place the top tier's
-	// first request must be able to spare before a starving class goes ahead.
+	// starvationTime is how long a class waits with no place in use before it
+	// is starving and may get one ahead of the top tier.
+	starvationTime = 5 * time.Second
+	// spareFactor is how many times the expected wait for the next place the
+	// slack of the top tier's first request must exceed before a starving class
+	// goes ahead of it.
 	spareFactor = 2
-	// admitMargin is the part of its slack that the top tier may expect to wait
-	// when it is admitted. The rest absorbs a starving class's place.
-	admitMargin = 0.4
-	// lowerMargin is the same for the other tiers, whose answers' lengths vary more.
-	lowerMargin = 0.6
-	// fairQuantum is the served tokens within which organisations count as even,
-	// so that the earlier deadline decides.
+	// topTierMargin is the fraction of its slack for which a request of the top
+	// tier may expect to wait and still be admitted. The rest absorbs a place
+	// granted to a starving class.
+	topTierMargin = 0.4
+	// lowerTierMargin is the same for the other tiers, whose answers vary more
+	// in length.
+	lowerTierMargin = 0.6
+	// fairQuantum is the step, in served tokens, within which organisations
+	// count as equally served and the earlier deadline decides.
 	fairQuantum = 256
-	// shortestAfter is the least time a refused caller is told to stay away.
-	shortestAfter = 100 * time.Millisecond
+	// minRetryAfter is the minimum time after which a refused caller is told to
+	// return.
+	minRetryAfter = 100 * time.Millisecond
 )
--- a/dispatcher/policy_test.go
+++ b/dispatcher/policy_test.go
@@ -12,12 +12,13 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-// busy is a dispatcher that has seen calls of each class take hold, checks a
-// second at most, and is idle.
-func busy(slots int, hold time.Duration) (*dispatcher.Dispatcher, time.Time) {
+// withHistory returns an idle dispatcher that has seen calls of each class hold
+// a place for the given time (checks for a second at most), and the time after
+// these.
+func withHistory(slots int, hold time.Duration) (*dispatcher.Dispatcher, time.Time) {
 	d, now := started(1, slots), ready
 	for i := range 60 {
-		for _, class := range names {
+		for _, class := range classNames {
 			g := only[messenger.Grant](d.Handle(now, "a", ask(fmt.Sprintf("past-%s-%d", class, i), class)))[0]
 			if class == "check" {
 				now = now.Add(min(hold, time.Second))
@@ -31,7 +32,7 @@
 	return d, now
 }
 
-// fillWith asks for a class until every place is in use.
+// fillWith asks for places of a class until all n are in use.
 func fillWith(d *dispatcher.Dispatcher, now time.Time, class string, n int, change func(*messenger.Ask)) {
 	for i := range n {
 		a := ask(fmt.Sprintf("%s-%d", class, i), class)
@@ -43,12 +44,12 @@
 	Expect(d.State().Granted).To(HaveLen(n))
 }
 
-var _ = Describe("The top tier", func() {
-	// A ferry is in, all places are on trip plans that take half a minute, and a
-	// family waits for its quote. The place that is asked back is the one with
-	// most left to do.
-	It("gets a lower tier's place back when it would be late without", func() {
-		d, now := busy(2, 20*time.Second)
+var _ = Describe("Top tier", func() {
+	// All places are used by requests of a lower tier that take long when a
+	// check arrives. The place to be asked back is the one with the most work
+	// left.
+	It("gets a lower tier's place back if it would otherwise be late", func() {
+		d, now := withHistory(2, 20*time.Second)
 		fillWith(d, now, "letter", 2, nil)
 		d.Handle(now.Add(time.Second), "a", messenger.Progress{Request: "letter-0", Attempt: 1, Tokens: 15})
 		asked := only[messenger.Preempt](d.Handle(now.Add(time.Second), "a", ask("one", "check")))
@@ -59,33 +60,35 @@
 		Expect(only[messenger.Grant](out)).To(ConsistOf(HaveField("Request", "one")))
 	})
 
-	// The dispatcher has just begun, and has seen no place come free, when trip plans
-	// take them all. Checks waited for the plans' end, past their deadlines.
-	It("gets a place back in time from a dispatcher that has seen none come free", func() {
+	// A dispatcher that has seen no place become free yet gives all places to
+	// long letters. If it expected a free place at any moment, checks would
+	// wait for the letters' end, past their deadlines.
+	It("gets a place back in time from a dispatcher that has seen none become free", func() {
 		d, now := started(1, 2), ready
 		fillWith(d, now, "letter", 2, nil)
 		Expect(d.Handle(now, "a", ask("one", "check"))).To(BeEmpty())
 		Expect(only[messenger.Preempt](d.Tick(now.Add(600 * time.Millisecond)))).To(HaveLen(1))
 	})
 
-	It("waits where a place comes in time anyway", func() {
-		d, now := busy(2, 20*time.Millisecond)
+	It("preempts nothing if a place becomes free in time anyway", func() {
+		d, now := withHistory(2, 20*time.Millisecond)
 		fillWith(d, now, "letter", 2, nil)
 		Expect(d.Handle(now, "a", ask("one", "check"))).To(BeEmpty())
 	})
 
-	// A findings letter that is stopped half way and begun again would be sent
-	// twice: calls that must not be repeated keep their places.
-	It("never takes the place of a call that must not be repeated", func() {
-		d, now := busy(2, 20*time.Second)
+	// A call that must not be repeated can't be stopped and started again: it
+	// might take effect twice.
+	It("never preempts a call that must not be repeated", func() {
+		d, now := withHistory(2, 20*time.Second)
 		fillWith(d, now, "letter", 2, func(a *messenger.Ask) { a.NonPreemptible = true })
 		Expect(d.Handle(now, "a", ask("one", "check"))).To(BeEmpty())
 	})
 
-	// A check failed on a worker and may not go there again. Taking a letter's
-	// place on that worker helps nobody: the letter would get it back at once.
-	It("takes no place that it can't use", func() {
-		d, now := busy(2, 20*time.Second)
+	// A check failed on one worker and may not go there again; the other worker
+	// is leaving. Preempting a letter would help nobody: the letter would get
+	// its place back immediately.
+	It("preempts no place that it can't use", func() {
+		d, now := withHistory(2, 20*time.Second)
 		d.Configure(cellOf(2, 2), classes())
 		d.SetLeaving(map[string]bool{"w1": true})
 		fillWith(d, now, "letter", 2, nil)
@@ -94,8 +97,8 @@
 		Expect(d.Handle(now, "a", a)).To(BeEmpty())
 	})
 
-	It("is granted before all others, whichever came first", func() {
-		d, now := busy(1, 20*time.Millisecond)
+	It("is granted before all other tiers, whichever request arrived first", func() {
+		d, now := withHistory(1, 20*time.Millisecond)
 		fillWith(d, now, "summary", 1, nil)
 		for i, class := range []string{"letter", "summary", "check"} {
 			d.Handle(now, "a", ask(fmt.Sprintf("late-%d", i), class))
@@ -105,19 +108,20 @@
 	})
 })
 
-var _ = Describe("A starving class", func() {
-	// Checks hold all places and more of them wait; a summary and a letter have
-	// waited for longer than their patience.
-	wave := func(due time.Duration) []messenger.Grant {
-		d, now := busy(3, 60*time.Millisecond)
+var _ = Describe("Starving class", func() {
+	// burst returns the grants of three places that become free one after the
+	// other. Checks hold all places and more of them wait, each to start within
+	// due; a summary and a letter have waited for longer than starvationTime.
+	burst := func(due time.Duration) []messenger.Grant {
+		d, now := withHistory(3, 60*time.Millisecond)
 		fillWith(d, now, "check", 3, func(a *messenger.Ask) { a.Deadline = time.Minute })
-		for _, class := range names[1:] {
+		for _, class := range classNames[1:] {
 			d.Handle(now, "a", ask("one-"+class, class))
 		}
-		now = now.Add(patience + time.Second)
+		now = now.Add(starvationTime + time.Second)
 		for i := range 3 {
 			a := ask(fmt.Sprintf("next-%d", i), "check")
-			a.Waited = time.Second - due // of the second in which it should start
+			a.Waited = time.Second - due // of the second within which it should start
 			d.Handle(now, "a", a)
 		}
 		var granted []messenger.Grant
@@ -128,21 +132,22 @@
 		return granted
 	}
 
-	It("gets one place of the cell, and only one, where the checks can spare it", func() {
-		granted := wave(time.Second)
+	It("gets exactly one place of the cell if the checks can spare it", func() {
+		granted := burst(time.Second)
 		Expect(granted).To(HaveLen(3))
 		Expect(granted[0].Class).NotTo(Equal("check"))
 		Expect(granted[1:]).To(HaveEach(HaveField("Class", "check")))
 	})
 
-	It("gets none where a check would be late for it", func() {
-		granted := wave(50 * time.Millisecond)
+	It("gets no place if a check would be late because of it", func() {
+		granted := burst(50 * time.Millisecond)
 		Expect(granted[0].Class).To(Equal("check"))
 	})
 
-	// One place, and summaries without end. In tier order the letter never comes.
-	It("takes turns with the others under their shares", func() {
-		d, now := busy(1, time.Second)
+	// There is one place and no end of summaries: by tiers alone, the letters
+	// would never be granted.
+	It("takes turns with other classes that are below their shares", func() {
+		d, now := withHistory(1, time.Second)
 		fillWith(d, now, "check", 1, nil)
 		for i := range 5 {
 			d.Handle(now, "a", ask(fmt.Sprintf("s%d", i), "summary"))
@@ -161,10 +166,11 @@
 })
 
 var _ = Describe("Overload", func() {
-	// The queue is longer than a passenger will wait. Told at once and truly when
-	// to come back, callers neither hang nor all return together.
-	It("refuses at once what would wait too long, the lower tier first, with a spread time to come back", func() {
-		d, now := busy(1, time.Second)
+	// The queue is longer than callers will wait. Callers that are refused
+	// immediately, with a true and varied time to return, neither hang nor all
+	// return together.
+	It("immediately refuses requests that would wait too long, lower tiers first, with a varied retry time", func() {
+		d, now := withHistory(1, time.Second)
 		fillWith(d, now, "check", 1, nil)
 		refused := map[string][]time.Duration{}
 		for i := range 40 {
@@ -183,10 +189,10 @@
 		Expect(len(d.State().Waiting)).To(BeNumerically("<", 10))
 	})
 
-	// A request waits until it can't be answered in time any more. Begun then, it
-	// would only be cut off and its tokens thrown away.
+	// A request waits until it can no longer be answered in time. Started then,
+	// it would only be cut off and its tokens wasted.
 	It("refuses a waiting request before its deadline, not after", Label(prover.Cell(prover.Queued, prover.Slow)), func() {
-		d, now := busy(1, time.Second)
+		d, now := withHistory(1, time.Second)
 		fillWith(d, now, "check", 1, nil)
 		d.Handle(now, "a", ask("one", "check"))
 		var refused []messenger.Refuse
@@ -198,10 +204,10 @@
 		Expect(at.Sub(now)).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 
-	// One organisation sends everything it has. The others' requests would stand
-	// behind hundreds of its own.
-	It("serves organisations alike, however much one of them asks for", func() {
-		d, now := busy(1, 20*time.Millisecond)
+	// One organisation sends many times what the others send, whose requests
+	// would wait behind hundreds of its own.
+	It("serves organisations equally, however many requests one of them sends", func() {
+		d, now := withHistory(1, 20*time.Millisecond)
 		fillWith(d, now, "letter", 1, nil)
 		for i := range 60 {
 			for j, organisation := range []string{"large", "large", "large", "small"} {
--- a/dispatcher/progress_test.go
+++ b/dispatcher/progress_test.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	patience = 5 * time.Second // as in package dispatcher
-	step     = 10 * time.Millisecond
+	starvationTime = 5 * time.Second // as in package dispatcher
+	step           = 10 * time.Millisecond
 )
 
-// wave is an endless burst of checks, with summaries and letters that always
-// wait, on workers whose calls take a fixed time.
-type wave struct {
-	*floor
-	check, lower time.Duration // on a worker
-	every        time.Duration // between checks
-	tokens       int           // of an answer; where it has none nothing is learnt, nothing refused early
-	ends         map[string]time.Time
-	began        map[string]time.Time // last, by class
-	gap          map[string]time.Duration
+// burst simulates an endless burst of checks, with summaries and letters that
+// always wait, on workers whose calls take a fixed time.
+type burst struct {
+	*simulation
+	check, lower time.Duration            // how long a call of a check, and of the other classes, takes on a worker
+	every        time.Duration            // interval between checks
+	tokens       int                      // of an answer; with 0 nothing is learnt, and nothing is refused early
+	ends         map[string]time.Time     // by request
+	began        map[string]time.Time     // last start, by class
+	maxGap       map[string]time.Duration // longest time without a start, by class
 }
 
-func (w *wave) run(length time.Duration) {
+func (w *burst) run(length time.Duration) {
 	next := w.now
 	for end := w.now.Add(length); w.now.Before(end); {
 		for ; !next.After(w.now); next = next.Add(w.every) {
 			w.ask("check")
 		}
-		for _, name := range names[1:] {
+		for _, name := range classNames[1:] {
 			if w.waiting(name) == 0 {
 				w.ask(name)
 			}
@@ -43,8 +43,8 @@
 	}
 }
 
-// waiting is the class's requests that have no answer yet.
-func (w *wave) waiting(class string) int {
+// waiting returns the number of the class's requests without an answer.
+func (w *burst) waiting(class string) int {
 	n := 0
 	for _, a := range w.open {
 		if a.Class == class {
@@ -55,7 +55,7 @@
 }
 
 // finish ends the calls whose time is over.
-func (w *wave) finish() {
+func (w *burst) finish() {
 	for _, id := range sorted(w.granted) {
 		if !w.now.Before(w.ends[id]) {
 			g := w.granted[id]
@@ -65,8 +65,9 @@
 	}
 }
 
-// follow notes which calls began and how long each class had to wait for one.
-func (w *wave) follow() {
+// follow records which calls have started and how long each class waited for a
+// start.
+func (w *burst) follow() {
 	for _, id := range sorted(w.granted) {
 		if _, known := w.ends[id]; known {
 			continue
@@ -77,38 +78,38 @@
 			took = w.check
 		}
 		w.ends[id] = w.now.Add(took)
-		w.gap[class] = max(w.gap[class], w.now.Sub(w.began[class]))
+		w.maxGap[class] = max(w.maxGap[class], w.now.Sub(w.began[class]))
 		w.began[class] = w.now
 	}
-	for _, class := range names[1:] {
-		w.gap[class] = max(w.gap[class], w.now.Sub(w.began[class]))
+	for _, class := range classNames[1:] {
+		w.maxGap[class] = max(w.maxGap[class], w.now.Sub(w.began[class]))
 	}
 }
 
 var _ = Describe("Progress", func() {
-	// A rostering wave of validity checks has no end, and is more than the workers
-	// can do. Somebody waits for a findings letter. Strict tiers would never
-	// begin it; a fixed share would make checks late.
-	It("begins a request of each class within the stated bound, whatever the burst", func() {
+	// An endless burst of checks exceeds the capacity of the workers while
+	// lower tiers wait. Strict tiers would never start these; a fixed share
+	// would make checks late.
+	It("starts a request of each class within the bound, whatever the burst", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			workers, slots := rapid.IntRange(1, 4).Draw(t, "workers"), rapid.IntRange(2, 4).Draw(t, "slots")
-			w := &wave{
-				floor: newFloor(t, workers, slots), ends: map[string]time.Time{}, began: map[string]time.Time{}, gap: map[string]time.Duration{},
+			w := &burst{
+				simulation: newSimulation(t, workers, slots), ends: map[string]time.Time{}, began: map[string]time.Time{}, maxGap: map[string]time.Duration{},
 				check:  time.Duration(rapid.IntRange(2, 20).Draw(t, "check")) * step,
 				tokens: rapid.SampledFrom([]int{0, 20}).Draw(t, "tokens"),
 				lower:  time.Duration(rapid.IntRange(10, 300).Draw(t, "lower")) * step,
 			}
 			load := rapid.Float64Range(0.5, 4).Draw(t, "load")
 			w.every = time.Duration(float64(w.check) / float64(workers*slots) / load)
-			for _, class := range names {
+			for _, class := range classNames {
 				w.began[class] = w.now
 			}
 			w.run(30 * time.Second)
 			lowerClasses := time.Duration(2)
-			bound := 2*patience + lowerClasses*(w.lower+time.Second)
-			for _, class := range names[1:] {
-				if w.gap[class] > bound {
-					t.Fatalf("%s waited %s for its next begin, over %s; %d workers of %d slots, load %.2f, checks %s, others %s; %+v", class, w.gap[class], bound,
+			bound := 2*starvationTime + lowerClasses*(w.lower+time.Second)
+			for _, class := range classNames[1:] {
+				if w.maxGap[class] > bound {
+					t.Fatalf("%s waited %s for its next start, over %s; %d workers of %d slots, load %.2f, checks %s, others %s; %+v", class, w.maxGap[class], bound,
 						workers, slots, load, w.check, w.lower, w.d.State().Classes)
 				}
 			}
--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -13,36 +13,37 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-// floor is one cell with fake entries whose messages can be lost, doubled and
-// late, and a record of what each request was told.
-type floor struct {
-	t       *rapid.T
-	now     time.Time
-	d       *dispatcher.Dispatcher
-	slots   int
-	attempt uint64
-	open    map[string]messenger.Ask   // asked, and no answer yet
-	granted map[string]messenger.Grant // in use
-	answers map[string]int
-	cut     map[string]time.Time // when its entry gives a request up
-	sent    []messenger.Message  // for doubling
+// simulation is one cell with fake entries whose messages can be lost,
+// duplicated and delayed, and a record of the answers to each request.
+type simulation struct {
+	t         *rapid.T
+	now       time.Time
+	d         *dispatcher.Dispatcher
+	slots     int
+	attempt   uint64
+	open      map[string]messenger.Ask   // asked and not yet answered
+	granted   map[string]messenger.Grant // in use
+	answers   map[string]int             // by request
+	deadlines map[string]time.Time       // when the entry gives up a request
+	sent      []messenger.Message        // to be sent again
 }
 
-func newFloor(t *rapid.T, workers, slots int) *floor {
-	return &floor{
+func newSimulation(t *rapid.T, workers, slots int) *simulation {
+	return &simulation{
 		t: t, now: ready, d: started(workers, slots), slots: slots,
 		open: map[string]messenger.Ask{}, granted: map[string]messenger.Grant{}, answers: map[string]int{},
-		cut: map[string]time.Time{},
+		deadlines: map[string]time.Time{},
 	}
 }
 
-func (f *floor) handle(m messenger.Message) {
+func (f *simulation) handle(m messenger.Message) {
 	f.sent = append(f.sent, m)
-	f.take(f.d.Handle(f.now, "a", m))
+	f.checkOutputs(f.d.Handle(f.now, "a", m))
 }
 
-// take checks each answer as it comes: none to a request that has no ask open.
-func (f *floor) take(out []dispatcher.Output) {
+// checkOutputs checks each answer as it arrives: none may be for a request
+// without an open ask.
+func (f *simulation) checkOutputs(out []dispatcher.Output) {
 	for _, o := range out {
 		switch m := o.Message.(type) {
 		case messenger.Grant:
@@ -55,13 +56,13 @@
 		case messenger.Refuse:
 			f.answer(m.Request)
 			if m.After <= 0 {
-				f.t.Fatalf("refused without a time to come back")
+				f.t.Fatalf("refused without a retry time")
 			}
 		}
 	}
 }
 
-func (f *floor) answer(request string) {
+func (f *simulation) answer(request string) {
 	if _, ok := f.open[request]; !ok {
 		f.t.Fatalf("answer to %s, which has no ask open", request)
 	}
@@ -69,7 +70,7 @@
 	f.answers[request]++
 }
 
-func (f *floor) checkSlots(worker string) {
+func (f *simulation) checkSlots(worker string) {
 	used := 0
 	for _, g := range f.granted {
 		if g.Worker == worker {
@@ -81,16 +82,16 @@
 	}
 }
 
-func (f *floor) ask(class string) {
+func (f *simulation) ask(class string) {
 	f.attempt++
 	a := ask(fmt.Sprintf("r%d", f.attempt), class)
 	a.Attempt, a.Organisation = f.attempt, fmt.Sprintf("o%d", f.attempt%3)
 	f.open[a.Request] = a
-	f.cut[a.Request] = f.now.Add(a.Deadline)
+	f.deadlines[a.Request] = f.now.Add(a.Deadline)
 	f.handle(a)
 }
 
-func (f *floor) done() {
+func (f *simulation) done() {
 	for _, id := range sorted(f.granted) {
 		g := f.granted[id]
 		delete(f.granted, id)
@@ -99,7 +100,7 @@
 	}
 }
 
-func (f *floor) cancel() {
+func (f *simulation) cancel() {
 	for _, id := range sorted(f.open) {
 		a := f.open[id]
 		delete(f.open, id)
@@ -109,15 +110,15 @@
 	}
 }
 
-func (f *floor) pass(d time.Duration) {
+func (f *simulation) pass(d time.Duration) {
 	f.now = f.now.Add(d)
 	for _, id := range sorted(f.granted) {
-		if g := f.granted[id]; f.now.After(f.cut[id]) {
+		if g := f.granted[id]; f.now.After(f.deadlines[id]) {
 			delete(f.granted, id)
 			f.handle(done(g))
 		}
 	}
-	f.take(f.d.Tick(f.now))
+	f.checkOutputs(f.d.Tick(f.now))
 }
 
 func sorted[V any](m map[string]V) []string {
@@ -129,17 +130,17 @@
 	return ids
 }
 
-var names = []string{"check", "summary", "letter"}
+var classNames = []string{"check", "summary", "letter"}
 
-var _ = Describe("Any schedule", func() {
-	// Frames come twice and late. A place that is granted twice, or to nobody,
-	// fills the cell bit by bit until it serves nobody.
-	It("never grants more than the slots, answers each ask once, and leaves no ghost",
+var _ = Describe("Dispatcher under any schedule", func() {
+	// Frames arrive twice and late. A place that is granted twice, or to
+	// nobody, would fill the cell bit by bit until it serves nobody.
+	It("never grants more than the slots, answers each ask once, and leaves no request behind",
 		Label(prover.Cell(prover.Queued, prover.Reorder), prover.Pair(prover.Asked, prover.Reorder, prover.Granted, prover.Reorder)), func() {
 			rapid.Check(GinkgoT(), func(t *rapid.T) {
-				f := newFloor(t, rapid.IntRange(1, 3).Draw(t, "workers"), rapid.IntRange(1, 3).Draw(t, "slots"))
+				f := newSimulation(t, rapid.IntRange(1, 3).Draw(t, "workers"), rapid.IntRange(1, 3).Draw(t, "slots"))
 				t.Repeat(map[string]func(*rapid.T){
-					"ask":    func(t *rapid.T) { f.ask(rapid.SampledFrom(names).Draw(t, "class")) },
+					"ask":    func(t *rapid.T) { f.ask(rapid.SampledFrom(classNames).Draw(t, "class")) },
 					"done":   func(*rapid.T) { f.done() },
 					"cancel": func(*rapid.T) { f.cancel() },
 					"pass": func(t *rapid.T) {
@@ -147,7 +148,7 @@
 					},
 					"again": func(t *rapid.T) {
 						if len(f.sent) > 0 {
-							f.take(f.d.Handle(f.now, "a", f.sent[rapid.IntRange(0, len(f.sent)-1).Draw(t, "which")]))
+							f.checkOutputs(f.d.Handle(f.now, "a", f.sent[rapid.IntRange(0, len(f.sent)-1).Draw(t, "which")]))
 						}
 					},
 				})
@@ -161,18 +162,19 @@
 					}
 				}
 				if s := f.d.State(); len(s.Granted)+len(s.Waiting) > 0 {
-					t.Fatalf("ghosts: %v %v", s.Granted, s.Waiting)
+					t.Fatalf("left behind: granted %v, waiting %v", s.Granted, s.Waiting)
 				}
 			})
 		})
 
-	// A family waits for its fare quote while the last place goes to a trip plan.
-	It("grants a lower tier ahead of the top one only where the class is starving and the top tier can spare it", func() {
+	// A request of the top tier waits while the last place goes to a lower
+	// tier.
+	It("grants a lower tier ahead of the top tier only if the class is starving and the top tier can spare the place", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			f := newFloor(t, 2, 2)
+			f := newSimulation(t, 2, 2)
 			lower := 0
 			t.Repeat(map[string]func(*rapid.T){
-				"ask":  func(t *rapid.T) { f.ask(rapid.SampledFrom(names).Draw(t, "class")) },
+				"ask":  func(t *rapid.T) { f.ask(rapid.SampledFrom(classNames).Draw(t, "class")) },
 				"done": func(*rapid.T) { f.done() },
 				"pass": func(*rapid.T) { f.pass(100 * time.Millisecond) },
 				"": func(t *rapid.T) {
--- a/dispatcher/rebuild.go
+++ b/dispatcher/rebuild.go
@@ -6,61 +6,61 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// mostTombstones bounds what is remembered of requests that are over.
-const mostTombstones = 4096
+// maxTombstones is the number of ended requests that are remembered.
+const maxTombstones = 4096
 
-// tombstone is a request whose ask, up to an attempt, is over.
+// tombstone marks a request as ended, up to and including an attempt.
 type tombstone struct {
 	request string
 	attempt uint64
 }
 
-// tombstones remember what is over, the latest in a ring of bounded size. The
-// zero value works.
+// tombstones holds the latest ended requests in a ring of bounded size. The
+// zero value is ready to use.
 type tombstones struct {
-	ring    []tombstone
-	next    int
-	attempt map[string]uint64
+	ring     []tombstone
+	next     int
+	attempts map[string]uint64
 }
 
 func (t *tombstones) add(request string, attempt uint64) {
-	if t.attempt == nil {
-		t.attempt = map[string]uint64{}
+	if t.attempts == nil {
+		t.attempts = map[string]uint64{}
 	}
-	if known, ok := t.attempt[request]; ok && known >= attempt {
+	if known, ok := t.attempts[request]; ok && known >= attempt {
 		return
 	}
-	t.attempt[request] = attempt
+	t.attempts[request] = attempt
 	s := tombstone{request: request, attempt: attempt}
-	if len(t.ring) < mostTombstones {
+	if len(t.ring) < maxTombstones {
 		t.ring = append(t.ring, s)
 		return
 	}
-	if old := t.ring[t.next]; t.attempt[old.request] == old.attempt {
-		delete(t.attempt, old.request)
+	if old := t.ring[t.next]; t.attempts[old.request] == old.attempt {
+		delete(t.attempts, old.request)
 	}
 	t.ring[t.next] = s
-	t.next = (t.next + 1) % mostTombstones
+	t.next = (t.next + 1) % maxTombstones
 }
 
 func (t *tombstones) has(request string, attempt uint64) bool {
-	known, ok := t.attempt[request]
+	known, ok := t.attempts[request]
 	return ok && attempt <= known
 }
 
-// see raises the epoch over one that an entry has seen: its earlier dispatcher
-// may come back, and its grants must then be the older ones.
-func (d *Dispatcher) see(epoch uint64) {
+// raiseEpoch raises the epoch above one that an entry has seen: the previous
+// dispatcher may return, and its grants must then count as older.
+func (d *Dispatcher) raiseEpoch(epoch uint64) {
 	if epoch > d.epoch {
-		d.epoch, d.orders = epoch+1, 0
+		d.epoch, d.granted = epoch+1, 0
 	}
 }
 
-// claim takes over a grant that an earlier dispatcher gave. It may overfill its
-// worker: nothing new goes there until it is under its slots.
+// claim takes over a grant of a previous dispatcher. It may put a worker above
+// its slots: the worker gets nothing new until it is below them again.
 func (d *Dispatcher) claim(now time.Time, from string, c messenger.Claim) {
-	d.see(c.Ask.Epoch)
-	if d.gone.has(c.Ask.Request, c.Ask.Attempt) {
+	d.raiseEpoch(c.Ask.Epoch)
+	if d.ended.has(c.Ask.Request, c.Ask.Attempt) {
 		return
 	}
 	if w := d.waiting[c.Ask.Request]; w != nil {
@@ -72,19 +72,20 @@
 		}
 		if g.worker == c.Worker {
 			g.from, g.ask.Attempt, g.made = from, c.Ask.Attempt, c.Tokens
-			g.seen(now)
+			g.renew(now)
 			return
 		}
 		d.free(now, g)
 	}
 	d.occupy(&grant{
-		from: from, ask: c.Ask, worker: c.Worker, class: d.class(c.Ask.Class), at: now, renewed: now, made: c.Tokens,
-		ends: now.Add(c.Ask.Deadline + orphanGrace), claimed: true,
-	}, d.place(c.Worker))
+		from: from, ask: c.Ask, worker: c.Worker, class: d.class(c.Ask.Class), grantedAt: now, renewedAt: now, made: c.Tokens,
+		expiresAt: now.Add(c.Ask.Deadline + orphanGrace), claimed: true,
+	}, d.placesOf(c.Worker))
 }
 
-// HostLost notes that a host died: what waited for it is dropped, and what it held
-// is taken back after a grace. A host that was only unreachable claims it again.
+// HostLost handles the failure of a host: its waiting requests are dropped at
+// once, its grants are reclaimed after orphanGrace. A host that was only
+// unreachable claims its grants again within that time.
 func (d *Dispatcher) HostLost(now time.Time, host string) []Output {
 	d.begin(now)
 	for _, w := range d.waiting {
@@ -93,22 +94,22 @@
 		}
 	}
 	for _, g := range d.grants {
-		if g.from == host && g.orphaned.IsZero() {
-			g.orphaned = now
+		if g.from == host && g.orphanedAt.IsZero() {
+			g.orphanedAt = now
 		}
 	}
-	d.fill(now)
-	return d.out
+	d.schedule(now)
+	return d.outputs
 }
 
-// reclaim takes back the grants of dead hosts, and those that their entries have
-// not renewed or must have cut: a Done was lost, which shows by nothing else, and
-// without this the place would stay in use for ever.
+// reclaim takes back the grants of failed hosts and those that their entries
+// have not renewed or must have cut off by now. A lost Done shows in no other
+// way; its place would otherwise stay in use for ever.
 func (d *Dispatcher) reclaim(now time.Time) {
 	for _, g := range d.grants {
-		orphaned := !g.orphaned.IsZero() && now.Sub(g.orphaned) >= orphanGrace
-		lapsed := now.Sub(g.renewed) >= grantLease
-		if orphaned || lapsed || now.After(g.ends) {
+		orphaned := !g.orphanedAt.IsZero() && now.Sub(g.orphanedAt) >= orphanGrace
+		lapsed := now.Sub(g.renewedAt) >= grantLease
+		if orphaned || lapsed || now.After(g.expiresAt) {
 			g.class.counts.Reclaimed++
 			d.free(now, g)
 		}
--- a/dispatcher/state.go
+++ b/dispatcher/state.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// State is the dispatcher's whole state, for a dump.
+// State is a copy of a dispatcher's state, for dumps.
 type State struct {
 	Cell    string            `json:"cell"`
 	Epoch   uint64            `json:"epoch"`
@@ -13,17 +13,17 @@
 	Out     []string          `json:"out"` // workers that the breaker took out of use
 }
 
-// ClassState is one class's queue.
+// ClassState is the state of one class's queue.
 type ClassState struct {
 	Name    string  `json:"name"`
 	Waiting int     `json:"waiting"`
 	Held    int     `json:"held"`   // places in use
 	Share   int     `json:"share"`  // places guaranteed
-	Wait    float64 `json:"wait_s"` // expected of a request that comes now
+	Wait    float64 `json:"wait_s"` // seconds, expected of a request that arrives now
 	Counts
 }
 
-// WorkerState is one worker's places.
+// WorkerState is the use of one worker's slots.
 type WorkerState struct {
 	Name    string `json:"name"`
 	Slots   int    `json:"slots"`
@@ -41,8 +41,8 @@
 	for id, g := range d.grants {
 		s.Granted[id] = g.worker
 	}
-	for _, k := range d.order {
-		s.Classes = append(s.Classes, ClassState{Name: k.name, Waiting: k.waiting, Held: k.held, Share: d.share(k), Wait: d.expected(k, nil).Seconds(), Counts: k.counts})
+	for _, k := range d.classesByTier {
+		s.Classes = append(s.Classes, ClassState{Name: k.name, Waiting: k.waiting, Held: k.used, Share: d.share(k), Wait: d.expectedWait(k, nil).Seconds(), Counts: k.counts})
 	}
 	for _, p := range d.workers {
 		s.Workers = append(s.Workers, WorkerState{Name: p.name, Slots: p.slots, Used: p.used, Leaving: d.leaving[p.name]})
