--- a/messenger/bench_test.go
+++ b/messenger/bench_test.go
@@ -19,9 +19,9 @@
 	benchMessages = 20000
 )
 
-// thin is the frame of the first version: the sender named in each, nothing
-// acknowledged.
-type thin struct {
+// baseline is the frame of a minimal protocol to compare with: each names its
+// sender, and none is acknowledged.
+type baseline struct {
 	From        string `msgpack:"from"`
 	Incarnation uint64 `msgpack:"inc"`
 	Sequence    uint64 `msgpack:"seq"`
@@ -33,8 +33,9 @@
 
 var sample = messenger.Done{Request: "0123456789abcdef01234567", Cell: "cicada-lm/0", Worker: "lm-07", Tokens: 311, First: time.Second}
 
-// runThin sends benchMessages one way and returns messages a second and bytes a message.
-func runThin(b *testing.B) (rate, bytes float64) {
+// runBaseline sends benchMessages in one direction with the minimal protocol
+// and returns messages per second and bytes per message.
+func runBaseline(b *testing.B) (rate, bytes float64) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -54,7 +55,7 @@
 				return
 			}
 			body := make([]byte, binary.BigEndian.Uint32(head[:]))
-			var t thin
+			var t baseline
 			var m messenger.Done
 			if _, err := io.ReadFull(r, body); err != nil || msgpack.Unmarshal(body, &t) != nil || msgpack.Unmarshal(t.Body, &m) != nil {
 				return
@@ -69,7 +70,7 @@
 	started, total := time.Now(), 0
 	for i := range benchMessages {
 		body, _ := msgpack.Marshal(sample)
-		frame, _ := msgpack.Marshal(thin{From: "host-1", Incarnation: 1 << 60, Sequence: uint64(i), Generation: 12345, Kind: "done", Body: body})
+		frame, _ := msgpack.Marshal(baseline{From: "host-1", Incarnation: 1 << 60, Sequence: uint64(i), Generation: 12345, Kind: "done", Body: body})
 		buf := append(binary.BigEndian.AppendUint32(nil, uint32(len(frame))), frame...)
 		if _, err := conn.Write(buf); err != nil {
 			b.Fatal(err)
@@ -80,8 +81,9 @@
 	return benchMessages / time.Since(started).Seconds(), float64(total) / benchMessages
 }
 
-// runAcked sends the same through two messengers; bytes count both directions.
-func runAcked(b *testing.B) (rate, bytes float64) {
+// runMessenger sends the same messages through two messengers. Bytes count both
+// directions.
+func runMessenger(b *testing.B) (rate, bytes float64) {
 	got, count := make(chan struct{}), 0
 	to, cleanTo, err := messenger.Open(messenger.Config{Name: "host-2", Incarnation: 1, Address: "127.0.0.1:0"}, func(messenger.Envelope, messenger.Message) {
 		if count++; count == benchMessages {
@@ -110,27 +112,27 @@
 	return rate, float64(sent+received) / benchMessages
 }
 
-// BenchmarkMessenger compares frames with acknowledgements to the thin version,
-// in turns within one run.
+// BenchmarkMessenger compares the messenger with the minimal protocol, in
+// alternation within one run.
 func BenchmarkMessenger(b *testing.B) {
 	for b.Loop() {
-		var ratios, rates, thins []float64
-		var bytesThin, bytesAcked float64
+		var ratios, rates, baselineRates []float64
+		var baselineBytes, messengerBytes float64
 		for range benchRounds {
-			t, bt := runThin(b)
-			a, ba := runAcked(b)
-			ratios, rates, thins = append(ratios, a/t), append(rates, a), append(thins, t)
-			bytesThin, bytesAcked = bt, ba
+			t, bt := runBaseline(b)
+			a, ba := runMessenger(b)
+			ratios, rates, baselineRates = append(ratios, a/t), append(rates, a), append(baselineRates, t)
+			baselineBytes, messengerBytes = bt, ba
 		}
 		slices.Sort(ratios)
 		slices.Sort(rates)
-		slices.Sort(thins)
-		b.ReportMetric(thins[benchRounds/2], "thin-msg/s")
-		b.ReportMetric(rates[benchRounds/2], "acked-msg/s")
-		b.ReportMetric(ratios[benchRounds/2], "acked/thin")
-		b.ReportMetric(ratios[0], "acked/thin-min")
-		b.ReportMetric(ratios[benchRounds-1], "acked/thin-max")
-		b.ReportMetric(bytesThin, "thin-B/msg")
-		b.ReportMetric(bytesAcked, "acked-B/msg")
+		slices.Sort(baselineRates)
+		b.ReportMetric(baselineRates[benchRounds/2], "baseline-msg/s")
+		b.ReportMetric(rates[benchRounds/2], "messenger-msg/s")
+		b.ReportMetric(ratios[benchRounds/2], "messenger/baseline")
+		b.ReportMetric(ratios[0], "messenger/baseline-min")
+		b.ReportMetric(ratios[benchRounds-1], "messenger/baseline-max")
+		b.ReportMetric(baselineBytes, "baseline-B/msg")
+		b.ReportMetric(messengerBytes, "messenger-B/msg")
 	}
 }
--- a/messenger/config.go
+++ b/messenger/config.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// Config is what a messenger is made with. Zero fields take the defaults of
+// Config is the settings of a Messenger. Zero fields take the defaults of
 // withDefaults.
 type Config struct {
-	Name        string
-	Incarnation uint64
+	Name        string // of this host
+	Incarnation uint64 // of this process; higher than that of the previous process
 	Address     string // IP:port to listen on
-	// AckTimeout is how long frames may stay unacknowledged on a connection before
-	// it is replaced.
+	// AckTimeout is how long frames may stay unacknowledged on a connection
+	// before it is replaced.
 	AckTimeout time.Duration
-	// Hold is how long a message waits for a peer that can't be reached before it
-	// is dropped and counted.
+	// Hold is how long a message waits for an unreachable peer before it is
+	// dropped and counted.
 	Hold time.Duration
 	// IdleTimeout is how long a connection without traffic is kept.
 	IdleTimeout time.Duration
-	// AckDelay is how long an acknowledgement waits for more frames.
+	// AckDelay is how long an acknowledgement is delayed to cover more frames.
 	AckDelay time.Duration
-	// MaxQueue is the most messages that wait for or are unacknowledged by one peer.
+	// MaxQueue is the maximum number of messages to one peer that are waiting
+	// or unacknowledged.
 	MaxQueue int
-	// OnReachability is told when a peer becomes reachable or unreachable, on the
-	// goroutine that sends to the peer.
+	// OnReachability is called when a peer becomes reachable or unreachable, on
+	// the goroutine that sends to the peer.
 	OnReachability func(address string, reachable bool)
 }
 
@@ -44,12 +45,12 @@
 	return c
 }
 
-// Counts is what a messenger has done so far.
+// Counts is a messenger's counters since its start.
 type Counts struct {
-	Sent       uint64 `json:"sent"`     // bytes
-	Received   uint64 `json:"received"` // bytes
-	Resent     uint64 `json:"resent"`   // frames written again on a new connection
-	Replaced   uint64 `json:"replaced"` // connections that went silent
-	Dropped    uint64 `json:"dropped"`  // messages given up: queue full, or held too long
-	Duplicates uint64 `json:"duplicates"`
+	Sent       uint64 `json:"sent"`       // bytes
+	Received   uint64 `json:"received"`   // bytes
+	Resent     uint64 `json:"resent"`     // frames written again on a new connection
+	Replaced   uint64 `json:"replaced"`   // connections replaced after AckTimeout
+	Dropped    uint64 `json:"dropped"`    // messages given up: queue full, held too long, or peer restarted
+	Duplicates uint64 `json:"duplicates"` // frames received more than once
 }
--- a/messenger/frame.go
+++ b/messenger/frame.go
@@ -10,34 +10,35 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame is the largest frame, in bytes, that is written or read.
+// MaxFrame is the maximum size in bytes of a frame without its length.
 const MaxFrame = 1 << 20
 
 const (
-	headLength = 4 // bytes before a frame's body
-	ackLength  = 8 // bytes of an acknowledgement
+	headerLength = 4 // bytes of a frame's length
+	ackLength    = 8 // bytes of an acknowledgement
 )
 
-// ErrFrame says that a frame can't be read: the connection is of no more use.
+// ErrFrame is returned for a frame or message that can't be encoded or decoded.
+// A connection on which it occurs is closed.
 var ErrFrame = errors.New("bad frame")
 
-// hello opens a connection: who sends on it.
+// hello is the first frame of a connection. It names the sender.
 type hello struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Name        string
 	Incarnation uint64
 }
 
-// welcome answers a hello: who receives, and the last sequence it has from the
-// sender's incarnation.
+// welcome answers a hello with the receiver's incarnation and the last sequence
+// that it has received from the sender's incarnation.
 type welcome struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Incarnation uint64
 	Received    uint64
 }
 
-// parcel is one message on the wire. Its sender is known from the hello.
-type parcel struct {
+// messageFrame is one message on the wire. Its sender is known from the hello.
+type messageFrame struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Sequence   uint64
 	Generation uint64
@@ -45,7 +46,7 @@
 	Body       []byte
 }
 
-// writeFrame writes v as one frame and returns the bytes written.
+// writeFrame writes v as one frame and returns the number of bytes written.
 func writeFrame(w io.Writer, v any) (int, error) {
 	body, err := encode(v)
 	if err != nil {
@@ -54,12 +55,12 @@
 	if len(body) > MaxFrame {
 		return 0, fmt.Errorf("%w: %d bytes", ErrFrame, len(body))
 	}
-	buf := make([]byte, headLength, headLength+len(body))
+	buf := make([]byte, headerLength, headerLength+len(body))
 	binary.BigEndian.PutUint32(buf, uint32(len(body)))
 	return w.Write(append(buf, body...))
 }
 
-// encode is v in msgpack, each integer in as few bytes as it needs.
+// encode returns v in msgpack, with each integer in as few bytes as it needs.
 func encode(v any) ([]byte, error) {
 	e := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(e)
@@ -70,9 +71,9 @@
 	return b.Bytes(), err
 }
 
-// readFrame reads one frame into v and returns the bytes read.
+// readFrame reads one frame into v and returns the number of bytes read.
 func readFrame(r io.Reader, v any) (int, error) {
-	var head [headLength]byte
+	var head [headerLength]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, err
 	}
@@ -87,5 +88,5 @@
 	if err := msgpack.Unmarshal(body, v); err != nil {
 		return 0, fmt.Errorf("%w: %v", ErrFrame, err)
 	}
-	return headLength + int(n), nil
+	return headerLength + int(n), nil
 }
--- a/messenger/inbox.go
+++ b/messenger/inbox.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	ackEvery   = 64   // frames, acknowledged at once
-	maxSenders = 4096 // whose last sequence is remembered
+	maxUnacked = 64   // frames; at this number an acknowledgement is sent without delay
+	maxSenders = 4096 // inboxes that are kept
 )
 
-// inbox is the receiving side of one sender, by its name. The lock is held
-// while the handler runs, so that frames of an old and of a new connection
-// can't overtake each other.
+// inbox is the receiving side for one sender, by its name. Its lock is held
+// while the handler runs, so that frames of an old and a new connection can't
+// overtake each other.
 type inbox struct {
 	mu          sync.Mutex
 	incarnation uint64
-	last        uint64 // sequence
+	last        uint64 // sequence of the last new frame
 	conn        net.Conn
 }
 
-// accepts says whether a frame is new. Failure: a frame is resent on a new
-// connection although the old one had delivered it; its sequence is not above
-// the last one taken from that incarnation.
-func (i *inbox) accepts(sequence uint64) bool { return sequence > i.last }
+// isNew reports whether a frame has not been received before. A frame is resent
+// on a new connection even if the old one had delivered it; its sequence is
+// then not above the last one from that incarnation.
+func (i *inbox) isNew(sequence uint64) bool { return sequence > i.last }
 
 // attach makes conn the sender's only connection. It refuses an incarnation
-// older than the one known: a process that has been replaced.
+// older than the known one: that process has been replaced.
 func (i *inbox) attach(h hello, conn net.Conn) (received uint64, ok bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// inbox returns the sender's inbox. Over maxSenders, one without a connection
-// is forgotten: hosts are replaced for months under new names.
+// inbox returns the sender's inbox. Above maxSenders, one without a connection
+// is dropped first: over months, hosts are replaced under new names.
 func (m *Messenger) inbox(name string) *inbox {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -79,10 +79,10 @@
 	return i
 }
 
-// read takes one connection's frames.
-func (m *Messenger) read(conn net.Conn) {
+// readConnection receives one connection's frames until it breaks.
+func (m *Messenger) readConnection(conn net.Conn) {
 	defer m.tasks.Done()
-	defer m.drop(conn)
+	defer m.closeConnection(conn)
 	r := bufio.NewReader(conn)
 	var h hello
 	_ = conn.SetDeadline(time.Now().Add(2 * m.config.AckTimeout))
@@ -105,13 +105,14 @@
 	_ = conn.SetDeadline(time.Time{})
 	a := &acker{m: m, conn: conn}
 	defer a.stop()
-	for m.take(i, h, conn, r, a) {
+	for m.receive(i, h, conn, r, a) {
 	}
 }
 
-// take reads one frame and hands it on; false ends the connection.
-func (m *Messenger) take(i *inbox, h hello, conn net.Conn, r *bufio.Reader, a *acker) bool {
-	var p parcel
+// receive reads one frame and passes its message to the handler. It returns
+// false if the connection must end.
+func (m *Messenger) receive(i *inbox, h hello, conn net.Conn, r *bufio.Reader, a *acker) bool {
+	var p messageFrame
 	_ = conn.SetReadDeadline(time.Now().Add(2 * m.config.IdleTimeout))
 	n, err := readFrame(r, &p)
 	m.received.Add(uint64(n))
@@ -128,7 +129,7 @@
 	if i.conn != conn {
 		return false
 	}
-	if i.accepts(p.Sequence) {
+	if i.isNew(p.Sequence) {
 		i.last = p.Sequence
 		m.handler(e, msg)
 	} else {
@@ -138,8 +139,8 @@
 	return true
 }
 
-// acker acknowledges a connection's frames: cumulative, and delayed so that
-// many frames share one acknowledgement.
+// acker acknowledges a connection's frames. Acknowledgements are cumulative,
+// and delayed so that one covers many frames.
 type acker struct {
 	m    *Messenger
 	conn net.Conn
@@ -156,7 +157,7 @@
 	a.last = sequence
 	a.count++
 	switch {
-	case a.count >= ackEvery:
+	case a.count >= maxUnacked:
 		a.write()
 	case a.count == 1 && a.timer == nil:
 		a.timer = time.AfterFunc(a.m.config.AckDelay, a.flush)
--- a/messenger/member.go
+++ b/messenger/member.go
@@ -1,54 +1,57 @@
 package messenger
 
-// Heartbeat is a heartbeat: the sender, in this incarnation, was alive when it left.
+// Heartbeat reports that its sender, in this incarnation, was alive when it was
+// sent.
 type Heartbeat struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Incarnation uint64
 	Digest      uint64 // of the sender's roster
-	Reply       bool   // answers a Probe: the receiver's incarnation counts as alive here
+	Reply       bool   // it answers a Probe: the sender counts the receiver's incarnation as alive
 }
 
-// Probe asks for a Beat at once. It introduces its sender, which the receiver
-// may not know.
+// Probe asks for an immediate Heartbeat. It introduces its sender, which the
+// receiver may not know.
 type Probe struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Self     Fact
 	Digest   uint64
 }
 
-// Suspect tells the other observers of a host that the sender hears it no more.
+// Suspect reports to the other observers of a host that the sender no longer
+// receives anything from it.
 type Suspect struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Host        string
 	Incarnation uint64
 }
 
-// Refute refutes a Suspect: the sender hears the host itself.
+// Refute contradicts a Suspect: its sender still receives from the host.
 type Refute struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Host        string
 	Incarnation uint64
 }
 
-// Fact is what is known of one host. Of two facts the one with the higher
-// incarnation holds, then the one with the higher status.
+// Fact is what is known about one host. Of two facts, the one with the higher
+// incarnation is valid, or with equal incarnations the one with the higher
+// status.
 type Fact struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Name        string
 	Zone        string
 	Region      string
-	Control     string
-	Admin       string
+	Control     string // address of its messenger
+	Admin       string // address of its admin API
 	Incarnation uint64
 	Status      uint8
-	Weight      int // hundredths of a core that the host has; 0 where it does not say
+	Weight      int // hundredths of a core that the host has; 0 if unknown
 }
 
-// RosterUpdate passes facts on.
+// RosterUpdate passes facts on to another host.
 type RosterUpdate struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Facts    []Fact
-	Full     bool // all that the sender knows: answer with what it lacks
+	Full     bool // all facts that the sender has; the receiver answers with those that are missing
 }
 
 // Sync asks for all facts.
@@ -56,7 +59,8 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 }
 
-// WorkerRefused tells a dispatcher that a backend server answered a call with "not run".
+// WorkerRefused reports to a dispatcher that a backend server refused a call
+// with "not run".
 type WorkerRefused struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Address  string
@@ -70,8 +74,9 @@
 func (RosterUpdate) kind() string  { return "news2" }
 func (Sync) kind() string          { return "sync" }
 
-// decodeMember decodes the messages of this file; ok is false for others.
-func decodeMember(e Envelope) (m Message, ok bool, err error) {
+// decodeMembership decodes the messages of this file; ok is false for other
+// kinds.
+func decodeMembership(e Envelope) (m Message, ok bool, err error) {
 	switch e.Kind {
 	case "away":
 		m, err = decode[WorkerRefused](e)
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -1,15 +1,18 @@
 // Package messenger carries typed messages between hosts: msgpack bodies in
 // length-prefixed frames over TCP.
 //
-// A connection carries one sender's frames one way and their acknowledgements
-// the other. It opens with a hello (name, incarnation) and a welcome (the
-// receiver's incarnation, the last sequence it has). A frame is a 4-byte
-// big-endian length and a msgpack array: sequence, configuration generation of
-// the sender, kind, body. An acknowledgement is the last sequence, 8 bytes big-endian.
+// A connection carries one sender's frames in one direction and their
+// acknowledgements in the other. It starts with a hello (name, incarnation) and
+// a welcome (the receiver's incarnation, the last sequence it received). A
+// frame is a 4-byte big-endian length and a msgpack array: sequence, generation
+// of the sender's configuration, kind, body. An acknowledgement is the last
+// sequence received, 8 bytes big-endian.
 //
-// Bodies are arrays of the fields in their order: names would be most of a small
-// message. So a message that gets a field gets a new kind too, as a host of the
-// version before can't read the longer array; maps by the fields' names are read.
+// Bodies are arrays of the fields in their order, as field names would be most
+// of a small message. A message that gets a field therefore gets a new kind as
+// well: hosts of the previous version can't read the longer array. Maps by
+// field name are read too; ConfigRequest, ConfigReply and the Basis of a
+// PlacementReply are written as such.
 package messenger
 
 import (
@@ -19,27 +22,28 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Message is one of the message types of this package.
+// Message is one of the message types of this package. Its kind identifies the
+// type on the wire, where a final digit counts the versions of its fields.
 type Message interface{ kind() string }
 
-// Ask asks a cell's dispatcher for a worker. An Ask that is repeated with the
-// same Request changes nothing.
+// Ask requests a worker from the dispatcher of a cell. An Ask that is repeated
+// with the same Request has no further effect.
 type Ask struct {
 	_msgpack       struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Request        string        `msgpack:"request"`
 	Cell           string        `msgpack:"cell"`
 	Class          string        `msgpack:"class"`
 	Organisation   string        `msgpack:"org"`
-	Prompt         int           `msgpack:"prompt"` // tokens, estimated by the entry
-	Output         int           `msgpack:"output"` // most tokens the caller allows; 0 where none was given
-	Deadline       time.Duration `msgpack:"deadline"`
+	Prompt         int           `msgpack:"prompt"`   // tokens, estimated by the entry
+	Output         int           `msgpack:"output"`   // maximum tokens that the caller allows; 0 if not given
+	Deadline       time.Duration `msgpack:"deadline"` // time left
 	Waited         time.Duration `msgpack:"waited"`
-	Prefix         uint64        `msgpack:"prefix"` // hash of organisation and prompt prefix; 0 for none
+	Prefix         uint64        `msgpack:"prefix"` // hash of organisation and prompt prefix; 0 if none
 	Exclude        []string      `msgpack:"exclude"`
-	Attempt        uint64        `msgpack:"attempt"` // grows with each Ask or Claim of an entry; a later one is newer
+	Attempt        uint64        `msgpack:"attempt"` // grows with each Ask or Claim of an entry; the highest is the newest
 	Epoch          uint64        `msgpack:"epoch"`   // highest that the entry has seen of the cell
-	Made           int           `msgpack:"made"`    // tokens that earlier attempts made and the entry kept
-	NonPreemptible bool          `msgpack:"fixed"`   // must not be preempted
+	Made           int           `msgpack:"made"`    // tokens that earlier attempts generated and the entry kept
+	NonPreemptible bool          `msgpack:"fixed"`
 }
 
 // Grant gives a waiting request one place on a worker.
@@ -52,10 +56,11 @@
 	Epoch    uint64        `msgpack:"epoch"`
 	Order    uint64        `msgpack:"order"` // grows with each grant of the cell
 	Class    string        `msgpack:"class"`
-	Wait     time.Duration `msgpack:"wait"` // expected of the cell's next request of the class
+	Wait     time.Duration `msgpack:"wait"` // expected wait of the next request of the class in the cell
 }
 
-// Refuse is the final answer to an Ask: it was not run, come back after After.
+// Refuse is the final answer to an Ask: the request was not run and may be
+// asked again after After.
 type Refuse struct {
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Request  string        `msgpack:"request"`
@@ -75,7 +80,8 @@
 	Cell     string   `msgpack:"cell"`
 }
 
-// Progress corrects the estimate of a request in flight.
+// Progress reports the tokens that a request in flight has generated, and
+// renews its grant.
 type Progress struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Request  string   `msgpack:"request"`
@@ -92,7 +98,7 @@
 	Cell     string        `msgpack:"cell"`
 	Worker   string        `msgpack:"worker"`
 	Tokens   int           `msgpack:"tokens"`
-	First    time.Duration `msgpack:"first"` // to the first byte; 0 where none came
+	First    time.Duration `msgpack:"first"` // time to the first byte; 0 if there was none
 	Failed   bool          `msgpack:"failed"`
 }
 
@@ -104,7 +110,8 @@
 	Cell     string   `msgpack:"cell"`
 }
 
-// Claim tells a new dispatcher of a grant in use that an earlier one gave.
+// Claim reports a grant in use, which a previous dispatcher gave, to the
+// present one.
 type Claim struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Ask      Ask      `msgpack:"ask"`
@@ -117,7 +124,7 @@
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Request  string   `msgpack:"request"`
 	Cell     string   `msgpack:"cell"`
-	Owner    string   `msgpack:"owner"`
+	Owner    string   `msgpack:"owner"` // host that dispatches the cell
 }
 
 func (Ask) kind() string      { return "ask" }
@@ -130,12 +137,12 @@
 func (Claim) kind() string    { return "claim" }
 func (Moved) kind() string    { return "moved" }
 
-// Envelope is one frame's content, with its sender.
+// Envelope is the content of one frame, with its sender.
 type Envelope struct {
 	From        string
 	Incarnation uint64 // of the sender's messenger
 	Sequence    uint64
-	Generation  uint64 // of the configuration that the sender has in force
+	Generation  uint64 // of the sender's configuration in force
 	Kind        string
 	Body        []byte
 }
@@ -165,26 +172,26 @@
 		return decode[Borrow](e)
 	case "lend":
 		return decode[Lend](e)
-	case kindFetch:
+	case kindConfigRequest:
 		return decode[ConfigRequest](e)
-	case kindFetched:
+	case kindConfigReply:
 		return decode[ConfigReply](e)
-	case kindShared:
+	case kindFlightUpdate:
 		return decode[FlightUpdate](e)
-	case kindSeek:
+	case kindPlacementRequest:
 		return decode[PlacementRequest](e)
-	case kindSought:
+	case kindPlacementReply:
 		return decode[PlacementReply](e)
-	case kindEntries:
+	case kindListSnapshot:
 		return decode[ListSnapshot](e)
-	case kindWord:
+	case kindListUpdate:
 		return decode[ListUpdate](e)
-	case kindMark:
+	case kindWorkerReport:
 		return decode[WorkerReport](e)
 	case kindQuarantine:
 		return decode[Quarantine](e)
 	default:
-		if m, ok, err := decodeMember(e); ok {
+		if m, ok, err := decodeMembership(e); ok {
 			return m, err
 		}
 		if m, ok, err := decodeOnce(e); ok {
--- a/messenger/message_entries.go
+++ b/messenger/message_entries.go
@@ -1,13 +1,13 @@
 package messenger
 
-const kindEntries = "entries"
+const kindListSnapshot = "entries"
 
-// ListSnapshot tells another host a whole list of the platform's store, as it was when the
-// store had come back from an older copy of itself.
+// ListSnapshot passes on a whole list of the platform's store, as it was after
+// the store was restored from an older snapshot.
 type ListSnapshot struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Upto     uint64   `msgpack:"upto"`      // the version of the list
+	Upto     uint64   `msgpack:"upto"`      // version of the list
 	All      []Change `msgpack:"all"`
 }
 
-func (ListSnapshot) kind() string { return kindEntries }
+func (ListSnapshot) kind() string { return kindListSnapshot }
--- a/messenger/message_quarantine.go
+++ b/messenger/message_quarantine.go
@@ -3,40 +3,41 @@
 import "time"
 
 const (
-	kindQuarantine = "quarantine"
-	kindMark       = "mark"
+	kindQuarantine   = "quarantine"
+	kindWorkerReport = "mark"
 )
 
-// Quarantine tells another host which requests the sender holds back.
+// Quarantine passes on the requests that the sender has quarantined.
 type Quarantine struct {
 	_msgpack struct{}          `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Entries  []QuarantineEntry `msgpack:"held"`
 }
 
-// QuarantineEntry is one request that is held back; see quarantiner.Held.
+// QuarantineEntry is one quarantined request; see quarantiner.Held.
 type QuarantineEntry struct {
 	_msgpack    struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Fingerprint uint64        `msgpack:"fingerprint"`
-	For         time.Duration `msgpack:"for"` // from now on
-	Span        time.Duration `msgpack:"span"`
-	Workers     []string      `msgpack:"workers"` // that it ended, the first ones
+	For         time.Duration `msgpack:"for"`     // from now on
+	Span        time.Duration `msgpack:"span"`    // in all
+	Workers     []string      `msgpack:"workers"` // the first ones that it ended
 }
 
 // Events of a WorkerReport.
 const (
-	WorkerEnded    = iota // a worker ended with a request
-	WorkerAnswered        // a worker answered a request that ended others
-	WorkerAlive           // a worker goes on that seemed to have ended
+	WorkerEnded    = iota // a worker ended while it ran the request
+	WorkerAnswered        // a worker answered a request that had ended others
+	WorkerAlive           // a worker that seemed to have ended is still alive
 )
 
-// WorkerReport tells the host that counts how a request at a worker ended.
+// WorkerReport reports how a request ended at a worker to the host that counts
+// these events for all hosts.
 type WorkerReport struct {
 	_msgpack    struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Event       int           `msgpack:"what"`
 	Fingerprint uint64        `msgpack:"fingerprint"`
 	Worker      string        `msgpack:"worker"`
-	Took        time.Duration `msgpack:"took"` // since it was sent, or for an answer since that came
+	Took        time.Duration `msgpack:"took"` // since the request was sent, or for an answer since it began
 }
 
-func (WorkerReport) kind() string { return kindMark }
+func (WorkerReport) kind() string { return kindWorkerReport }
 func (Quarantine) kind() string   { return kindQuarantine }
--- a/messenger/message_word.go
+++ b/messenger/message_word.go
@@ -1,18 +1,18 @@
 package messenger
 
-const kindWord = "word"
+const kindListUpdate = "word"
 
-// ListUpdate tells another host what the platform's store told this one of a list: all
-// that changed after one version, up to another.
+// ListUpdate passes on what the platform's store reported about a list: all
+// changes after one version, up to another of the same era.
 type ListUpdate struct {
 	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	After     uint64   `msgpack:"after"`
 	Upto      uint64   `msgpack:"upto"`
 	Changed   []Change `msgpack:"changed"` // in the order of their revisions
-	StoreDown bool     `msgpack:"blind"`   // the store answers this host no more; nothing else is set
+	StoreDown bool     `msgpack:"blind"`   // the store no longer answers this host; nothing else is set
 }
 
-// Change is one object of the list that changed.
+// Change is one object of a list that changed.
 type Change struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Key      string   `msgpack:"key"`
@@ -21,4 +21,4 @@
 	Deleted  bool     `msgpack:"deleted"`
 }
 
-func (ListUpdate) kind() string { return kindWord }
+func (ListUpdate) kind() string { return kindListUpdate }
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// ErrFull says that a peer takes messages more slowly than they are sent: the
-// message was dropped, so that a slow peer can't hold this host's memory.
+// ErrFull is returned if a peer receives messages more slowly than they are
+// sent. The message is dropped, so that a slow peer can't take up this host's
+// memory.
 var ErrFull = errors.New("peer's queue is full")
 
-// ErrClosed says that the messenger has ended.
+// ErrClosed is returned after the messenger was closed.
 var ErrClosed = errors.New("messenger is closed")
 
-// Handler gets every message that arrives, in order for each sender.
+// Handler is called with each message that arrives, in order for each sender.
 type Handler func(e Envelope, m Message)
 
 // Messenger sends messages to other hosts and receives theirs. While both ends
-// live and reach each other within Config.Hold, each message arrives once and
-// in order, whatever happens to connections.
+// run and reach each other within Config.Hold, each message arrives once and in
+// order, whatever happens to connections.
 type Messenger struct {
 	config     Config
 	generation atomic.Uint64
-	sequence   atomic.Uint64 // of the last message to any peer, so that a peer can be forgotten
+	sequence   atomic.Uint64 // of the last message to any peer: shared, so that peers can be removed
 	sent       atomic.Uint64
 	received   atomic.Uint64
 	resent     atomic.Uint64
@@ -46,14 +47,15 @@
 	conns   map[net.Conn]bool
 }
 
-// New listens on address with default settings and returns the messenger and
-// its clean-up.
+// New listens on address with default settings. It returns the messenger and a
+// function that closes it.
 func New(self string, incarnation uint64, address string, h Handler) (*Messenger, func(), error) {
 	return Open(Config{Name: self, Incarnation: incarnation, Address: address}, h)
 }
 
-// Open listens and returns the messenger and its clean-up. The handler runs on
-// a reader's goroutine and must not block for long.
+// Open listens with the given settings. It returns the messenger and a function
+// that closes it. The handler runs on a connection's goroutine and must not
+// block for long.
 func Open(c Config, h Handler) (*Messenger, func(), error) {
 	l, err := net.Listen("tcp", c.Address)
 	if err != nil {
@@ -69,16 +71,16 @@
 	return m, m.close, nil
 }
 
-// Address is where the messenger listens.
+// Address returns the address on which the messenger listens.
 func (m *Messenger) Address() string { return m.listener.Addr().String() }
 
 // SetGeneration sets the configuration generation that every frame carries.
 func (m *Messenger) SetGeneration(g uint64) { m.generation.Store(g) }
 
-// Traffic is the bytes sent and received so far.
+// Traffic returns the numbers of bytes sent and received so far.
 func (m *Messenger) Traffic() (sent, received uint64) { return m.sent.Load(), m.received.Load() }
 
-// Counts is what the messenger has done so far.
+// Counts returns the messenger's counters.
 func (m *Messenger) Counts() Counts {
 	return Counts{
 		Sent: m.sent.Load(), Received: m.received.Load(), Resent: m.resent.Load(),
@@ -91,8 +93,9 @@
 	return m.SendAll([]string{address}, msg)
 }
 
-// SendAll queues a message for the hosts at the addresses, encoded once. It never
-// blocks. An error is of those hosts only that it names.
+// SendAll queues a message for the hosts at the addresses, encoded once. It
+// never blocks. An error names each host that the message was not queued for;
+// the others get it.
 func (m *Messenger) SendAll(addresses []string, msg Message) error {
 	body, err := encode(msg)
 	if err != nil {
@@ -100,13 +103,13 @@
 	}
 	var errs []error
 	for _, address := range addresses {
-		errs = append(errs, m.queue(address, msg.kind(), body))
+		errs = append(errs, m.enqueue(address, msg.kind(), body))
 	}
 	return errors.Join(errs...)
 }
 
-// queue queues an encoded message for one host.
-func (m *Messenger) queue(address, kind string, body []byte) error {
+// enqueue queues an encoded message for one host.
+func (m *Messenger) enqueue(address, kind string, body []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -122,22 +125,22 @@
 	return p.add(kind, body)
 }
 
-// Reconnect replaces the connection to address, so that what is sent next is tried
-// on a new one.
+// Reconnect replaces the connection to address, so that the next messages are
+// tried on a new one.
 func (m *Messenger) Reconnect(address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.peers[address]; p != nil {
-		poke(p.renew)
+		notify(p.reconnect)
 	}
 }
 
-// Flush waits until every peer that can be reached has acknowledged what was
-// sent to it, or ctx ends.
+// Flush waits until all peers that can be reached have acknowledged the
+// messages sent to them, or until ctx ends.
 func (m *Messenger) Flush(ctx context.Context) {
 	ticker := time.NewTicker(m.config.AckDelay)
 	defer ticker.Stop()
-	for m.pending() {
+	for m.hasUnacknowledged() {
 		select {
 		case <-ctx.Done():
 			return
@@ -146,12 +149,12 @@
 	}
 }
 
-func (m *Messenger) pending() bool {
+func (m *Messenger) hasUnacknowledged() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.peers {
 		p.mu.Lock()
-		waiting := len(p.outbox.items) > 0 && (p.reachable || !p.known)
+		waiting := len(p.outbox.items) > 0 && (p.reachable || !p.reachabilityKnown)
 		p.mu.Unlock()
 		if waiting {
 			return true
@@ -160,9 +163,10 @@
 	return false
 }
 
-// forget removes a peer that nothing is waiting for, and says whether it did.
-// Its goroutine then ends: hosts are replaced for months under new addresses.
-func (m *Messenger) forget(p *peer) bool {
+// removeIfIdle removes a peer without queued messages and reports whether it
+// did. The peer's goroutine then ends: over months, hosts are replaced under
+// new addresses.
+func (m *Messenger) removeIfIdle(p *peer) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p.mu.Lock()
@@ -181,15 +185,16 @@
 		if err != nil {
 			return
 		}
-		if m.keep(conn) {
+		if m.trackConnection(conn) {
 			m.tasks.Add(1)
-			go m.read(conn)
+			go m.readConnection(conn)
 		}
 	}
 }
 
-// keep remembers an open connection for close; false where that has begun.
-func (m *Messenger) keep(conn net.Conn) bool {
+// trackConnection registers an open connection, which close will close. If the
+// messenger is closed already, it closes the connection and returns false.
+func (m *Messenger) trackConnection(conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -200,7 +205,7 @@
 	return true
 }
 
-func (m *Messenger) drop(conn net.Conn) {
+func (m *Messenger) closeConnection(conn net.Conn) {
 	m.mu.Lock()
 	delete(m.conns, conn)
 	m.mu.Unlock()
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -22,26 +22,27 @@
 // addresses counts the addresses handed out.
 var addresses atomic.Int32
 
-// ownAddress is an address where nobody else listens, below the ports that the
-// kernel hands out: one of those, while nobody listens there, may be given to
-// the very connection that dials it, which then meets itself.
-func ownAddress() string {
+// unusedAddress returns an address on which nobody listens, below the ports
+// that the kernel assigns. While nobody listens on one of those, the kernel may
+// assign it to the very connection that dials it, which then connects to
+// itself.
+func unusedAddress() string {
 	return fmt.Sprintf("127.%d.%d.1:%d", 80+os.Getpid()/250%20, 1+os.Getpid()%250, 10000+addresses.Add(1))
 }
 
-// taken records the requests that arrive, in order.
-type taken struct {
+// recorder records the requests that arrive, in order.
+type recorder struct {
 	mu       sync.Mutex
 	requests []string
 }
 
-func (t *taken) handle(_ messenger.Envelope, m messenger.Message) {
+func (t *recorder) handle(_ messenger.Envelope, m messenger.Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests = append(t.requests, m.(messenger.Cancel).Request)
 }
 
-func (t *taken) all() []string {
+func (t *recorder) all() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]string{}, t.requests...)
@@ -76,13 +77,13 @@
 }
 
 var _ = Describe("Messenger", func() {
-	// Story: an ask and its grant cross a link that breaks. A user would see a
-	// request that hangs to its deadline (a frame lost), or a place taken twice (a
-	// frame doubled). Order: frames flow, the link fails, more frames are sent, the
-	// link heals. Cause: bytes written to a dead connection vanish without an error.
-	DescribeTable("delivers once and in order over a link with faults",
+	// An ask and its grant cross a link that fails: frames flow, the link
+	// fails, more frames are sent, the link heals. Bytes written to a dead
+	// connection vanish without an error. A lost frame would leave a request
+	// hanging until its deadline; a duplicate would use a place twice.
+	DescribeTable("delivers once and in order over a faulty link",
 		func(modes ...faker.Mode) {
-			got := &taken{}
+			got := &recorder{}
 			receiver := open("b", 1, "127.0.0.1:0", got.handle)
 			link, clean, err := faker.NewLink("127.0.0.1:0", receiver.Address())
 			Expect(err).NotTo(HaveOccurred())
@@ -118,28 +119,28 @@
 		Entry("cut, then one way", Label(prover.Pair(prover.Asked, prover.CutBoth, prover.Asked, prover.CutOne)), faker.Cut, faker.Forward),
 	)
 
-	// Story: a link is slow, not dead. A user would see requests take longer; no
-	// frame may be lost or doubled although connections are replaced meanwhile.
-	It("sends one message to many, and says whom it could not", func() {
+	It("sends one message to many peers and reports those that it could not", func() {
 		var peers []string
-		var heard atomic.Int32
+		var received atomic.Int32
 		for _, name := range []string{"b", "c"} {
-			m := open(name, 1, ownAddress(), func(messenger.Envelope, messenger.Message) { heard.Add(1) })
+			m := open(name, 1, unusedAddress(), func(messenger.Envelope, messenger.Message) { received.Add(1) })
 			peers = append(peers, m.Address())
 		}
-		a := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: ownAddress(), MaxQueue: 1}, ignore)
+		a := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: unusedAddress(), MaxQueue: 1}, ignore)
 		Expect(a.SendAll(peers, messenger.Sync{})).To(Succeed())
-		Eventually(heard.Load, 5*time.Second).Should(BeEquivalentTo(2))
-		nobody := ownAddress()
+		Eventually(received.Load, 5*time.Second).Should(BeEquivalentTo(2))
+		nobody := unusedAddress()
 		Expect(a.Send(nobody, messenger.Sync{})).To(Succeed())
 		err := a.SendAll([]string{nobody, peers[0]}, messenger.Sync{})
 		Expect(err).To(MatchError(messenger.ErrFull))
 		Expect(err).To(MatchError(ContainSubstring(nobody)))
-		Eventually(heard.Load, 5*time.Second).Should(BeEquivalentTo(3))
+		Eventually(received.Load, 5*time.Second).Should(BeEquivalentTo(3))
 	})
 
+	// A slow link is not a dead one: requests take longer, and no frame may be
+	// lost or duplicated even if connections are replaced meanwhile.
 	It("delivers once and in order over a slow link", Label(prover.Cell(prover.Asked, prover.Slow)), func() {
-		got := &taken{}
+		got := &recorder{}
 		receiver := open("b", 1, "127.0.0.1:0", got.handle)
 		link, clean, err := faker.NewLink("127.0.0.1:0", receiver.Address())
 		Expect(err).NotTo(HaveOccurred())
@@ -150,14 +151,15 @@
 		Eventually(got.all).WithTimeout(10 * time.Second).Should(Equal(numbered(0, 200)))
 	})
 
-	// Story: a receiver restarts. What its predecessor may have taken must not
-	// reach it, or a grant would be given back that it never had; what comes after does.
-	It("does not give a restarted receiver what its predecessor may have taken", Label(prover.Cell(prover.Granted, prover.Kill)), func() {
+	// A receiver restarts. Messages that its predecessor may have received must
+	// not reach it, or a grant would be given back that it never had. Later
+	// messages must reach it.
+	It("does not send a restarted receiver what its predecessor may have received", Label(prover.Cell(prover.Granted, prover.Kill)), func() {
 		held := make(chan struct{})
-		first, clean, err := messenger.Open(messenger.Config{Name: "b", Incarnation: 1, Address: ownAddress(), AckDelay: time.Hour},
+		first, clean, err := messenger.Open(messenger.Config{Name: "b", Incarnation: 1, Address: unusedAddress(), AckDelay: time.Hour},
 			func(messenger.Envelope, messenger.Message) { held <- struct{}{} })
 		Expect(err).NotTo(HaveOccurred())
-		// Were the first receiver tried on a second connection, it would say what it has.
+		// On a second connection the first receiver would report what it has received.
 		outcomes := make(chan bool, 100)
 		sender := openWith(messenger.Config{
 			Name: "a", Incarnation: 1, Address: "127.0.0.1:0", AckTimeout: time.Minute,
@@ -169,20 +171,21 @@
 		Eventually(outcomes).Should(Receive(BeTrue()))
 		clean()
 		Eventually(outcomes).Should(Receive(BeFalse()), "what is sent from now on is sent to the second only")
-		got := &taken{}
+		got := &recorder{}
 		open("b", 2, address, got.handle)
 		sendAll(sender, address, []string{"new"})
 		Eventually(got.all).WithTimeout(5 * time.Second).Should(Equal([]string{"new"}))
 		Expect(sender.Counts().Dropped).To(BeEquivalentTo(1))
 	})
 
-	// Story: a host is replaced under its name while its old process, frozen, comes
-	// back. The old one's frames must not be taken as the new one's.
+	// A host is replaced under its name, and its old process, which was frozen,
+	// continues. Frames of the old process must not count as those of the new
+	// one.
 	It("refuses an older incarnation of a sender", Label(prover.Cell(prover.Asked, prover.Freeze)), func() {
-		got := &taken{}
+		got := &recorder{}
 		receiver := open("b", 1, "127.0.0.1:0", got.handle)
-		young := open("a", 2, "127.0.0.1:0", ignore)
-		sendAll(young, receiver.Address(), []string{"young"})
+		newer := open("a", 2, "127.0.0.1:0", ignore)
+		sendAll(newer, receiver.Address(), []string{"young"})
 		Eventually(got.all).Should(HaveLen(1))
 		conn, err := net.Dial("tcp", receiver.Address())
 		Expect(err).NotTo(HaveOccurred())
@@ -193,11 +196,11 @@
 		Expect(got.all()).To(Equal([]string{"young"}))
 	})
 
-	// Story: frames come doubled or in the wrong order, as after a resend. A user
-	// would see a request that is cancelled or granted twice.
-	It("drops doubled and reordered frames", Label(
+	// Frames arrive twice or in the wrong order, as after a resend. A request
+	// would be cancelled or granted twice.
+	It("drops duplicated and reordered frames", Label(
 		prover.Cell(prover.Asked, prover.Reorder), prover.Cell(prover.Granted, prover.Reorder)), func() {
-		got := &taken{}
+		got := &recorder{}
 		receiver := open("b", 1, "127.0.0.1:0", got.handle)
 		conn, err := net.Dial("tcp", receiver.Address())
 		Expect(err).NotTo(HaveOccurred())
@@ -212,7 +215,7 @@
 		Expect(got.all()).To(Equal([]string{"1", "2", "3"}))
 	})
 
-	It("bounds what waits for a peer, counts drops, and tells the outcome", func() {
+	It("bounds the queue of a peer, counts dropped messages and reports reachability", func() {
 		outcomes := make(chan bool, 16)
 		m, clean, err := messenger.Open(messenger.Config{
 			Name: "a", Address: "127.0.0.1:0", MaxQueue: 3, Hold: 50 * time.Millisecond,
@@ -220,7 +223,7 @@
 		}, ignore)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(clean)
-		nowhere := ownAddress()
+		nowhere := unusedAddress()
 		sendAll(m, nowhere, numbered(0, 3))
 		Expect(m.Send(nowhere, messenger.Cancel{})).To(MatchError(messenger.ErrFull))
 		Eventually(outcomes).Should(Receive(BeFalse()))
--- a/messenger/peer.go
+++ b/messenger/peer.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	dialTimeout = time.Second
-	firstPause  = 50 * time.Millisecond // after a failed dial; doubles up to lastPause
-	lastPause   = time.Second
+	dialTimeout   = time.Second
+	minRetryPause = 50 * time.Millisecond // after a failed dial; doubles up to maxRetryPause
+	maxRetryPause = time.Second
 )
 
-// peer is the sending side towards one address. Its run goroutine owns the
-// connection; the outbox is locked.
+// peer is the sending side for one address. Its run goroutine owns the
+// connection; the fields below mu are shared.
 type peer struct {
-	m       *Messenger
-	address string
-	wake    chan struct{} // something was added
-	renew   chan struct{} // replace the connection
-
-	mu        sync.Mutex
-	outbox    outbox
-	reachable bool
-	known     bool // an outcome was seen
+	m         *Messenger
+	address   string
+	wake      chan struct{} // a message was queued
+	reconnect chan struct{} // replace the connection
+
+	mu                sync.Mutex
+	outbox            outbox
+	reachable         bool
+	reachabilityKnown bool // reachable was set
 }
 
 func newPeer(m *Messenger, address string) *peer {
-	return &peer{m: m, address: address, wake: make(chan struct{}, 1), renew: make(chan struct{}, 1)}
+	return &peer{m: m, address: address, wake: make(chan struct{}, 1), reconnect: make(chan struct{}, 1)}
 }
 
 func (p *peer) add(kind string, body []byte) error {
@@ -42,34 +42,35 @@
 		p.m.dropped.Add(1)
 		return fmt.Errorf("send to %s: %w", p.address, ErrFull)
 	}
-	p.outbox.add(item{sequence: p.m.sequence.Add(1), kind: kind, body: body, queued: time.Now()})
-	poke(p.wake)
+	p.outbox.add(queuedMessage{sequence: p.m.sequence.Add(1), kind: kind, body: body, queued: time.Now()})
+	notify(p.wake)
 	return nil
 }
 
-func poke(c chan struct{}) {
+// notify signals c unless a signal is already pending.
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// run connects while there is something to send, and ends when there is not.
+// run connects while there are messages to send, and ends when there are none.
 func (p *peer) run() {
 	defer p.m.tasks.Done()
-	pause := firstPause
-	for p.m.ctx.Err() == nil && !p.m.forget(p) {
+	pause := minRetryPause
+	for p.m.ctx.Err() == nil && !p.m.removeIfIdle(p) {
 		conn, err := p.connect()
 		if err != nil {
-			p.outcome(false)
+			p.setReachable(false)
 			p.sleep(pause/2 + rand.N(pause))
-			pause = min(2*pause, lastPause)
+			pause = min(2*pause, maxRetryPause)
 			continue
 		}
-		pause = firstPause
-		p.outcome(true)
+		pause = minRetryPause
+		p.setReachable(true)
 		p.serve(conn)
-		p.m.drop(conn)
+		p.m.closeConnection(conn)
 	}
 }
 
@@ -82,10 +83,11 @@
 	}
 }
 
-func (p *peer) outcome(reachable bool) {
+// setReachable records the outcome of a connection attempt and reports changes.
+func (p *peer) setReachable(reachable bool) {
 	p.mu.Lock()
-	changed := !p.known || p.reachable != reachable
-	p.known, p.reachable = true, reachable
+	changed := !p.reachabilityKnown || p.reachable != reachable
+	p.reachabilityKnown, p.reachable = true, reachable
 	p.mu.Unlock()
 	if changed {
 		p.m.config.OnReachability(p.address, reachable)
@@ -102,21 +104,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if !p.m.keep(conn) {
+	if !p.m.trackConnection(conn) {
 		return nil, net.ErrClosed
 	}
-	w, err := p.greet(conn)
+	w, err := p.handshake(conn)
 	if err != nil {
-		p.m.drop(conn)
+		p.m.closeConnection(conn)
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.m.dropped.Add(uint64(p.outbox.open(time.Now(), w)))
+	p.m.dropped.Add(uint64(p.outbox.startConnection(time.Now(), w)))
 	return conn, nil
 }
 
-func (p *peer) greet(conn net.Conn) (welcome, error) {
+func (p *peer) handshake(conn net.Conn) (welcome, error) {
 	var w welcome
 	_ = conn.SetDeadline(time.Now().Add(p.m.config.AckTimeout))
 	n, err := writeFrame(conn, hello{Name: p.m.config.Name, Incarnation: p.m.config.Incarnation})
@@ -130,7 +132,7 @@
 	return w, err
 }
 
-// serve writes frames until the connection breaks, goes silent or is idle.
+// serve writes frames until the connection breaks, stalls or is idle.
 func (p *peer) serve(conn net.Conn) {
 	broken := make(chan struct{})
 	p.m.tasks.Go(func() { defer close(broken); p.readAcks(conn) })
@@ -141,29 +143,29 @@
 		if err := p.write(conn, w); err != nil {
 			return
 		}
-		timer.Reset(p.patience())
+		timer.Reset(p.checkAfter())
 		select {
 		case <-p.m.ctx.Done():
 			return
 		case <-broken:
 			return
-		case <-p.renew:
+		case <-p.reconnect:
 			return
 		case <-p.wake:
 		case <-timer.C:
-			if p.expired() {
+			if p.shouldClose() {
 				return
 			}
 		}
 	}
 }
 
-// write writes every waiting frame in one go.
+// write writes all waiting frames and flushes them together.
 func (p *peer) write(conn net.Conn, w *bufio.Writer) error {
 	_ = conn.SetWriteDeadline(time.Now().Add(p.m.config.AckTimeout))
 	for {
 		p.mu.Lock()
-		i, again, ok := p.outbox.take(time.Now())
+		i, again, ok := p.outbox.nextUnsent(time.Now())
 		p.mu.Unlock()
 		if !ok {
 			return w.Flush()
@@ -171,7 +173,7 @@
 		if again {
 			p.m.resent.Add(1)
 		}
-		n, err := writeFrame(w, parcel{Sequence: i.sequence, Generation: p.m.generation.Load(), Kind: i.kind, Body: i.body})
+		n, err := writeFrame(w, messageFrame{Sequence: i.sequence, Generation: p.m.generation.Load(), Kind: i.kind, Body: i.body})
 		p.m.sent.Add(uint64(n))
 		if err != nil {
 			return err
@@ -179,24 +181,25 @@
 	}
 }
 
-func (p *peer) patience() time.Duration {
+// checkAfter returns the time after which shouldClose must be checked.
+func (p *peer) checkAfter() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.outbox.unacknowledged() {
-		return max(p.m.config.AckTimeout-time.Since(p.outbox.progress), time.Millisecond)
+		return max(p.m.config.AckTimeout-time.Since(p.outbox.lastProgress), time.Millisecond)
 	}
 	return p.m.config.IdleTimeout
 }
 
-// expired says whether the connection is to be closed: silent, or idle.
-func (p *peer) expired() bool {
+// shouldClose reports whether the connection has stalled or is idle.
+func (p *peer) shouldClose() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.outbox.silent(time.Now(), p.m.config.AckTimeout) {
+	if p.outbox.stalled(time.Now(), p.m.config.AckTimeout) {
 		p.m.replaced.Add(1)
 		return true
 	}
-	return len(p.outbox.items) == 0 && time.Since(p.outbox.progress) >= p.m.config.IdleTimeout
+	return len(p.outbox.items) == 0 && time.Since(p.outbox.lastProgress) >= p.m.config.IdleTimeout
 }
 
 func (p *peer) readAcks(conn net.Conn) {
