--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// BenchmarkAsks looks through 940 active organisations for loans to ask for.
+// BenchmarkAsks measures the search for due loan requests among 940 active
+// organisations.
 func BenchmarkAsks(b *testing.B) {
 	var g limiter.Gates
 	limits := map[string]limiter.Rates{}
--- a/limiter/gate.go
+++ b/limiter/gate.go
@@ -2,80 +2,82 @@
 
 import "time"
 
-// Gate lets one organisation's requests in at one entry. It is not safe for
+// Gate admits one organisation's requests at one entry. It is not safe for
 // concurrent use.
 type Gate struct {
 	limits Rates
 	hosts  int
 
-	loan  Rates
-	until time.Time // the loan is over
-	// A tier's buckets are charged with what it and the more urgent ones use. So a
-	// request is never refused for what less urgent ones used, and yet all of them
-	// together stay within the limit.
+	loan        Rates
+	loanExpires time.Time
+	// Each tier's buckets are charged with what that tier and the more urgent ones
+	// use. So a request is never refused because of less urgent ones, and yet all
+	// tiers together stay within the limit.
 	requests [tiers]bucket
 	tokens   [tiers]bucket
 
-	sequence uint64 // of the last ask
-	asked    time.Time
-	asks     int // since the entry became active
-	counted  Rates
-	active   time.Time // last request
+	sequence     uint64    // of the last loan request
+	requestedAt  time.Time // when it was sent
+	requestCount int       // loan requests since the entry became active
+	newDemand    Rates     // requests and tokens since the last loan request
+	lastAdmit    time.Time // last call of Admit
 }
 
-// tiers is how many tiers are told apart; those beyond count as the last.
+// tiers is the number of tiers with buckets of their own; all further tiers
+// share the last one.
 const tiers = 8
 
-// bucket is a token bucket whose rate changes. It may be in debt.
+// bucket is a token bucket with a variable rate. Its level may be negative.
 type bucket struct {
-	level float64
-	at    time.Time
+	level     float64
+	updatedAt time.Time
 }
 
-// fill brings the bucket to now. One that begins holds a burst.
-func (b *bucket) fill(now time.Time, rate float64) {
-	most := max(1, rate*burstTime.Seconds())
-	if b.at.IsZero() {
-		b.level = most
+// refill updates the level to now. A new bucket holds a full burst.
+func (b *bucket) refill(now time.Time, rate float64) {
+	capacity := max(1, rate*burstDuration.Seconds())
+	if b.updatedAt.IsZero() {
+		b.level = capacity
 	} else {
-		b.level += rate * max(0, now.Sub(b.at).Seconds())
+		b.level += rate * max(0, now.Sub(b.updatedAt).Seconds())
 	}
-	b.level = min(b.level, most)
-	b.at = now
+	b.level = min(b.level, capacity)
+	b.updatedAt = now
 }
 
-// wait is how long until the bucket holds need.
+// wait returns the time until the bucket holds need.
 func (b *bucket) wait(need, rate float64) time.Duration {
 	if rate <= 0 {
-		return askEvery
+		return requestInterval
 	}
 	after := time.Duration((need - b.level) / rate * float64(time.Second))
-	return min(max(after, leastAfter), mostAfter)
+	return min(max(after, minRetryAfter), maxRetryAfter)
 }
 
-// Configure takes the organisation's limits and the number of hosts.
+// Configure sets the organisation's limits and the number of hosts.
 func (g *Gate) Configure(limits Rates, hosts int) { g.limits, g.hosts = limits, max(hosts, 1) }
 
-// Rates is what the gate lets in now: its loan, or without one an even part.
+// Rates returns the rates in force: those of the loan, or without one an even
+// part of the limits.
 func (g *Gate) Rates(now time.Time) Rates {
-	if now.Before(g.until) {
+	if now.Before(g.loanExpires) {
 		return g.loan
 	}
-	return g.limits.each(func(r float64) float64 { return r / float64(max(g.hosts, 1)) })
+	return g.limits.apply(func(r float64) float64 { return r / float64(max(g.hosts, 1)) })
 }
 
-// Admit lets a request of a tier and of about tokens in, or says when to come
-// back.
+// Admit reports whether a request of a tier and of about this many tokens is
+// admitted, and if not, after what time to retry.
 func (g *Gate) Admit(now time.Time, tier, tokens int) (time.Duration, bool) {
-	g.counted = both(g.counted, Rates{1, float64(tokens)}, plus)
-	g.active = now
-	rates := g.fill(now)
+	g.newDemand = combine(g.newDemand, Rates{1, float64(tokens)}, plus)
+	g.lastAdmit = now
+	rates := g.refill(now)
 	tier = min(max(tier, 0), tiers-1)
 	if b := &g.requests[tier]; g.limits.Requests > 0 && b.level < 1 {
 		return b.wait(1, rates.Requests), false
 	}
-	// A request may cost more tokens than ever lie in the bucket: it is let in
-	// when there is any, and those after it wait until the debt is paid.
+	// A request may take more tokens than the bucket can hold: it is admitted if
+	// there is at least one, and later requests wait until the debt is paid.
 	if b := &g.tokens[tier]; g.limits.Tokens > 0 && tokens > 0 && b.level < 1 {
 		return b.wait(1, rates.Tokens), false
 	}
@@ -86,66 +88,68 @@
 	return 0, true
 }
 
-// Settle charges tokens more, or gives some back.
+// Settle charges further tokens to a tier; a negative number gives tokens back.
 func (g *Gate) Settle(tier, tokens int) {
 	for i := min(max(tier, 0), tiers-1); i < tiers; i++ {
 		g.tokens[i].level -= float64(tokens)
 	}
 }
 
-// fill brings all buckets to now, and returns the rates.
-func (g *Gate) fill(now time.Time) Rates {
+// refill updates all buckets to now and returns the rates in force.
+func (g *Gate) refill(now time.Time) Rates {
 	rates := g.Rates(now)
 	for i := range g.requests {
-		g.requests[i].fill(now, rates.Requests)
-		g.tokens[i].fill(now, rates.Tokens)
+		g.requests[i].refill(now, rates.Requests)
+		g.tokens[i].refill(now, rates.Tokens)
 	}
 	return rates
 }
 
-// LoanRequest is the demand to tell the owner of, where it is time to.
+// LoanRequest returns the demand and sequence to send to the limit's owner. due
+// is false if no request is due.
 func (g *Gate) LoanRequest(now time.Time) (demand Rates, sequence uint64, due bool) {
-	every := askEvery
-	if g.asks == 1 {
-		every = askSoon
+	interval := requestInterval
+	if g.requestCount == 1 {
+		interval = secondRequestDelay
 	}
-	since := now.Sub(g.asked)
-	if g.counted.Requests == 0 {
-		if since > askEvery {
-			g.asks = 0
+	since := now.Sub(g.requestedAt)
+	if g.newDemand.Requests == 0 {
+		if since > requestInterval {
+			g.requestCount = 0
 		}
 		return Rates{}, 0, false
 	}
-	if g.asks > 0 && since < every {
+	if g.requestCount > 0 && since < interval {
 		return Rates{}, 0, false
 	}
-	span := askEvery.Seconds()
-	if g.asks > 0 {
+	span := requestInterval.Seconds()
+	if g.requestCount > 0 {
 		span = since.Seconds()
 	}
-	demand = g.counted.each(func(n float64) float64 { return n / span })
-	g.counted = Rates{}
-	g.asked = now
-	g.asks++
+	demand = g.newDemand.apply(func(n float64) float64 { return n / span })
+	g.newDemand = Rates{}
+	g.requestedAt = now
+	g.requestCount++
 	g.sequence++
 	return demand, g.sequence, true
 }
 
-// SetLoan takes a loan in. Its term counts from the ask, so that it ends here
-// before it does at the owner. An answer to an earlier ask is out of date.
+// SetLoan applies a loan. Its term counts from the request, so that it ends
+// here before it ends at the owner. Answers to earlier requests are out of date
+// and ignored.
 func (g *Gate) SetLoan(now time.Time, sequence uint64, loan Rates) {
 	if sequence != g.sequence {
 		return
 	}
-	g.fill(now)
-	g.loan, g.until = loan, g.asked.Add(LoanTerm)
+	g.refill(now)
+	g.loan, g.loanExpires = loan, g.requestedAt.Add(LoanTerm)
 }
 
-// Idle says that nothing would be lost with the gate.
+// Idle reports whether the gate can be dropped without loss of state.
 func (g *Gate) Idle(now time.Time) bool {
-	if now.Sub(g.active) < idleAfter {
+	if now.Sub(g.lastAdmit) < idleTimeout {
 		return false
 	}
-	g.fill(now)
+	g.refill(now)
 	return g.requests[tiers-1].level >= 1 && g.tokens[tiers-1].level >= 1
 }
--- a/limiter/gates.go
+++ b/limiter/gates.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Gates is the gates of all organisations at one entry. It is safe for
-// concurrent use. The zero value lets everything in.
+// Gates holds the gates of all organisations at one entry. It is safe for
+// concurrent use. The zero value admits every request.
 type Gates struct {
 	mu     sync.Mutex
 	limits map[string]Rates
@@ -14,14 +14,15 @@
 	gates  map[string]*Gate
 }
 
-// LoanRequest is one ask for a loan.
+// LoanRequest asks the owner of an organisation's limits for a loan.
 type LoanRequest struct {
 	Organisation string
 	Sequence     uint64
 	Demand       Rates
 }
 
-// Configure takes the organisations' limits; those without are not limited.
+// Configure sets the organisations' limits. Organisations that are missing from
+// limits are not limited.
 func (g *Gates) Configure(limits map[string]Rates) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -29,7 +30,7 @@
 	g.configure()
 }
 
-// SetHosts takes the number of hosts.
+// SetHosts sets the number of hosts.
 func (g *Gates) SetHosts(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,8 +48,8 @@
 	}
 }
 
-// Admit lets a request of a tier and of about tokens in, or says when to come
-// back.
+// Admit reports whether an organisation's request of a tier and of about this
+// many tokens is admitted, and if not, after what time to retry.
 func (g *Gates) Admit(now time.Time, organisation string, tier, tokens int) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,7 +69,8 @@
 	return x.Admit(now, tier, tokens)
 }
 
-// Settle charges tokens more, or gives some back.
+// Settle charges further tokens to an organisation; a negative number gives
+// tokens back.
 func (g *Gates) Settle(organisation string, tier, tokens int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +79,7 @@
 	}
 }
 
-// LoanRequests is the asks that are due.
+// LoanRequests returns the loan requests that are due, and drops idle gates.
 func (g *Gates) LoanRequests(now time.Time) []LoanRequest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +94,7 @@
 	return out
 }
 
-// SetLoan takes a loan in.
+// SetLoan applies a loan to the gate of its organisation.
 func (g *Gates) SetLoan(now time.Time, organisation string, sequence uint64, loan Rates) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,7 +103,7 @@
 	}
 }
 
-// Rates is what the organisations at hand may use here now, for a dump.
+// Rates returns the rates in force of each organisation with a gate, for dumps.
 func (g *Gates) Rates(now time.Time) map[string]Rates {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/limiter/limiter_suite_test.go
+++ b/limiter/limiter_suite_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLimiter(t *testing.T) {
-	// The same schedules each time: a verdict must not depend on the run.
+	// A fixed seed: the result must not depend on the run.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -17,34 +17,34 @@
 	org  = "carrier"
 )
 
-// frame is a message under way.
-type frame struct {
+// delayedMessage is a message in transit.
+type delayedMessage struct {
 	at  time.Time
 	run func()
 }
 
-// world is hosts that share one organisation's limit, with messages that take
-// time or get lost, and an owner that can be lost.
-type world struct {
-	now      time.Time
-	limits   limiter.Rates
-	gates    []*limiter.Gate
-	lender   *limiter.Lender
-	since    time.Time
-	up       bool   // the owner is there
-	cut      []bool // hosts that can't reach it
-	frames   []frame
-	delay    time.Duration
-	admitted []int
-	refused  []int
+// simulation is a set of hosts that share one organisation's limit. Messages
+// take time or get lost, and the owner of the limit can be lost.
+type simulation struct {
+	now           time.Time
+	limits        limiter.Rates
+	gates         []*limiter.Gate
+	lender        *limiter.Lender
+	rosterChanged time.Time
+	ownerUp       bool   // the owner can be reached
+	partitioned   []bool // hosts that can't reach the owner
+	inTransit     []delayedMessage
+	delay         time.Duration
+	admitted      []int
+	refused       []int
 }
 
-func newWorld(hosts int, limit float64) *world {
-	w := &world{
-		now: time.Unix(1000, 0), limits: limiter.Rates{Requests: limit}, lender: &limiter.Lender{}, up: true,
-		cut: make([]bool, hosts), admitted: make([]int, hosts), refused: make([]int, hosts),
+func newSimulation(hosts int, limit float64) *simulation {
+	w := &simulation{
+		now: time.Unix(1000, 0), limits: limiter.Rates{Requests: limit}, lender: &limiter.Lender{}, ownerUp: true,
+		partitioned: make([]bool, hosts), admitted: make([]int, hosts), refused: make([]int, hosts),
 	}
-	w.since = w.now.Add(-time.Hour)
+	w.rosterChanged = w.now.Add(-time.Hour)
 	for range hosts {
 		g := &limiter.Gate{}
 		g.Configure(w.limits, hosts)
@@ -53,24 +53,24 @@
 	return w
 }
 
-// lose loses the owner; the next one begins with nothing.
-func (w *world) lose() {
-	w.lender, w.since = &limiter.Lender{}, w.now
+// loseOwner loses the owner; the next one starts without loans.
+func (w *simulation) loseOwner() {
+	w.lender, w.rosterChanged = &limiter.Lender{}, w.now
 }
 
-// tick passes a step, with arrivals at each host.
-func (w *world) tick(arrivals []int) {
+// tick advances time by a step, with arrivals at each host.
+func (w *simulation) tick(arrivals []int) {
 	w.now = w.now.Add(step)
-	later := w.frames[:0]
-	due := []frame{}
-	for _, f := range w.frames {
+	later := w.inTransit[:0]
+	due := []delayedMessage{}
+	for _, f := range w.inTransit {
 		if f.at.After(w.now) {
 			later = append(later, f)
 			continue
 		}
 		due = append(due, f)
 	}
-	w.frames = later
+	w.inTransit = later
 	for _, f := range due {
 		f.run()
 	}
@@ -82,27 +82,27 @@
 				w.refused[i]++
 			}
 		}
-		w.ask(i, g)
+		w.requestLoan(i, g)
 	}
 }
 
-// ask sends a host's ask to the owner, and the answer back.
-func (w *world) ask(i int, g *limiter.Gate) {
+// requestLoan sends a host's loan request to the owner, and the answer back.
+func (w *simulation) requestLoan(i int, g *limiter.Gate) {
 	demand, sequence, due := g.LoanRequest(w.now)
-	if !due || !w.up || w.cut[i] {
+	if !due || !w.ownerUp || w.partitioned[i] {
 		return
 	}
-	w.frames = append(w.frames, frame{at: w.now.Add(w.delay), run: func() {
-		loan, ok := w.lender.Lend(w.now, w.since, org, fmt.Sprint(i), len(w.gates), w.limits, demand)
-		if !ok || w.cut[i] {
+	w.inTransit = append(w.inTransit, delayedMessage{at: w.now.Add(w.delay), run: func() {
+		loan, ok := w.lender.Lend(w.now, w.rosterChanged, org, fmt.Sprint(i), len(w.gates), w.limits, demand)
+		if !ok || w.partitioned[i] {
 			return
 		}
-		w.frames = append(w.frames, frame{at: w.now.Add(w.delay), run: func() { g.SetLoan(w.now, sequence, loan) }})
+		w.inTransit = append(w.inTransit, delayedMessage{at: w.now.Add(w.delay), run: func() { g.SetLoan(w.now, sequence, loan) }})
 	}})
 }
 
-// rate is the sum of what the hosts let in now.
-func (w *world) rate() float64 {
+// rate returns the sum of the rates that the hosts admit now.
+func (w *simulation) rate() float64 {
 	sum := 0.0
 	for _, g := range w.gates {
 		sum += g.Rates(w.now).Requests
@@ -110,7 +110,7 @@
 	return sum
 }
 
-func (w *world) total() int {
+func (w *simulation) total() int {
 	n := 0
 	for _, a := range w.admitted {
 		n += a
@@ -118,21 +118,21 @@
 	return n
 }
 
-// run passes time with the same arrivals at each step.
-func (w *world) run(d time.Duration, arrivals ...int) {
+// run advances time with the same arrivals at each step.
+func (w *simulation) run(d time.Duration, arrivals ...int) {
 	for range d / step {
 		w.tick(arrivals)
 	}
 }
 
-// A carrier's rostering desk sends a wave through every host. Each host knows
-// only its own part: without an owner, nine hosts would let in nine limits.
-var _ = Describe("limits over hosts", func() {
-	It("never add up to more than the bound, whatever is lost", func() {
+// One organisation sends requests through every host, and each host knows only
+// its own part. Without an owner, nine hosts would admit nine times the limit.
+var _ = Describe("Limits over all hosts", func() {
+	It("never exceed the bound, whatever messages and owners are lost", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			hosts := rapid.IntRange(1, 9).Draw(t, "hosts")
 			limit := float64(rapid.IntRange(1, 300).Draw(t, "limit"))
-			w := newWorld(hosts, limit)
+			w := newSimulation(hosts, limit)
 			w.delay = time.Duration(rapid.IntRange(0, 30).Draw(t, "delay")) * step
 			arrivals := make([]int, hosts)
 			var ticks int
@@ -142,33 +142,33 @@
 				}
 				switch rapid.IntRange(0, 5).Draw(t, "event") {
 				case 0:
-					w.lose()
+					w.loseOwner()
 				case 1:
-					w.up = !w.up
+					w.ownerUp = !w.ownerUp
 				case 2:
 					i := rapid.IntRange(0, hosts-1).Draw(t, "host")
-					w.cut[i] = !w.cut[i]
+					w.partitioned[i] = !w.partitioned[i]
 				}
 				for range rapid.IntRange(1, 300).Draw(t, "steps") {
 					w.tick(arrivals)
 					ticks++
 					if r := w.rate(); r > 2*limit+1e-6 {
-						t.Fatalf("the hosts let in %.1f/s of %.1f", r, limit)
+						t.Fatalf("the hosts admit %.1f/s of %.1f", r, limit)
 					}
 				}
 			}
 			length := (time.Duration(ticks) * step).Seconds()
 			if most := 2*limit*length + max(limit, float64(hosts)); float64(w.total()) > most+1 {
-				t.Fatalf("let in %d in %.1fs, bound %.1f", w.total(), length, most)
+				t.Fatalf("admitted %d in %.1fs, bound %.1f", w.total(), length, most)
 			}
 		})
 	})
 
-	It("add up to the limit while the owner is reached, and nothing is asked when idle", func() {
+	It("are not exceeded while the owner can be reached, and idle entries ask for nothing", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			hosts := rapid.IntRange(1, 9).Draw(t, "hosts")
 			limit := float64(rapid.IntRange(hosts, 300).Draw(t, "limit"))
-			w := newWorld(hosts, limit)
+			w := newSimulation(hosts, limit)
 			arrivals := make([]int, hosts)
 			for range 8 {
 				for i := range arrivals {
@@ -188,35 +188,35 @@
 			w.run(limiter.LoanTerm, make([]int, hosts)...)
 			for _, g := range w.gates {
 				if _, _, due := g.LoanRequest(w.now); due {
-					t.Fatalf("an idle entry asks")
+					t.Fatalf("an idle entry asks for a loan")
 				}
 			}
 		})
 	})
 
-	DescribeTable("go where the traffic is",
+	DescribeTable("are lent to the hosts with traffic",
 		func(hosts int, arrivals []int, least, most float64) {
 			const limit = 50.0
-			w := newWorld(hosts, limit)
+			w := newSimulation(hosts, limit)
 			w.delay = step
 			w.run(4*time.Second, arrivals...)
 			before := w.total()
 			w.run(20*time.Second, arrivals...)
 			Expect(float64(w.total()-before) / 20 / limit).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
 		},
-		Entry("all at one of nine hosts", 9, []int{3, 0, 0, 0, 0, 0, 0, 0, 0}, 0.85, 1.01),
-		Entry("alike at nine", 9, []int{1, 1, 1, 1, 1, 1, 1, 1, 1}, 0.9, 1.01),
-		Entry("much at one, little at the rest", 9, []int{4, 1, 1, 1, 1, 1, 1, 1, 1}, 0.85, 1.01),
-		Entry("one host alone", 1, []int{3}, 0.99, 1.01),
+		Entry("all traffic at one of nine hosts", 9, []int{3, 0, 0, 0, 0, 0, 0, 0, 0}, 0.85, 1.01),
+		Entry("equal traffic at nine hosts", 9, []int{1, 1, 1, 1, 1, 1, 1, 1, 1}, 0.9, 1.01),
+		Entry("most traffic at one, little at the others", 9, []int{4, 1, 1, 1, 1, 1, 1, 1, 1}, 0.85, 1.01),
+		Entry("a single host", 1, []int{3}, 0.99, 1.01),
 	)
 
-	// The owner dies while a large customer is at its limit everywhere.
+	// The owner fails while an organisation is at its limit on all hosts.
 	DescribeTable("stay within the bound when the owner is lost",
 		func(gone bool, least, most float64) {
-			w := newWorld(9, 90)
+			w := newSimulation(9, 90)
 			w.run(5*time.Second, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-			w.up = !gone
-			w.lose()
+			w.ownerUp = !gone
+			w.loseOwner()
 			before := w.total()
 			w.run(10*time.Second, 1, 1, 1, 1, 1, 1, 1, 1, 1)
 			Expect(float64(w.total()-before) / 10 / 90).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
@@ -225,8 +225,8 @@
 		Entry("and none can be reached", Label(prover.Cell(prover.Received, prover.CutBoth)), true, 0.9, 1.2),
 	)
 
-	It("let traffic that moves in at once", func() {
-		w := newWorld(9, 90)
+	It("admit traffic that moves to another host immediately", func() {
+		w := newSimulation(9, 90)
 		w.run(5*time.Second, 3, 0, 0, 0, 0, 0, 0, 0, 0)
 		w.run(time.Second, 0, 1, 0, 0, 0, 0, 0, 0, 0)
 		Expect(w.admitted[1]).To(BeNumerically(">=", 9), "a host's even part needn't wait for the loans of others")
@@ -236,9 +236,9 @@
 		Expect(w.admitted[1] - before).To(BeNumerically(">=", 5*75))
 	})
 
-	// The answer that made an entry's loan smaller got lost: the entry goes on with
-	// the larger one until that is over.
-	It("count a loan that an entry may still use", Label(prover.Cell(prover.Received, prover.CutOne)), func() {
+	// The answer that reduced an entry's loan is lost: the entry goes on using
+	// the larger loan until that expires.
+	It("count a previous loan that an entry may still use", Label(prover.Cell(prover.Received, prover.CutOne)), func() {
 		var l limiter.Lender
 		now, since, limit := time.Unix(10000, 0), time.Time{}, limiter.Rates{Requests: 90}
 		lend := func(host string, demand float64) float64 {
@@ -251,11 +251,11 @@
 		Expect(lend("a", 1)).To(BeNumerically("<", large), "this answer is lost")
 		Expect(lend("b", 1000)).To(BeNumerically("<=", 90-large+1e-6))
 		now = now.Add(limiter.LoanTerm)
-		Expect(lend("b", 1000)).To(BeNumerically(">", 60), "the large loan is over")
+		Expect(lend("b", 1000)).To(BeNumerically(">", 60), "the large loan has expired")
 	})
 
-	It("cost a message pair a second for each active host", func() {
-		w := newWorld(1, 1000)
+	It("cost one pair of messages a second for each active host", func() {
+		w := newSimulation(1, 1000)
 		asks := 0
 		for range 1000 {
 			w.now = w.now.Add(step)
@@ -267,9 +267,10 @@
 		Expect(asks).To(BeNumerically("<=", 12))
 	})
 
-	// The desk's chat uses up its organisation's limit. A seat hold of the same
-	// organisation must still get in, and all of it stays within the limit.
-	It("refuse no request for what less urgent ones used", func() {
+	// Requests of the least urgent tier use up their organisation's limit. More
+	// urgent ones of the same organisation must still be admitted, and all
+	// together stay within the limit.
+	It("refuse no request because of less urgent ones", func() {
 		g := &limiter.Gate{}
 		g.Configure(limiter.Rates{Requests: 20, Tokens: 1000}, 1)
 		now := time.Unix(1000, 0)
@@ -285,9 +286,9 @@
 				}
 			}
 		}
-		Expect(admitted[0]).To(Equal(300), "all holds")
+		Expect(admitted[0]).To(Equal(300), "all of the most urgent tier")
 		Expect(admitted[1]).To(Equal(600), "all of the next tier")
-		Expect(admitted[2]).To(And(BeNumerically(">=", 280), BeNumerically("<=", 330)), "chat has what they leave")
+		Expect(admitted[2]).To(And(BeNumerically(">=", 280), BeNumerically("<=", 330)), "the least urgent tier gets the rest")
 	})
 
 	It("charge tokens by estimate and correct them", func() {
@@ -304,7 +305,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("take no answer to an earlier ask", Label(prover.Cell(prover.Received, prover.Reorder)), func() {
+	It("ignore the answer to an earlier loan request", Label(prover.Cell(prover.Received, prover.Reorder)), func() {
 		g := &limiter.Gate{}
 		g.Configure(limiter.Rates{Requests: 100}, 10)
 		now := time.Unix(1000, 0)
@@ -316,12 +317,12 @@
 		g.SetLoan(now.Add(time.Second), second, limiter.Rates{Requests: 20})
 		g.SetLoan(now.Add(time.Second), first, limiter.Rates{Requests: 90})
 		Expect(g.Rates(now.Add(time.Second)).Requests).To(Equal(20.0))
-		Expect(g.Rates(now.Add(time.Second+limiter.LoanTerm)).Requests).To(Equal(10.0), "over: the even part again")
+		Expect(g.Rates(now.Add(time.Second+limiter.LoanTerm)).Requests).To(Equal(10.0), "expired: the even part again")
 	})
 })
 
 var _ = Describe("Gates", func() {
-	It("forgets what is idle, and follows the settings", func() {
+	It("drops idle gates and applies changed limits", func() {
 		var g limiter.Gates
 		now := time.Unix(1000, 0)
 		_, ok := g.Admit(now, org, 1, 1)
