--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -45,8 +45,8 @@
 	return w
 }
 
-// Keep forgets all workers but these.
-func (b *Breaker) Keep(names []string) {
+// Retain forgets all workers but these.
+func (b *Breaker) Retain(names []string) {
 	for name := range b.workers {
 		if !slices.Contains(names, name) {
 			delete(b.workers, name)
@@ -64,16 +64,16 @@
 	return w == nil || w.open == 0 || (!w.probing && !now.Before(w.until))
 }
 
-// Granted notes that a worker got a request.
-func (b *Breaker) Granted(name string) {
+// RecordGrant notes that a worker got a request.
+func (b *Breaker) RecordGrant(name string) {
 	if w := b.workers[name]; w != nil && w.open > 0 {
 		w.probing = true
 	}
 }
 
-// Ended takes how one request ended: the time to its first token, 0 where none
+// RecordEnd takes how one request ended: the time to its first token, 0 where none
 // came, and whether the worker failed it.
-func (b *Breaker) Ended(now time.Time, name string, first time.Duration, failed bool) {
+func (b *Breaker) RecordEnd(now time.Time, name string, first time.Duration, failed bool) {
 	w := b.worker(name)
 	probed := w.probing
 	w.probing = false
@@ -186,11 +186,11 @@
 	if len(b.workers) < 2 {
 		return false
 	}
-	return len(b.Out()) < max(1, len(b.workers)/mostOut)
+	return len(b.Ejected()) < max(1, len(b.workers)/mostOut)
 }
 
-// Out is the workers that are out of use, in name order.
-func (b *Breaker) Out() []string {
+// Ejected is the workers that are out of use, in name order.
+func (b *Breaker) Ejected() []string {
 	var out []string
 	for name, w := range b.workers {
 		if w.open > 0 {
--- a/breaker/breaker_test.go
+++ b/breaker/breaker_test.go
@@ -16,10 +16,10 @@
 // used is a breaker whose workers each ended ten requests in the usual time.
 func used(names ...string) *breaker.Breaker {
 	b := &breaker.Breaker{}
-	b.Keep(names)
+	b.Retain(names)
 	for range 10 {
 		for _, n := range names {
-			b.Ended(begin, n, usual, false)
+			b.RecordEnd(begin, n, usual, false)
 		}
 	}
 	return b
@@ -27,7 +27,7 @@
 
 func fail(b *breaker.Breaker, name string) {
 	for range 3 {
-		b.Ended(begin, name, 0, true)
+		b.RecordEnd(begin, name, 0, true)
 	}
 }
 
@@ -41,9 +41,9 @@
 		Expect(b.Weights([]string{"a"})[0]).To(BeZero())
 		later := begin.Add(3 * time.Second)
 		Expect(b.Allowed(later, "a")).To(BeTrue())
-		b.Granted("a")
+		b.RecordGrant("a")
 		Expect(b.Allowed(later, "a")).To(BeFalse(), "a second probe")
-		b.Ended(later, "a", usual, false)
+		b.RecordEnd(later, "a", usual, false)
 		Expect(b.Allowed(later, "a")).To(BeTrue())
 		Expect(b.Weights([]string{"a"})[0]).To(Equal(1.0))
 	})
@@ -51,8 +51,8 @@
 	It("waits twice as long after a bad probe", func() {
 		b := used("a", "b", "c")
 		fail(b, "a")
-		b.Granted("a")
-		b.Ended(begin.Add(3*time.Second), "a", 0, true)
+		b.RecordGrant("a")
+		b.RecordEnd(begin.Add(3*time.Second), "a", 0, true)
 		Expect(b.Allowed(begin.Add(8*time.Second), "a")).To(BeFalse())
 		Expect(b.Allowed(begin.Add(9*time.Second), "a")).To(BeTrue())
 	})
@@ -62,8 +62,8 @@
 	It("probes again when a probe ended without a result", func() {
 		b := used("a", "b", "c")
 		fail(b, "a")
-		b.Granted("a")
-		b.Ended(begin.Add(3*time.Second), "a", 0, false)
+		b.RecordGrant("a")
+		b.RecordEnd(begin.Add(3*time.Second), "a", 0, false)
 		Expect(b.Allowed(begin.Add(3*time.Second), "a")).To(BeTrue())
 	})
 
@@ -74,7 +74,7 @@
 		for _, n := range []string{"a", "b", "c", "d", "e", "f"} {
 			fail(b, n)
 		}
-		Expect(b.Out()).To(HaveLen(2))
+		Expect(b.Ejected()).To(HaveLen(2))
 		alone := used("a")
 		fail(alone, "a")
 		Expect(alone.Allowed(begin, "a")).To(BeTrue())
@@ -85,12 +85,12 @@
 	It("weighs a slow worker by its speed, and takes out one that stalls", func() {
 		b := used("a", "b", "c")
 		for range 30 {
-			b.Ended(begin, "a", 3*usual, false)
+			b.RecordEnd(begin, "a", 3*usual, false)
 		}
 		Expect(b.Weights([]string{"a"})[0]).To(BeNumerically("~", 1.0/3, 0.02))
 		Expect(b.Allowed(begin, "a")).To(BeTrue())
 		for range 30 {
-			b.Ended(begin, "a", 20*usual, false)
+			b.RecordEnd(begin, "a", 20*usual, false)
 		}
 		Expect(b.Allowed(begin, "a")).To(BeFalse())
 	})
--- a/cmd/oncebench/simulation.go
+++ b/cmd/oncebench/simulation.go
@@ -52,7 +52,7 @@
 	now := time.Unix(1_800_000_000, 0)
 	return &simulation{
 		now: now, end: now.Add(length), rate: rate, random: r, began: map[string]time.Time{},
-		keeper: keeper.New("host", 1, keeper.Settings{Records: 1 << 20}),
+		keeper: keeper.New("host", 1, keeper.Settings{MaxRecords: 1 << 20}),
 	}
 }
 
@@ -77,7 +77,7 @@
 		s.figures.calls++
 		request := fmt.Sprint(s.figures.calls)
 		s.began[request] = s.now
-		s.input(hop, keeper.Asked{Call: keeper.Call{
+		s.input(hop, keeper.CallReceived{Call: keeper.Call{
 			ID: keeper.NewID("org", "service", request), Request: request, From: "entry", Deadline: s.now.Add(10 * time.Second),
 		}})
 		s.arrive()
@@ -102,10 +102,10 @@
 	case keeper.Acquire:
 		s.input(2*hop, keeper.Placed{ID: o.ID, Attempt: o.Attempt})
 	case keeper.Ready:
-		s.input(2*hop, keeper.Went{ID: o.ID, Request: o.Request, OK: true})
+		s.input(2*hop, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true})
 	case keeper.Send:
 		answer := &keeper.Answer{Status: 200, Body: make([]byte, answerSize)}
-		s.input(2*hop+workTime, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: keeper.FateRan, Answer: answer})
+		s.input(2*hop+workTime, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallRan, Answer: answer})
 	case keeper.Reply:
 		took := s.now.Add(hop).Sub(s.began[o.Request]) - workTime - 6*hop
 		s.figures.added = append(s.figures.added, float64(took)/1e6)
@@ -119,14 +119,14 @@
 		}
 		s.write(len(value))
 		s.version++
-		s.input(writeTime, keeper.Wrote{Stamp: o.Head.Stamp, Version: s.version, Result: keeper.Done})
+		s.input(writeTime, keeper.HeadWritten{Stamp: o.Head.Stamp, Version: s.version, Result: keeper.Done})
 	case keeper.WriteSegment:
 		value, err := keeper.EncodeEntries(o.Entries)
 		if err != nil {
 			panic(err)
 		}
 		s.write(len(value))
-		s.input(writeTime, keeper.SegmentWrote{Segment: o.Segment, Result: keeper.Done})
+		s.input(writeTime, keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Done})
 	}
 }
 
--- a/cmd/oncebench/takeover.go
+++ b/cmd/oncebench/takeover.go
@@ -80,12 +80,12 @@
 // open gives a new keeper the log, as its adapter does.
 func open(h keeper.Head, stored [][]byte) (*keeper.Keeper, error) {
 	k, now := keeper.New("host", 2, keeper.Settings{}), time.Unix(1_800_000_000, 0)
-	k.Handle(now, keeper.Asked{Call: keeper.Call{Request: "first", Deadline: now.Add(time.Second)}})
+	k.Handle(now, keeper.CallReceived{Call: keeper.Call{Request: "first", Deadline: now.Add(time.Second)}})
 	var seal keeper.Output
 	for _, o := range k.Handle(now, keeper.HeadRead{Head: h, Version: 1, Result: keeper.Done}) {
 		seal = o
 	}
-	k.Handle(now, keeper.Wrote{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
+	k.Handle(now, keeper.HeadWritten{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
 	for i, s := range h.Segments {
 		entries, err := keeper.DecodeEntries(stored[i])
 		if err != nil {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -237,7 +237,7 @@
 	}
 	g.class.charge(g.ask.Organisation, float64(m.Tokens)-g.tokens)
 	if !d.options.Policy.NoBreaker {
-		d.breaker.Ended(now, g.worker, m.First, m.Failed)
+		d.breaker.RecordEnd(now, g.worker, m.First, m.Failed)
 	}
 	g.judged = true
 }
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -71,7 +71,7 @@
 			delete(d.places, name)
 		}
 	}
-	d.breaker.Keep(d.names)
+	d.breaker.Retain(d.names)
 	d.capacity = float64(d.slots)
 }
 
@@ -154,7 +154,7 @@
 	w.class.fed = now
 	w.class.counts.Granted++
 	w.class.charge(w.ask.Organisation, w.tokens)
-	d.breaker.Granted(p.name)
+	d.breaker.RecordGrant(p.name)
 	d.send(w.from, g.message(d))
 }
 
@@ -181,6 +181,6 @@
 		delete(d.places, p.name)
 	}
 	if !g.judged {
-		d.breaker.Ended(now, g.worker, 0, false)
+		d.breaker.RecordEnd(now, g.worker, 0, false)
 	}
 }
--- a/dispatcher/state.go
+++ b/dispatcher/state.go
@@ -33,7 +33,7 @@
 
 // State returns a copy of the dispatcher's state.
 func (d *Dispatcher) State() State {
-	s := State{Cell: d.cell.Name, Epoch: d.epoch, Waiting: []string{}, Granted: map[string]string{}, Out: d.breaker.Out()}
+	s := State{Cell: d.cell.Name, Epoch: d.epoch, Waiting: []string{}, Granted: map[string]string{}, Out: d.breaker.Ejected()}
 	for id := range d.waiting {
 		s.Waiting = append(s.Waiting, id)
 	}
--- a/keeper/archive.go
+++ b/keeper/archive.go
@@ -18,7 +18,7 @@
 // for both (ABA). The segment is written first and named by a commit after, so
 // what the head names is always there.
 func (k *Keeper) compact(out *outputs, _ time.Time) {
-	if k.archive == nil && sizeOf(k.head.Tail) > k.settings.Tail {
+	if k.archive == nil && sizeOf(k.head.Tail) > k.settings.MaxTailBytes {
 		entries := slices.Clone(k.head.Tail)
 		k.archive = &archive{entries: entries, segment: k.segmentOf(entries, 0)}
 	}
@@ -51,7 +51,7 @@
 // done is a segment that the next commit can name.
 func (a *archive) done() bool { return a != nil && a.stored }
 
-func (k *Keeper) segmentWrote(out *outputs, now time.Time, w SegmentWrote) {
+func (k *Keeper) segmentWrote(out *outputs, now time.Time, w SegmentWritten) {
 	for _, a := range []*archive{k.archive, k.merge.target()} {
 		if a == nil || a.segment != w.Segment {
 			continue
--- a/keeper/commit.go
+++ b/keeper/commit.go
@@ -52,7 +52,7 @@
 // partition puts more calls into each.
 func (k *Keeper) fill(now time.Time) {
 	if !k.filled.IsZero() {
-		k.tokens = min(k.settings.Burst, k.tokens+k.settings.Writes*now.Sub(k.filled).Seconds())
+		k.tokens = min(k.settings.Burst, k.tokens+k.settings.WritesPerSecond*now.Sub(k.filled).Seconds())
 	}
 	k.filled = now
 }
@@ -113,7 +113,7 @@
 
 // wrote takes the end of a write. One whose reply was lost is settled by
 // reading back which stamp the head has, never by assuming.
-func (k *Keeper) wrote(out *outputs, now time.Time, w Wrote) {
+func (k *Keeper) wrote(out *outputs, now time.Time, w HeadWritten) {
 	if k.outlasts() {
 		return
 	}
--- a/keeper/doubt.go
+++ b/keeper/doubt.go
@@ -31,7 +31,7 @@
 		k.undecided(out, c, v)
 		return
 	}
-	if len(k.doubts) >= k.settings.Operations {
+	if len(k.doubts) >= k.settings.MaxOperations {
 		k.undecided(out, c, v)
 		return
 	}
@@ -40,7 +40,7 @@
 
 // undecided tells a call that its key may have run, and when to ask again.
 func (k *Keeper) undecided(out *outputs, c Call, v Verdict) {
-	out.reply(c, Verdict{Kind: KindUnknown, Reason: v.Reason, After: k.settings.Retry, Epoch: v.Epoch})
+	out.reply(c, Verdict{Kind: KindUnknown, Reason: v.Reason, After: k.settings.RetryInterval, Epoch: v.Epoch})
 }
 
 // confirm reads the head for the doubts that no write will confirm. Reads and
--- a/keeper/doubt_test.go
+++ b/keeper/doubt_test.go
@@ -34,9 +34,9 @@
 			Expect(v["r2"].Kind).To(BeElementOf(keeper.KindRan, keeper.KindUnknown))
 		},
 		Entry("place refused", keeper.Settings{}, func(w *world) { w.full = true }),
-		Entry("as many operations as it takes", keeper.Settings{Operations: 1}, func(w *world) {
+		Entry("as many operations as it takes", keeper.Settings{MaxOperations: 1}, func(w *world) {
 			w.faults = append(w.faults, &injection{step: granted, fault: silence})
-			w.input(w.hosts["a"], keeper.Asked{Call: keeper.Call{ID: keeper.NewID("o", "s", "other"), Request: "warm", From: "e1", Deadline: w.now.Add(time.Minute)}})
+			w.input(w.hosts["a"], keeper.CallReceived{Call: keeper.Call{ID: keeper.NewID("o", "s", "other"), Request: "warm", From: "e1", Deadline: w.now.Add(time.Minute)}})
 		}),
 		Entry("store down", keeper.Settings{}, func(w *world) { w.store.downUntil = w.now.Add(time.Second) }),
 		Entry("store down, and known to be", keeper.Settings{}, func(w *world) {
--- a/keeper/fault_test.go
+++ b/keeper/fault_test.go
@@ -243,11 +243,11 @@
 func (w *world) writeSegment(h *host, o keeper.WriteSegment) {
 	w.stored(h, func(down bool) keeper.Input {
 		if down {
-			return keeper.SegmentWrote{Segment: o.Segment, Result: keeper.Down}
+			return keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Down}
 		}
 		w.store.segments[o.Segment] = o.Entries
 		w.store.keep(w.now)
-		return keeper.SegmentWrote{Segment: o.Segment, Result: keeper.Done}
+		return keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Done}
 	})
 }
 
@@ -273,13 +273,13 @@
 }
 
 // answer is a worker's answer on its way back.
-func (w *world) answer(h *host, o keeper.Send, fate keeper.Fate, a *keeper.Answer) {
+func (w *world) answer(h *host, o keeper.Send, fate keeper.CallResult, a *keeper.Answer) {
 	f := w.take(answered)
 	in := func() {
-		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: fate, Answer: a})
+		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: fate, Answer: a})
 	}
 	lose := func() {
-		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: keeper.FateUnknown})
+		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallUnknown})
 	}
 	switch f.kind() {
 	case kill, freeze:
@@ -336,9 +336,9 @@
 }
 
 // put is the conditional write itself.
-func (w *world) put(o keeper.WriteHead) keeper.Wrote {
+func (w *world) put(o keeper.WriteHead) keeper.HeadWritten {
 	if o.Match.Revision() != w.store.version.Revision() {
-		return keeper.Wrote{Stamp: o.Head.Stamp, Result: keeper.Conflict}
+		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Conflict}
 	}
 	for _, s := range o.Head.Segments {
 		if _, ok := w.store.segments[s]; !ok && w.store.era() == 0 {
@@ -350,13 +350,13 @@
 	w.store.head, w.store.version = o.Head, w.store.revision
 	w.store.keep(w.now)
 	if o.Match != 0 && o.Match.Era() != w.store.era() {
-		return keeper.Wrote{Stamp: o.Head.Stamp, Result: keeper.Lost} // its revision was given out again
+		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Lost} // its revision was given out again
 	}
-	return keeper.Wrote{Stamp: o.Head.Stamp, Version: w.store.version, Result: keeper.Done}
+	return keeper.HeadWritten{Stamp: o.Head.Stamp, Version: w.store.version, Result: keeper.Done}
 }
 
 func (w *world) write(h *host, o keeper.WriteHead, f *injection) {
-	lost := keeper.Wrote{Stamp: o.Head.Stamp, Result: keeper.Lost}
+	lost := keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Lost}
 	switch f.kind() {
 	case lostReply:
 		w.put(o)
@@ -374,7 +374,7 @@
 	default:
 		w.stored(h, func(down bool) keeper.Input {
 			if down {
-				return keeper.Wrote{Stamp: o.Head.Stamp, Result: keeper.Down}
+				return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Down}
 			}
 			return w.put(o)
 		})
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -85,9 +85,9 @@
 func (k *Keeper) Handle(now time.Time, in Input) []Output {
 	var out outputs
 	switch in := in.(type) {
-	case Asked:
+	case CallReceived:
 		k.ask(&out, now, in.Call)
-	case Went:
+	case ReadyAnswered:
 		k.went(&out, now, in)
 	case Placed:
 		k.placed(&out, now, in)
@@ -95,20 +95,20 @@
 		k.unplaced(&out, now, in)
 	case Answered:
 		k.answered(&out, now, in)
-	case Wrote:
+	case HeadWritten:
 		k.wrote(&out, now, in)
 	case HeadRead:
 		k.headRead(&out, now, in)
 	case SegmentRead:
 		k.segmentRead(&out, now, in)
-	case SegmentWrote:
+	case SegmentWritten:
 		k.segmentWrote(&out, now, in)
 	case Retired:
 		k.retire(&out, now)
-	case Opened:
+	case LoadRequested:
 		k.retired = false
 		k.open = k.phase == phaseIdle
-	case Restored:
+	case StoreRestored:
 		k.restored(&out, in)
 	case Rejoined:
 		k.rejoin(&out)
@@ -146,7 +146,7 @@
 	switch {
 	case k.down(now):
 		out.reply(c, k.unread(ReasonStore))
-	case len(k.early) >= k.settings.Operations:
+	case len(k.early) >= k.settings.MaxOperations:
 		out.reply(c, k.unread(ReasonBusy))
 	default:
 		k.early = append(k.early, c)
@@ -157,7 +157,7 @@
 // run, but its key may have been, for an earlier request whose answer was lost:
 // to call that "not run" would have a caller book a second time.
 func (k *Keeper) unread(reason string) Verdict {
-	return Verdict{Kind: KindUnknown, Reason: reason, After: k.settings.Retry}
+	return Verdict{Kind: KindUnknown, Reason: reason, After: k.settings.RetryInterval}
 }
 
 // down says that the store was down when last tried, and is not to be tried yet.
@@ -186,7 +186,7 @@
 // outage answers at once what needs the store. An operation whose intent is
 // recorded goes on: it needs the store only for its outcome.
 func (k *Keeper) outage(out *outputs, now time.Time) {
-	k.retryAt = now.Add(k.settings.Retry)
+	k.retryAt = now.Add(k.settings.RetryInterval)
 	if k.phase < phaseLoading {
 		// A seal that still arrives does no harm: the next one goes on top of it.
 		k.phase, k.tried, k.unsure = phaseIdle, nil, false
@@ -201,7 +201,7 @@
 		case op.stage == stageAnswered:
 			k.finish(out, op)
 		case !op.recorded:
-			k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonStore, After: k.settings.Retry})
+			k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonStore, After: k.settings.RetryInterval})
 		}
 	}
 	k.undecide(out, func(d *doubt) bool {
@@ -253,27 +253,27 @@
 	}
 }
 
-// Holds says whether an operation is in flight.
-func (k *Keeper) Holds(id ID) bool { return k.ops[id] != nil }
+// InFlight says whether an operation is in flight.
+func (k *Keeper) InFlight(id ID) bool { return k.ops[id] != nil }
 
 // Summary is a keeper's state in figures, for a dump.
 type Summary struct {
-	Ready      bool   `json:"ready"`
-	Down       bool   `json:"down"` // the store did not answer
-	Epoch      uint64 `json:"epoch"`
-	Operations int    `json:"operations"`
-	Doubts     int    `json:"doubts"` // refusals that wait for the head
-	Sent       int    `json:"sent"`
-	Records    int    `json:"records"`
-	Pending    int    `json:"pending"` // records not yet in the store
-	Segments   int    `json:"segments"`
-	Answers    int    `json:"answers"` // bytes in memory
+	Ready       bool   `json:"ready"`
+	Down        bool   `json:"down"` // the store did not answer
+	Epoch       uint64 `json:"epoch"`
+	Operations  int    `json:"operations"`
+	Unconfirmed int    `json:"doubts"` // refusals that wait for the head
+	Sent        int    `json:"sent"`
+	Records     int    `json:"records"`
+	Pending     int    `json:"pending"` // records not yet in the store
+	Segments    int    `json:"segments"`
+	Answers     int    `json:"answers"` // bytes in memory
 }
 
 // Summary returns the keeper's state in figures.
 func (k *Keeper) Summary() Summary {
 	s := Summary{
-		Ready: k.phase == phaseReady, Down: !k.retryAt.IsZero(), Epoch: k.head.Epoch, Operations: len(k.ops), Doubts: len(k.doubts),
+		Ready: k.phase == phaseReady, Down: !k.retryAt.IsZero(), Epoch: k.head.Epoch, Operations: len(k.ops), Unconfirmed: len(k.doubts),
 		Records: len(k.records), Pending: k.pending.len(), Segments: len(k.head.Segments), Answers: k.answers.bytes,
 	}
 	for _, op := range k.ops {
--- a/keeper/keeping_test.go
+++ b/keeper/keeping_test.go
@@ -58,7 +58,7 @@
 		w := newWorld(keeper.Settings{})
 		w.request(0, "r1", "k1", "seat", "e1")
 		w.after(time.Second, func() { w.handOver() })
-		w.after(2*time.Second, func() { w.input(w.hosts["b"], keeper.Opened{}) })
+		w.after(2*time.Second, func() { w.input(w.hosts["b"], keeper.LoadRequested{}) })
 		w.after(3*time.Second, func() { w.store.downUntil = w.now.Add(5 * time.Second) })
 		w.request(4*time.Second, "r2", "k1", "seat", "e1")
 		w.request(4*time.Second, "r3", "k2", "seat", "e1")
@@ -119,7 +119,7 @@
 	// told that no worker took it, and the entry's first word on it is lost. It must
 	// not run before the entry has spoken.
 	It("does not run a request whose caller has been answered", func() {
-		w := newWorld(keeper.Settings{Tries: 1}, &injection{step: asked, fault: reorder}, &injection{step: asked, fault: cutOne, nth: 1})
+		w := newWorld(keeper.Settings{MaxTries: 1}, &injection{step: asked, fault: reorder}, &injection{step: asked, fault: cutOne, nth: 1})
 		w.refuse = 1
 		w.request(0, "r1", "k1", "seat", "e1")
 		Expect(verdicts(w)["r1"].Kind).To(Equal(keeper.KindNotRun))
@@ -146,7 +146,7 @@
 	// A key comes back long after its record was forgotten. One that carries its
 	// date must not run a second time; it is told that it may have run.
 	It("never runs a dated key again that it has forgotten", func() {
-		w := newWorld(keeper.Settings{Tail: 1, Retention: 2 * time.Second})
+		w := newWorld(keeper.Settings{MaxTailBytes: 1, Retention: 2 * time.Second})
 		old := dated(w.start.Add(-time.Second))
 		w.request(0, "r1", old, "seat", "e1")
 		for i := range 8 {
@@ -168,7 +168,7 @@
 	// merged meanwhile. The next keeper must know the answer of each, and the head
 	// names few segments.
 	It("merges segments and loses nothing", func() {
-		w := newWorld(keeper.Settings{Tail: 1}, &injection{step: sent, fault: slow})
+		w := newWorld(keeper.Settings{MaxTailBytes: 1}, &injection{step: sent, fault: slow})
 		w.request(0, "slow", "slow", "seat", "e1")
 		for i := range 12 {
 			w.request(time.Duration(100*(i+1))*time.Millisecond, fmt.Sprintf("r%d", i), fmt.Sprintf("k%d", i), "seat", "e2")
@@ -190,7 +190,7 @@
 
 	// The write that forgets a record fails. Its key must still be known.
 	It("forgets only what the head has dropped", func() {
-		w := newWorld(keeper.Settings{Tail: 1, Retention: 2 * time.Second})
+		w := newWorld(keeper.Settings{MaxTailBytes: 1, Retention: 2 * time.Second})
 		old := dated(w.start)
 		w.request(0, "r1", old, "seat", "e1")
 		w.request(time.Second, "r2", "k2", "seat", "e1")
@@ -220,8 +220,8 @@
 			}
 			Expect(n).To(Equal(map[string]int{"": taken, reason: 9 - taken}))
 		},
-		Entry("operations", keeper.Settings{Operations: 3}, keeper.ReasonBusy, 4),
-		Entry("records", keeper.Settings{Records: 3}, keeper.ReasonFull, 3),
+		Entry("operations", keeper.Settings{MaxOperations: 3}, keeper.ReasonBusy, 4),
+		Entry("records", keeper.Settings{MaxRecords: 3}, keeper.ReasonFull, 3),
 	)
 
 	// An answer is older than what memory holds, or too large for the log and its
@@ -239,10 +239,10 @@
 			Expect(v["r1"].Kind).To(Equal(keeper.KindRan))
 			Expect(v["r3"].Kind).To(Equal(want))
 		},
-		Entry("large, same keeper", keeper.Settings{Answer: 1}, false, keeper.KindRan),
-		Entry("large, next keeper", keeper.Settings{Answer: 1}, true, keeper.KindGone),
-		Entry("memory full", keeper.Settings{Answers: 800}, false, keeper.KindGone),
-		Entry("memory full, next keeper", keeper.Settings{Answers: 800}, true, keeper.KindGone),
+		Entry("large, same keeper", keeper.Settings{MaxAnswerBytes: 1}, false, keeper.KindRan),
+		Entry("large, next keeper", keeper.Settings{MaxAnswerBytes: 1}, true, keeper.KindGone),
+		Entry("memory full", keeper.Settings{AnswerCacheBytes: 800}, false, keeper.KindGone),
+		Entry("memory full, next keeper", keeper.Settings{AnswerCacheBytes: 800}, true, keeper.KindGone),
 	)
 
 	// A caller's clock is far ahead. Its key would move the floor, under which
@@ -256,7 +256,7 @@
 	// A thousand holds come in one second. Their records share writes: bursts go
 	// out at once, and after that the writes a second are bounded.
 	It("bounds the store's writes", func() {
-		w := newWorld(keeper.Settings{Writes: 5, Burst: 5, Operations: 2000, Tail: 1 << 20})
+		w := newWorld(keeper.Settings{WritesPerSecond: 5, Burst: 5, MaxOperations: 2000, MaxTailBytes: 1 << 20})
 		for i := range 1000 {
 			w.request(time.Duration(i)*time.Millisecond, fmt.Sprintf("r%d", i), fmt.Sprintf("k%d", i), "seat", "e1")
 		}
--- a/keeper/matrix_test.go
+++ b/keeper/matrix_test.go
@@ -74,7 +74,7 @@
 	for _, f := range faults {
 		in = append(in, &f)
 	}
-	w := newWorld(keeper.Settings{Tail: 300}, in...)
+	w := newWorld(keeper.Settings{MaxTailBytes: 300}, in...)
 	w.request(0, "r1", "k1", "seat 4", "e1")
 	w.request(12*time.Millisecond, "r2", "k1", "seat 4", "e2")
 	w.request(13*time.Millisecond, "r0", "k1", "seat 9", "e2")
--- a/keeper/open.go
+++ b/keeper/open.go
@@ -11,7 +11,7 @@
 func (k *Keeper) seal(out *outputs, now time.Time) {
 	c := &commit{head: k.head}
 	c.head.Epoch = epochAfter(k.head.Epoch, k.era)
-	if k.head.older(k.version) || k.version == 0 && k.era > k.settings.Laid {
+	if k.head.older(k.version) || k.version == 0 && k.era > k.settings.LayoutEra {
 		c.head.lose(now)
 	}
 	k.write(out, c)
--- a/keeper/operation.go
+++ b/keeper/operation.go
@@ -123,16 +123,16 @@
 // refuse tells the bounds that a new operation would break.
 func (k *Keeper) refuse(now time.Time, c Call) (Verdict, bool) {
 	no := func(reason string) (Verdict, bool) {
-		return Verdict{Kind: KindNotRun, Reason: reason, After: k.settings.Retry}, true
+		return Verdict{Kind: KindNotRun, Reason: reason, After: k.settings.RetryInterval}, true
 	}
 	switch {
 	case !now.Before(c.Deadline):
 		return no(ReasonDeadline)
 	case !k.retryAt.IsZero(): // until the store has answered again
 		return no(ReasonStore)
-	case len(k.ops) >= k.settings.Operations:
+	case len(k.ops) >= k.settings.MaxOperations:
 		return no(ReasonBusy)
-	case len(k.records)+len(k.ops) >= k.settings.Records:
+	case len(k.records)+len(k.ops) >= k.settings.MaxRecords:
 		return no(ReasonFull)
 	case c.Dated > now.Add(clockSkew).UnixMilli():
 		return no(ReasonFuture)
@@ -201,7 +201,7 @@
 	k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: u.Reason, After: u.After})
 }
 
-func (k *Keeper) went(out *outputs, _ time.Time, w Went) {
+func (k *Keeper) went(out *outputs, _ time.Time, w ReadyAnswered) {
 	op := k.ops[w.ID]
 	if op == nil || op.stage > stagePlaced {
 		return
@@ -246,12 +246,12 @@
 		return
 	}
 	op.release(out)
-	switch a.Fate {
-	case FateRan:
+	switch a.Result {
+	case CallRan:
 		k.ran(out, now, op, a.Answer)
-	case FateNotRun:
+	case CallNotRun:
 		k.again(out, op)
-	case FateUnknown:
+	case CallUnknown:
 		k.note(op.intent)
 		k.end(out, op, Verdict{Kind: KindUnknown})
 	}
@@ -268,7 +268,7 @@
 	}
 	op.outcome = k.entry(now, op, Ran, a)
 	k.note(op.outcome)
-	if a.size() > k.settings.Answer {
+	if a.size() > k.settings.MaxAnswerBytes {
 		// The log has no room for it; memory has, as long as this keeper lives.
 		bare := *op.outcome
 		bare.Answer, op.outcome = nil, &bare
@@ -282,8 +282,8 @@
 // again tries another worker after one that certainly did not run the call. The
 // intent stands, so no other keeper sends it.
 func (k *Keeper) again(out *outputs, op *operation) {
-	if op.tries >= k.settings.Tries || len(op.waiters) == 0 || k.phase != phaseReady {
-		k.drop(out, op, Verdict{Kind: KindNotRun, Reason: ReasonWorkers, After: k.settings.Retry})
+	if op.tries >= k.settings.MaxTries || len(op.waiters) == 0 || k.phase != phaseReady {
+		k.drop(out, op, Verdict{Kind: KindNotRun, Reason: ReasonWorkers, After: k.settings.RetryInterval})
 		return
 	}
 	k.acquire(out, op)
@@ -291,7 +291,7 @@
 
 // age ends the waiting of requests whose deadline is over.
 func (k *Keeper) age(out *outputs, now time.Time, op *operation) {
-	if op.stage == stageAnswered && now.Sub(op.answered) >= k.settings.Grace {
+	if op.stage == stageAnswered && now.Sub(op.answered) >= k.settings.OutcomeGrace {
 		k.finish(out, op)
 		return
 	}
@@ -304,7 +304,7 @@
 		}
 	}
 	if len(over) > 0 && op.stage < stageSent && len(waiting) == 0 {
-		k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, After: k.settings.Retry})
+		k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, After: k.settings.RetryInterval})
 		return
 	}
 	if len(over) > 0 && op.stage == stageAnswered {
--- a/keeper/port.go
+++ b/keeper/port.go
@@ -8,33 +8,33 @@
 
 // Settings bound a keeper. Zero fields take the defaults of WithDefaults.
 type Settings struct {
-	Writes     float64       // commits a second in the long run
-	Burst      float64       // commits that may follow one another at once
-	Operations int           // operations in flight
-	Records    int           // records in memory
-	Answers    int           // bytes of answers in memory
-	Answer     int           // bytes of the largest answer that is kept
-	Tail       int           // bytes of the head's tail before it is archived
-	Retention  time.Duration // for which a record is kept at least
-	Grace      time.Duration // for which an answer waits for its outcome to be recorded
-	Retry      time.Duration // between tries of a store that is down
-	Tries      int           // workers tried when each says that it did not run the call
-	Laid       uint64        // era of the store in which the partitions had no heads yet
+	WritesPerSecond  float64       // commits a second in the long run
+	Burst            float64       // commits that may follow one another at once
+	MaxOperations    int           // operations in flight
+	MaxRecords       int           // records in memory
+	AnswerCacheBytes int           // bytes of answers in memory
+	MaxAnswerBytes   int           // bytes of the largest answer that is kept
+	MaxTailBytes     int           // bytes of the head's tail before it is archived
+	Retention        time.Duration // for which a record is kept at least
+	OutcomeGrace     time.Duration // for which an answer waits for its outcome to be recorded
+	RetryInterval    time.Duration // between tries of a store that is down
+	MaxTries         int           // workers tried when each says that it did not run the call
+	LayoutEra        uint64        // era of the store in which the partitions had no heads yet
 }
 
 // WithDefaults fills the zero fields.
 func (s Settings) WithDefaults() Settings {
-	set(&s.Writes, 12)
-	set(&s.Burst, 2*s.Writes)
-	set(&s.Operations, 512)
-	set(&s.Records, 20_000)
-	set(&s.Answers, 4<<20)
-	set(&s.Answer, 4<<10)
-	set(&s.Tail, 8<<10)
+	set(&s.WritesPerSecond, 12)
+	set(&s.Burst, 2*s.WritesPerSecond)
+	set(&s.MaxOperations, 512)
+	set(&s.MaxRecords, 20_000)
+	set(&s.AnswerCacheBytes, 4<<20)
+	set(&s.MaxAnswerBytes, 4<<10)
+	set(&s.MaxTailBytes, 8<<10)
 	set(&s.Retention, 6*time.Hour)
-	set(&s.Grace, 500*time.Millisecond)
-	set(&s.Retry, 250*time.Millisecond)
-	set(&s.Tries, 8)
+	set(&s.OutcomeGrace, 500*time.Millisecond)
+	set(&s.RetryInterval, 250*time.Millisecond)
+	set(&s.MaxTries, 8)
 	return s
 }
 
@@ -69,11 +69,11 @@
 // Input is what a keeper takes in.
 type Input interface{ input() }
 
-// Asked is a call that arrives.
-type Asked struct{ Call Call }
+// CallReceived is a call that arrives.
+type CallReceived struct{ Call Call }
 
-// Went is an entry's word on Ready: whether it still waits for the request.
-type Went struct {
+// ReadyAnswered is an entry's word on Ready: whether it still waits for the request.
+type ReadyAnswered struct {
 	ID      ID
 	Request string
 	OK      bool
@@ -97,22 +97,22 @@
 type Answered struct {
 	ID      ID
 	Attempt int
-	Fate    Fate
+	Result  CallResult
 	Answer  *Answer // where Fate is FateRan
 }
 
-// Fate is what is known of a call that was sent.
-type Fate uint8
+// CallResult is what is known of a call that was sent.
+type CallResult uint8
 
 // Fates of a call that was sent.
 const (
-	FateRan     Fate = iota + 1
-	FateNotRun       // certainly not run
-	FateUnknown      // may have run
+	CallRan     CallResult = iota + 1
+	CallNotRun             // certainly not run
+	CallUnknown            // may have run
 )
 
-// Wrote is the end of a WriteHead.
-type Wrote struct {
+// HeadWritten is the end of a WriteHead.
+type HeadWritten struct {
 	Stamp   Stamp
 	Version storer.Version
 	Result  Result
@@ -133,8 +133,8 @@
 	Result  Result
 }
 
-// SegmentWrote is the end of a WriteSegment.
-type SegmentWrote struct {
+// SegmentWritten is the end of a WriteSegment.
+type SegmentWritten struct {
 	Segment Segment
 	Result  Result
 }
@@ -142,14 +142,14 @@
 // Retired says that another host owns the partition now.
 type Retired struct{}
 
-// Opened has the keeper read its log before it is asked for, so that it knows it
+// LoadRequested has the keeper read its log before it is asked for, so that it knows it
 // in an outage of the store.
-type Opened struct{}
+type LoadRequested struct{}
 
-// Restored says that the store came back from an older copy of itself.
-type Restored struct {
-	Era   uint64    // that it is in now
-	Owned time.Time // since when this host owns the partition, by its own roster; zero where it does not
+// StoreRestored says that the store came back from an older copy of itself.
+type StoreRestored struct {
+	Era        uint64    // that it is in now
+	OwnedSince time.Time // since when this host owns the partition, by its own roster; zero where it does not
 }
 
 // Rejoined says that this host was declared dead and is back: what the keeper
@@ -159,20 +159,20 @@
 // Ticked lets time pass.
 type Ticked struct{}
 
-func (Asked) input()        {}
-func (Went) input()         {}
-func (Placed) input()       {}
-func (Unplaced) input()     {}
-func (Answered) input()     {}
-func (Wrote) input()        {}
-func (HeadRead) input()     {}
-func (SegmentRead) input()  {}
-func (SegmentWrote) input() {}
-func (Retired) input()      {}
-func (Opened) input()       {}
-func (Restored) input()     {}
-func (Rejoined) input()     {}
-func (Ticked) input()       {}
+func (CallReceived) input()   {}
+func (ReadyAnswered) input()  {}
+func (Placed) input()         {}
+func (Unplaced) input()       {}
+func (Answered) input()       {}
+func (HeadWritten) input()    {}
+func (HeadRead) input()       {}
+func (SegmentRead) input()    {}
+func (SegmentWritten) input() {}
+func (Retired) input()        {}
+func (LoadRequested) input()  {}
+func (StoreRestored) input()  {}
+func (Rejoined) input()       {}
+func (Ticked) input()         {}
 
 // Output is what a keeper wants done.
 type Output interface{ output() }
--- a/keeper/queue.go
+++ b/keeper/queue.go
@@ -76,7 +76,7 @@
 		return
 	}
 	k.answers.push(e)
-	for k.answers.bytes > k.settings.Answers {
+	for k.answers.bytes > k.settings.AnswerCacheBytes {
 		old := k.answers.pop()
 		if k.records[old.ID] == old {
 			bare := *old
--- a/keeper/record.go
+++ b/keeper/record.go
@@ -119,9 +119,9 @@
 	// writer did not know it.
 	Era  uint64 `msgpack:"era"`
 	Last int64  `msgpack:"last"` // the latest At of all that is in the log
-	// Lost is the time, in Unix milliseconds, up to which keys may have run of which the
+	// LostUntil is the time, in Unix milliseconds, up to which keys may have run of which the
 	// log knows nothing; 0 for none.
-	Lost int64 `msgpack:"lost"`
+	LostUntil int64 `msgpack:"lost"`
 }
 
 // Prefix is where partitions live in the Object API.
--- a/keeper/refusal_test.go
+++ b/keeper/refusal_test.go
@@ -41,18 +41,18 @@
 	BeforeEach(func() {
 		now = time.Unix(1_800_000_000, 0)
 		first.Deadline, second.Deadline = now.Add(time.Second), now.Add(time.Minute)
-		k = keeper.New("a", 1, keeper.Settings{Operations: 1})
-		k.Handle(now, keeper.Asked{Call: first})
+		k = keeper.New("a", 1, keeper.Settings{MaxOperations: 1})
+		k.Handle(now, keeper.CallReceived{Call: first})
 		seal := write(k.Handle(now, keeper.HeadRead{Result: keeper.Missing}))
-		Expect(k.Handle(now, keeper.Wrote{Stamp: seal.Head.Stamp, Version: 1, Result: keeper.Done})).To(ContainElement(HaveField("Attempt", 1)))
+		Expect(k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: 1, Result: keeper.Done})).To(ContainElement(HaveField("Attempt", 1)))
 	})
 
 	// The write of the head was under way before the call came in. A successor may
 	// have sealed and run the key between the two, so it says nothing about the call.
 	It("does not trust a write that began before the call", func() {
 		intent := write(k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
-		Expect(told(k.Handle(now, keeper.Asked{Call: second}), "r1").Kind).To(BeZero())
-		out := k.Handle(now, keeper.Wrote{Stamp: intent.Head.Stamp, Version: 2, Result: keeper.Done})
+		Expect(told(k.Handle(now, keeper.CallReceived{Call: second}), "r1").Kind).To(BeZero())
+		out := k.Handle(now, keeper.HeadWritten{Stamp: intent.Head.Stamp, Version: 2, Result: keeper.Done})
 		Expect(told(out, "r1").Kind).To(BeZero())
 		Expect(out).To(ContainElement(keeper.ReadHead{}))
 		out = k.Handle(now, keeper.HeadRead{Head: intent.Head, Version: 2, Result: keeper.Done})
@@ -61,7 +61,7 @@
 
 	// The store hangs. The caller is told at once to ask again, not "not run".
 	It("says unknown when the head is not confirmed in time", func() {
-		Expect(k.Handle(now, keeper.Asked{Call: second})).To(ContainElement(keeper.ReadHead{}))
+		Expect(k.Handle(now, keeper.CallReceived{Call: second})).To(ContainElement(keeper.ReadHead{}))
 		now = now.Add(200 * time.Millisecond)
 		v := told(k.Handle(now, keeper.Ticked{}), "r1")
 		Expect(v.Kind).To(Equal(keeper.KindUnknown))
@@ -83,16 +83,16 @@
 	It("does not say reused for a key that is not in the log", func() {
 		other := first
 		other.Hash, other.Request = keeper.Hash([]byte("b")), "r2"
-		Expect(told(k.Handle(now, keeper.Asked{Call: other}), "r2").Kind).To(BeZero())
+		Expect(told(k.Handle(now, keeper.CallReceived{Call: other}), "r2").Kind).To(BeZero())
 		Expect(told(k.Handle(now, foreign), "r2").Kind).To(Equal(keeper.KindMoved))
 	})
 
 	// The host was declared dead while its keeper read the head. What that read
 	// brings is old: the log is read anew after it, and only then.
 	It("reads anew after a rejoin, one call at a time", func() {
-		Expect(k.Handle(now, keeper.Asked{Call: second})).To(ContainElement(keeper.ReadHead{}))
+		Expect(k.Handle(now, keeper.CallReceived{Call: second})).To(ContainElement(keeper.ReadHead{}))
 		Expect(told(k.Handle(now, keeper.Rejoined{}), "r1").Kind).To(Equal(keeper.KindMoved))
-		Expect(k.Handle(now, keeper.Opened{})).NotTo(ContainElement(keeper.ReadHead{}))
+		Expect(k.Handle(now, keeper.LoadRequested{})).NotTo(ContainElement(keeper.ReadHead{}))
 		out := k.Handle(now, ours)
 		Expect(write(out).Match).To(BeZero())
 		Expect(out).To(ContainElement(keeper.ReadHead{}))
--- a/keeper/restore.go
+++ b/keeper/restore.go
@@ -34,8 +34,8 @@
 // a keeper that was sealed out and has not noticed finds its own head there again, as the
 // seal was lost, and takes its old memory for the whole log. The store can't tell any more;
 // so only who owned the partition all the while goes by its memory.
-func (k *Keeper) restored(out *outputs, in Restored) {
-	if k.phase != phaseIdle && (in.Owned.IsZero() || in.Owned.After(k.readAt)) {
+func (k *Keeper) restored(out *outputs, in StoreRestored) {
+	if k.phase != phaseIdle && (in.OwnedSince.IsZero() || in.OwnedSince.After(k.readAt)) {
 		k.rejoin(out)
 		return
 	}
@@ -56,7 +56,7 @@
 	c := &commit{head: r.Head, entries: k.missing(r.Head)}
 	c.head.Epoch = epochAfter(max(k.head.Epoch, r.Head.Epoch), r.Version.Era())
 	c.head.Floor = max(k.head.Floor, r.Head.Floor)
-	c.head.Lost = max(k.head.Lost, r.Head.Lost)
+	c.head.LostUntil = max(k.head.LostUntil, r.Head.LostUntil)
 	c.head.Tail = replace(slices.Clone(r.Head.Tail), c.entries)
 	for _, op := range k.ops {
 		if op.stage <= stagePlaced {
@@ -140,13 +140,13 @@
 }
 
 // lose notes in a head that keys may have run of which it knows nothing.
-func (h *Head) lose(now time.Time) { h.Lost = max(h.Lost, now.UnixMilli()) }
+func (h *Head) lose(now time.Time) { h.LostUntil = max(h.LostUntil, now.UnixMilli()) }
 
 // mayBeLost says that a key of which the log knows nothing may have run all the same: its
 // record may have been lost with an older copy of the store, and with the memory of the
 // keeper that had it. A key that carries a later time is certainly new.
 func (k *Keeper) mayBeLost(now time.Time, c Call) bool {
-	lost := k.head.Lost
+	lost := k.head.LostUntil
 	switch {
 	case lost == 0 || now.UnixMilli() >= lost+k.settings.Retention.Milliseconds():
 		return false
--- a/keeper/restore_test.go
+++ b/keeper/restore_test.go
@@ -55,7 +55,7 @@
 		w.store.restore(w.now.Add(-age))
 		for name, after := range heard {
 			w.after(after, func() {
-				w.input(w.hosts[name], keeper.Restored{Era: w.store.era(), Owned: w.since(name)})
+				w.input(w.hosts[name], keeper.StoreRestored{Era: w.store.era(), OwnedSince: w.since(name)})
 			})
 		}
 	})
@@ -85,7 +85,7 @@
 // sealed is a keeper that has read a head in an era, and its seal on the way.
 func sealed(now time.Time, era uint64, h keeper.Head) (*keeper.Keeper, keeper.WriteHead) {
 	k := keeper.New("a", 1, keeper.Settings{})
-	k.Handle(now, keeper.Opened{})
+	k.Handle(now, keeper.LoadRequested{})
 	out := k.Handle(now, keeper.HeadRead{Head: h, Version: storer.NewVersion(era, 5), Result: keeper.Done})
 	return k, last[keeper.WriteHead](out)
 }
@@ -106,7 +106,7 @@
 	// Guards against a hold that is booked twice, as its record was lost with the copy and
 	// then with its keeper.
 	It("has again what its keeper knows, also for the next keeper", func() {
-		w := newWorld(keeper.Settings{Tail: 300})
+		w := newWorld(keeper.Settings{MaxTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
 		w.request(4*time.Second, "r2", "k2", "seat 5", "e1")
 		w.after(5*time.Second, func() { w.drill(300*time.Millisecond, 3*time.Second, both) })
@@ -123,7 +123,7 @@
 
 	// Guards against the same where the keeper is lost with the copy: nobody knows any more.
 	It("has no key run of which all that lasted may be gone", func() {
-		w := newWorld(keeper.Settings{Tail: 300})
+		w := newWorld(keeper.Settings{MaxTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
 		w.request(4*time.Second, "r2", "k2", "seat 5", "e1")
 		w.after(5*time.Second, func() {
@@ -142,13 +142,13 @@
 
 	// Guards against refusing keys that are certainly new for as long as records are kept.
 	It("runs a key all the same that carries a time after that", func() {
-		w := newWorld(keeper.Settings{Tail: 300})
+		w := newWorld(keeper.Settings{MaxTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
 		w.after(time.Second, func() {
 			w.drill(300*time.Millisecond, time.Second, both)
 			w.kill(w.hosts[w.owner])
 		})
-		w.after(10*time.Second, func() { w.input(w.hosts["b"], keeper.Opened{}) })
+		w.after(10*time.Second, func() { w.input(w.hosts["b"], keeper.LoadRequested{}) })
 		key := uuidAt(w.start.Add(time.Hour))
 		w.after(58*time.Minute, func() { w.request(0, "r2", key, "seat 5", "e2") })
 		w.after(58*time.Minute, func() { w.request(0, "r3", "k2", "seat 6", "e2") })
@@ -163,10 +163,10 @@
 		now := time.Unix(1_800_000_000, 0)
 		segment := keeper.Segment{Epoch: 1, Sequence: 1, Newest: now.UnixMilli()}
 		k, seal := sealed(now, 0, keeper.Head{Epoch: 1, Segments: []keeper.Segment{segment}})
-		k.Handle(now, keeper.Wrote{Stamp: seal.Head.Stamp, Version: 6, Result: keeper.Done})
+		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: 6, Result: keeper.Done})
 		k.Handle(now, keeper.SegmentRead{Segment: segment, Result: keeper.Missing})
 		Expect(k.Summary().Ready).To(BeTrue())
-		out := k.Handle(now, keeper.Asked{Call: call("k", now)})
+		out := k.Handle(now, keeper.CallReceived{Call: call("k", now)})
 		Expect(out).To(ContainElement(HaveField("Verdict.Reason", keeper.ReasonRestored)))
 	})
 
@@ -175,14 +175,14 @@
 	It("takes keys for run where its own write of before landed after", func() {
 		now := time.Unix(1_800_000_000, 0)
 		k, seal := sealed(now, 0, keeper.Head{})
-		k.Handle(now, keeper.Wrote{Stamp: seal.Head.Stamp, Version: storer.NewVersion(0, 6), Result: keeper.Done})
+		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: storer.NewVersion(0, 6), Result: keeper.Done})
 		first := call("k", now)
-		k.Handle(now, keeper.Asked{Call: first})
+		k.Handle(now, keeper.CallReceived{Call: first})
 		late := last[keeper.WriteHead](k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
-		k.Handle(now, keeper.Wrote{Stamp: late.Head.Stamp, Result: keeper.Lost})
-		k.Handle(now, keeper.Restored{Era: 1, Owned: now.Add(-time.Minute)})
+		k.Handle(now, keeper.HeadWritten{Stamp: late.Head.Stamp, Result: keeper.Lost})
+		k.Handle(now, keeper.StoreRestored{Era: 1, OwnedSince: now.Add(-time.Minute)})
 		out := k.Handle(now, keeper.HeadRead{Head: late.Head, Version: storer.NewVersion(1, 7), Result: keeper.Done})
-		Expect(last[keeper.WriteHead](out).Head.Lost).To(Equal(now.UnixMilli()))
+		Expect(last[keeper.WriteHead](out).Head.LostUntil).To(Equal(now.UnixMilli()))
 	})
 
 	// Guards against what a keeper recorded since the return, and that a late write of an
@@ -190,12 +190,12 @@
 	It("has again what such a write of another keeper replaced", func() {
 		now := time.Unix(1_800_000_000, 0)
 		k, seal := sealed(now, 1, keeper.Head{Epoch: 1, Era: 2})
-		k.Handle(now, keeper.Wrote{Stamp: seal.Head.Stamp, Version: storer.NewVersion(1, 6), Result: keeper.Done})
+		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: storer.NewVersion(1, 6), Result: keeper.Done})
 		first := call("k", now)
-		k.Handle(now, keeper.Asked{Call: first})
+		k.Handle(now, keeper.CallReceived{Call: first})
 		w := last[keeper.WriteHead](k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
-		k.Handle(now, keeper.Wrote{Stamp: w.Head.Stamp, Version: storer.NewVersion(1, 7), Result: keeper.Done})
-		k.Handle(now, keeper.Restored{Era: 1, Owned: now.Add(-time.Minute)}) // it looks
+		k.Handle(now, keeper.HeadWritten{Stamp: w.Head.Stamp, Version: storer.NewVersion(1, 7), Result: keeper.Done})
+		k.Handle(now, keeper.StoreRestored{Era: 1, OwnedSince: now.Add(-time.Minute)}) // it looks
 		theirs := keeper.Head{Epoch: 1, Era: 1, Stamp: keeper.Stamp{Keeper: "b", Incarnation: 1, Write: 3}}
 		out := k.Handle(now, keeper.HeadRead{Head: theirs, Version: storer.NewVersion(1, 8), Result: keeper.Done})
 		again := last[keeper.WriteHead](out)
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -38,7 +38,7 @@
 		late := rapid.Bool().Draw(t, "late")
 		faults = append(faults, &injection{step: c.step, fault: c.fault, nth: nth, late: late})
 	}
-	w := newWorld(keeper.Settings{Tail: rapid.SampledFrom([]int{1, 200, 1 << 15}).Draw(t, "tail")}, faults...)
+	w := newWorld(keeper.Settings{MaxTailBytes: rapid.SampledFrom([]int{1, 200, 1 << 15}).Draw(t, "tail")}, faults...)
 	w.refuse = rapid.IntRange(0, 6).Draw(t, "refused")
 	for i := range rapid.IntRange(1, 20).Draw(t, "requests") {
 		after := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "at")) * time.Millisecond
@@ -55,7 +55,7 @@
 		name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host") // also one that owns nothing
 		w.after(after, func() {
 			if !w.guarded || w.owner == name {
-				w.input(w.hosts[name], keeper.Opened{})
+				w.input(w.hosts[name], keeper.LoadRequested{})
 			}
 		})
 	}
--- a/keeper/waiter.go
+++ b/keeper/waiter.go
@@ -10,8 +10,8 @@
 	bound uint64 // order of the operation that was told to go on; 0 for none
 }
 
-// Ready answers a keeper's question whether the request still waits.
-func (w *Waiter) Ready(r Ready) bool {
+// Confirm answers a keeper's question whether the request still waits.
+func (w *Waiter) Confirm(r Ready) bool {
 	if r.Epoch < w.bound {
 		return false
 	}
@@ -19,9 +19,9 @@
 	return true
 }
 
-// Verdict takes a keeper's word. It returns what the caller is to be told, and
+// Resolve takes a keeper's word. It returns what the caller is to be told, and
 // whether that is the last word; where not, the entry asks the owner again.
-func (w *Waiter) Verdict(v Verdict) (Verdict, bool) {
+func (w *Waiter) Resolve(v Verdict) (Verdict, bool) {
 	switch v.Kind {
 	case KindMoved:
 		return v, false
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -225,11 +225,11 @@
 // arrive is a call at a host.
 func (w *world) arrive(h *host, c keeper.Call) {
 	w.act(&h.actor, func() {
-		if w.guarded && w.owner != h.name && !h.keeper.Holds(c.ID) {
+		if w.guarded && w.owner != h.name && !h.keeper.InFlight(c.ID) {
 			w.perform(h, keeper.Reply{To: c.From, Request: c.Request, Verdict: keeper.Verdict{Kind: keeper.KindMoved, Reason: keeper.ReasonMoved}})
 			return
 		}
-		w.input(h, keeper.Asked{Call: c})
+		w.input(h, keeper.CallReceived{Call: c})
 	})
 }
 
@@ -254,7 +254,7 @@
 		if q.told != nil {
 			return
 		}
-		v, last := q.waiter.Verdict(o.Verdict)
+		v, last := q.waiter.Resolve(o.Verdict)
 		if last {
 			w.tell(q, v)
 			return
@@ -270,16 +270,16 @@
 func (w *world) confirm(h *host, o keeper.Ready) {
 	q := w.requests[o.Request]
 	w.act(&w.entries[o.To].actor, func() {
-		ok := q.told == nil && q.waiter.Ready(o)
+		ok := q.told == nil && q.waiter.Confirm(o)
 		w.frame(asked, o.To, h.name, func() {
-			w.input(w.hosts[h.name], keeper.Went{ID: o.ID, Request: o.Request, OK: ok})
+			w.input(w.hosts[h.name], keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: ok})
 		})
 	})
 }
 
 func (w *world) send(h *host, o keeper.Send, f *injection) {
 	q := w.requests[o.Request]
-	fate := func(after time.Duration, fate keeper.Fate, a *keeper.Answer) {
+	fate := func(after time.Duration, fate keeper.CallResult, a *keeper.Answer) {
 		w.after(after, func() { w.answer(h, o, fate, a) })
 	}
 	work := func() *keeper.Answer {
@@ -288,30 +288,30 @@
 	}
 	if w.refuse > 0 {
 		w.refuse--
-		fate(hop, keeper.FateNotRun, nil)
+		fate(hop, keeper.CallNotRun, nil)
 		return
 	}
 	switch f.kind() {
 	case cutOne:
-		fate(hop, keeper.FateUnknown, nil)
+		fate(hop, keeper.CallUnknown, nil)
 	case cutBoth: // the call was under way when the connection broke
 		w.after(outage, func() { work() })
-		fate(hop, keeper.FateUnknown, nil)
+		fate(hop, keeper.CallUnknown, nil)
 	case silence:
 		work()
-		fate(storeLimit, keeper.FateUnknown, nil)
+		fate(storeLimit, keeper.CallUnknown, nil)
 	case lostReply, crossed:
 		work()
-		fate(workTime, keeper.FateUnknown, nil)
+		fate(workTime, keeper.CallUnknown, nil)
 	case slow:
-		fate(slowness, keeper.FateRan, work())
+		fate(slowness, keeper.CallRan, work())
 	case reorder: // the frames that led to it come again, at once and late
 		for _, late := range []time.Duration{hop, frameLate} {
 			w.after(late, func() { w.input(h, keeper.Placed{ID: o.ID, Attempt: o.Attempt}) })
-			w.after(late, func() { w.input(h, keeper.Went{ID: o.ID, Request: o.Request, OK: true}) })
+			w.after(late, func() { w.input(h, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true}) })
 		}
 		fallthrough
 	default:
-		fate(workTime, keeper.FateRan, work())
+		fate(workTime, keeper.CallRan, work())
 	}
 }
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -78,8 +78,8 @@
 	tier                  int
 }
 
-// First counts the first try of a request.
-func (b *Budgets) First(now time.Time, organisation, service string, tier int) {
+// RecordFirst counts the first try of a request.
+func (b *Budgets) RecordFirst(now time.Time, organisation, service string, tier int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.Policy.withDefaults()
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -37,7 +37,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 				org, service := fmt.Sprint("o", rapid.IntRange(0, 2).Draw(t, "org")), fmt.Sprint("s", rapid.IntRange(0, 1).Draw(t, "service"))
 				if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-					b.First(now, org, service, 1)
+					b.RecordFirst(now, org, service, 1)
 					firsts[org]++
 					firsts[service]++
 				} else if b.Take(now, org, service, 1) {
@@ -59,7 +59,7 @@
 		Expect(b.Take(start, "greedy", "lm", 1)).To(BeTrue())
 		Expect(b.Take(start, "greedy", "lm", 1)).To(BeTrue())
 		Expect(b.Take(start, "modest", "lm", 1)).To(BeFalse(), "the service has none left")
-		b.First(start, "modest", "lm", 1)
+		b.RecordFirst(start, "modest", "lm", 1)
 		Expect(b.Take(start, "greedy", "lm", 1)).To(BeFalse(), "the organisation has none left")
 		Expect(b.Take(start, "modest", "lm", 1)).To(BeTrue(), "and took none of the service's")
 	})
@@ -74,7 +74,7 @@
 	It("stay bounded whatever the names", func() {
 		var b retrier.Budgets
 		for i := range 20000 {
-			b.First(start, fmt.Sprint("o", i), "s", 1)
+			b.RecordFirst(start, fmt.Sprint("o", i), "s", 1)
 			b.Take(start, fmt.Sprint("o", i), fmt.Sprint("s", i), 1)
 		}
 		Expect(b.Len()).To(BeNumerically("<=", 16385))
--- a/retrier/window.go
+++ b/retrier/window.go
@@ -26,8 +26,8 @@
 	at              int64 // the newest step
 }
 
-// First counts a first try.
-func (w *Window) First(now time.Time, p WindowPolicy) {
+// RecordFirst counts a first try.
+func (w *Window) RecordFirst(now time.Time, p WindowPolicy) {
 	w.slide(now, p)
 	w.firsts[w.at%buckets]++
 }
--- a/retrier/window_test.go
+++ b/retrier/window_test.go
@@ -28,7 +28,7 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 				w := &windows[rapid.IntRange(0, hosts-1).Draw(t, "host")]
 				if rapid.IntRange(0, 2).Draw(t, "what") == 0 {
-					w.First(now, p)
+					w.RecordFirst(now, p)
 					seen = append(seen, event{now, false})
 					continue
 				}
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -189,7 +189,7 @@
 		p.windows[e.ask.Service] = w
 	}
 	if !e.again {
-		w.First(now, p.repeat)
+		w.RecordFirst(now, p.repeat)
 		return nil
 	}
 	if !w.Take(now, p.repeat, p.hosts) {
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -83,8 +83,8 @@
 
 func (k *keeping) settings() keeper.Settings {
 	return keeper.Settings{
-		Writes: k.limits.Writes, Operations: k.limits.Operations, Records: k.limits.Records,
-		Answers: k.limits.Answers, Answer: k.limits.Answer, Retention: k.limits.Retention.Std(), Laid: k.layout.Era,
+		WritesPerSecond: k.limits.Writes, MaxOperations: k.limits.Operations, MaxRecords: k.limits.Records,
+		AnswerCacheBytes: k.limits.Answers, MaxAnswerBytes: k.limits.Answer, Retention: k.limits.Retention.Std(), LayoutEra: k.layout.Era,
 	}
 }
 
@@ -124,7 +124,7 @@
 		k.asked(now, from, m)
 	case messenger.OnceGo:
 		if p := k.keepers[m.Partition]; p != nil && len(m.ID) == len(keeper.ID{}) {
-			k.handle(now, p, keeper.Went{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
+			k.handle(now, p, keeper.ReadyAnswered{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
 		}
 	case messenger.OnceReady:
 		k.ready(now, from, m)
@@ -143,7 +143,7 @@
 	p := k.keeperOf(m.Partition)
 	deadline := now.Add(m.Ask.Deadline)
 	p.payloads[m.Request] = payload{message: m, until: deadline}
-	k.handle(now, p, keeper.Asked{Call: keeper.Call{
+	k.handle(now, p, keeper.CallReceived{Call: keeper.Call{
 		ID: keeper.ID(m.ID), Hash: [16]byte(m.Hash), Dated: m.Dated, Request: m.Request, From: from, Deadline: deadline,
 	}})
 }
@@ -167,7 +167,7 @@
 		return true
 	}
 	p := k.keepers[m.Partition]
-	return p != nil && len(m.ID) == len(keeper.ID{}) && p.keeper.Holds(keeper.ID(m.ID))
+	return p != nil && len(m.ID) == len(keeper.ID{}) && p.keeper.InFlight(keeper.ID(m.ID))
 }
 
 // handle gives a keeper an input and does what it wants done, in order: an input
@@ -278,7 +278,7 @@
 	}
 	for _, p := range k.keepers {
 		s := p.keeper.Summary()
-		n += s.Operations + s.Doubts
+		n += s.Operations + s.Unconfirmed
 	}
 	return n
 }
--- a/runner/keeping_due.go
+++ b/runner/keeping_due.go
@@ -24,7 +24,7 @@
 	}
 	for _, p := range k.keepers {
 		s := p.keeper.Summary()
-		if len(p.payloads) > 0 || s.Operations > 0 || s.Pending > 0 || s.Doubts > 0 || s.Down {
+		if len(p.payloads) > 0 || s.Operations > 0 || s.Pending > 0 || s.Unconfirmed > 0 || s.Down {
 			k.soon(now)
 		}
 	}
--- a/runner/keeping_owning.go
+++ b/runner/keeping_owning.go
@@ -27,7 +27,7 @@
 	leaving := slices.ContainsFunc(k.control.roster.Hosts(), func(h registrar.Record) bool { return h.Leaving })
 	for partition, since := range k.owned {
 		if p := k.keeperOf(partition); !leaving && now.Sub(since) >= openAfter && !p.keeper.Summary().Ready {
-			k.handle(now, p, keeper.Opened{})
+			k.handle(now, p, keeper.LoadRequested{})
 		}
 	}
 }
@@ -40,7 +40,7 @@
 			owned = k.owned[partition]
 		}
 		k.log.Info("log after the store came back", zap.Int("partition", partition), zap.Uint64("era", era), zap.Bool("owner", !owned.IsZero()))
-		k.handle(now, p, keeper.Restored{Era: era, Owned: owned})
+		k.handle(now, p, keeper.StoreRestored{Era: era, OwnedSince: owned})
 	}
 	if k.partitions > 0 {
 		go k.relayout(context.Background(), k.layout)
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -97,7 +97,7 @@
 	load, ok := p.payloads[o.Request]
 	if x == nil || x.place == nil || !ok {
 		// Its deadline is over on this very tick: it was not sent.
-		go k.later(p, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: keeper.FateNotRun})
+		go k.later(p, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallNotRun})
 		return
 	}
 	m := load.message
@@ -108,7 +108,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
 		fate, answer, err := k.exchange(ctx, place.Worker.Address, c)
-		k.control.post(callEnded{kept: p, message: m, ended: errors.Is(err, forwarder.ErrEnded), answered: keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: fate, Answer: answer}})
+		k.control.post(callEnded{kept: p, message: m, ended: errors.Is(err, forwarder.ErrEnded), answered: keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: fate, Answer: answer}})
 	}()
 }
 
@@ -126,13 +126,13 @@
 	a := e.answered
 	if x := e.kept.places[attempt{a.ID, a.Attempt}]; x != nil && x.place != nil {
 		x.use = server.Use{
-			Failed: a.Fate != keeper.FateRan, First: now.Sub(x.granted), Ended: e.ended, Took: now.Sub(x.granted),
+			Failed: a.Result != keeper.CallRan, First: now.Sub(x.granted), Ended: e.ended, Took: now.Sub(x.granted),
 			Fingerprint: server.Fingerprint(e.message.Ask.Organisation, e.message.Service, e.message.Method, e.message.Path, e.message.Body),
 		}
 		if a.Answer != nil {
 			x.use.Tokens = len(a.Answer.Body) / 4
 		}
-		if a.Fate == keeper.FateNotRun {
+		if a.Result == keeper.CallNotRun {
 			if len(e.kept.tried) >= mostTried {
 				clear(e.kept.tried)
 			}
@@ -146,23 +146,23 @@
 
 // exchange does one call and tells what is known of it. An answer whose end can't
 // be told from a cut is taken for a cut one.
-func (k *keeping) exchange(ctx context.Context, address string, c forwarder.Call) (keeper.Fate, *keeper.Answer, error) {
+func (k *keeping) exchange(ctx context.Context, address string, c forwarder.Call) (keeper.CallResult, *keeper.Answer, error) {
 	answer, err := k.forward.Do(ctx, address, c)
 	switch {
 	case errors.Is(err, forwarder.ErrNotRun):
-		return keeper.FateNotRun, nil, err
+		return keeper.CallNotRun, nil, err
 	case err != nil:
-		return keeper.FateUnknown, nil, err
+		return keeper.CallUnknown, nil, err
 	}
 	defer answer.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, k.limits.Whole+1))
 	if err != nil || !answer.Framed || !whole(answer.Header, body) {
-		return keeper.FateUnknown, nil, err
+		return keeper.CallUnknown, nil, err
 	}
 	if int64(len(body)) > k.limits.Whole {
-		return keeper.FateRan, tooLarge(k.limits.Whole), nil
+		return keeper.CallRan, tooLarge(k.limits.Whole), nil
 	}
-	return keeper.FateRan, &keeper.Answer{Status: answer.Status, Header: answer.Header, Body: body}, nil
+	return keeper.CallRan, &keeper.Answer{Status: answer.Status, Header: answer.Header, Body: body}, nil
 }
 
 // whole says whether an event stream came to its end mark; it has no length that
--- a/runner/keeping_store.go
+++ b/runner/keeping_store.go
@@ -56,7 +56,7 @@
 			_, err = k.store.Put(ctx, o.Segment.Key(p.partition), value, storer.Condition{})
 		}
 		k.warn("write segment", p, err)
-		k.later(p, keeper.SegmentWrote{Segment: o.Segment, Result: result(err)})
+		k.later(p, keeper.SegmentWritten{Segment: o.Segment, Result: result(err)})
 	case keeper.ReadSegment:
 		k.later(p, k.readSegment(ctx, p, o.Segment))
 	case keeper.DropSegment:
@@ -74,12 +74,12 @@
 	value, err := o.Head.Encode()
 	if err != nil {
 		k.warn("write head", p, err)
-		return keeper.Wrote{Stamp: o.Head.Stamp, Result: keeper.Down}
+		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Down}
 	}
 	k.metrics.bytes(len(value))
 	version, err := k.store.Put(ctx, keeper.HeadKey(p.partition), value, storer.Condition{Match: o.Match, Absent: o.Match == 0})
 	k.warn("write head", p, err)
-	return keeper.Wrote{Stamp: o.Head.Stamp, Version: version, Result: result(err)}
+	return keeper.HeadWritten{Stamp: o.Head.Stamp, Version: version, Result: result(err)}
 }
 
 func (k *keeping) readHead(ctx context.Context, p *kept) keeper.Input {
--- a/runner/rejoining_test.go
+++ b/runner/rejoining_test.go
@@ -28,10 +28,10 @@
 // readyKeeper is a host's keeper that has read its log, which is empty.
 func readyKeeper(now time.Time, c runner.Control) *keeper.Keeper {
 	k := c.Keeper(0)
-	k.Handle(now, keeper.Opened{})
+	k.Handle(now, keeper.LoadRequested{})
 	for _, o := range k.Handle(now, keeper.HeadRead{Result: keeper.Missing}) {
 		if w, ok := o.(keeper.WriteHead); ok {
-			k.Handle(now, keeper.Wrote{Stamp: w.Head.Stamp, Version: 1, Result: keeper.Done})
+			k.Handle(now, keeper.HeadWritten{Stamp: w.Head.Stamp, Version: 1, Result: keeper.Done})
 		}
 	}
 	return k
@@ -95,7 +95,7 @@
 	c := runner.NewControl("a", func(string, messenger.Message) {})
 	k := readyKeeper(now, c)
 	call := keeper.Call{ID: keeper.NewID("o", "s", "k"), Request: "r", From: "e", Deadline: now.Add(time.Minute)}
-	k.Handle(now, keeper.Asked{Call: call})
+	k.Handle(now, keeper.CallReceived{Call: call})
 	k.Handle(now, keeper.Unplaced{ID: call.ID, Attempt: 1})
 	if last != nil {
 		k.Handle(now, last)
--- a/server/serve.go
+++ b/server/serve.go
@@ -39,7 +39,7 @@
 	caller := ctx
 	ctx, cancel := context.WithTimeout(ctx, r.q.deadline)
 	defer cancel()
-	r.server.budgets.First(time.Now(), r.q.organisation, r.q.service, r.q.tier)
+	r.server.budgets.RecordFirst(time.Now(), r.q.organisation, r.q.service, r.q.tier)
 	for {
 		if fail := r.server.heldBack(r.q); fail != nil {
 			return r.end(caller, ctx, fail)
