--- a/observer/directory.go
+++ b/observer/directory.go
@@ -14,8 +14,8 @@
 // Entry is one worker as it describes itself at the source.
 type Entry struct {
 	Listing
-	Born string        // tells a process from the one before it under the same name; may be empty
-	Cold time.Duration // it stays slow for that much longer
+	Incarnation string        // tells a process from the one before it under the same name; may be empty
+	WarmUp      time.Duration // it stays slow for that much longer
 }
 
 // Directory is the workers that registered themselves at a source that may be
@@ -36,8 +36,8 @@
 	older   *Entry    // that word, of an earlier process; nil where the worker is leaving or gone
 }
 
-// Known says that the source was ever read.
-func (d *Directory) Known() bool { return d.listed }
+// Loaded says that the source was ever read.
+func (d *Directory) Loaded() bool { return d.listed }
 
 // Failed takes that the source can't be read. What is known stays.
 func (d *Directory) Failed() { d.away = d.listed }
@@ -147,8 +147,8 @@
 	return swept
 }
 
-// Present is the workers that may get new requests, by service and name.
-func (d *Directory) Present() []Entry {
+// Available is the workers that may get new requests, by service and name.
+func (d *Directory) Available() []Entry {
 	out := []Entry{}
 	for _, r := range d.entries {
 		if r.counts() {
--- a/observer/directory_restored.go
+++ b/observer/directory_restored.go
@@ -31,7 +31,7 @@
 // another process of the worker. Failure: a worker that had restarted is asked where it was
 // before.
 func (r *registered) stands(e Entry) bool {
-	return !r.Leaving && !e.Leaving && r.Born != e.Born && (r.doubted.IsZero() || r.older != nil)
+	return !r.Leaving && !e.Leaving && r.Incarnation != e.Incarnation && (r.doubted.IsZero() || r.older != nil)
 }
 
 // counts says that the worker may get new requests.
@@ -42,7 +42,7 @@
 // left says that an entry's worker is known to be gone or to leave.
 func (d *Directory) left(e Entry) bool {
 	if r := d.entries[e.Name]; r != nil {
-		return r.Born == e.Born && !r.counts()
+		return r.Incarnation == e.Incarnation && !r.counts()
 	}
 	_, gone := d.gone[e.Name]
 	return gone
--- a/observer/directory_test.go
+++ b/observer/directory_test.go
@@ -16,7 +16,7 @@
 	}
 	names := func(d *observer.Directory) []string {
 		out := []string{}
-		for _, e := range d.Present() {
+		for _, e := range d.Available() {
 			out = append(out, e.Name)
 		}
 		return out
@@ -24,10 +24,10 @@
 
 	It("knows nothing before it was told, and forgets at once who goes", func() {
 		var d observer.Directory
-		Expect(d.Known()).To(BeFalse())
+		Expect(d.Loaded()).To(BeFalse())
 		d.Failed()
 		d.Listed(start, []observer.Entry{entry("a", false), entry("b", true), entry("c", false)})
-		Expect(d.Known()).To(BeTrue())
+		Expect(d.Loaded()).To(BeTrue())
 		Expect(names(&d)).To(Equal([]string{"a", "c"}))
 		d.Removed(start, "a")
 		d.Changed(start, entry("c", true))
@@ -93,10 +93,10 @@
 	It("goes on with the last process of a worker, until it is told of another", func() {
 		at := func(address, born string) observer.Entry {
 			e := entry("a", false)
-			e.Address, e.Born = address, born
+			e.Address, e.Incarnation = address, born
 			return e
 		}
-		address := func(d *observer.Directory) string { return d.Present()[0].Address }
+		address := func(d *observer.Directory) string { return d.Available()[0].Address }
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{at("127.0.0.1:1", "0")})
 		d.Changed(start, at("127.0.0.1:2", "1"))
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -180,8 +180,8 @@
 	return out
 }
 
-// Present is a cell with only the workers that may get new work.
-func (o *Observer) Present(now time.Time, c dispatcher.Cell) dispatcher.Cell {
+// Available is a cell with only the workers that may get new work.
+func (o *Observer) Available(now time.Time, c dispatcher.Cell) dispatcher.Cell {
 	c.Workers = slices.DeleteFunc(slices.Clone(c.Workers), func(w loader.Worker) bool {
 		x := o.workers[key{c.Service, w.Name}]
 		return x == nil || !x.present(now)
@@ -191,12 +191,12 @@
 
 // State is what is known of one worker, for operators.
 type State struct {
-	Service string `json:"service"`
-	Name    string `json:"name"`
-	Address string `json:"address"`
-	Present bool   `json:"present"`
-	Why     string `json:"why,omitempty"` // it gets nothing new: list, report or refusal
-	Report  Report `json:"report"`
+	Service   string `json:"service"`
+	Name      string `json:"name"`
+	Address   string `json:"address"`
+	Available bool   `json:"present"`
+	Reason    string `json:"why,omitempty"` // it gets nothing new: list, report or refusal
+	Report    Report `json:"report"`
 }
 
 // States is the state of every worker, in order.
@@ -226,15 +226,15 @@
 }
 
 func (w *worker) state(now time.Time, k key) State {
-	s := State{Service: k.service, Name: k.name, Address: w.Address, Present: w.present(now), Report: w.report}
+	s := State{Service: k.service, Name: k.name, Address: w.Address, Available: w.present(now), Report: w.report}
 	switch {
-	case s.Present:
+	case s.Available:
 	case w.reported:
-		s.Why = "report"
+		s.Reason = "report"
 	case w.listed:
-		s.Why = "list"
+		s.Reason = "list"
 	default:
-		s.Why = "refusal"
+		s.Reason = "refusal"
 	}
 	return s
 }
--- a/observer/observer_test.go
+++ b/observer/observer_test.go
@@ -57,7 +57,7 @@
 func present(o *observer.Observer, now time.Time) string {
 	var names []string
 	for _, c := range dispatcher.CellsOf("lm", o.Services()["lm"]) {
-		for _, w := range o.Present(now, c).Workers {
+		for _, w := range o.Available(now, c).Workers {
 			names = append(names, w.Name)
 		}
 	}
--- a/registrar/bench_test.go
+++ b/registrar/bench_test.go
@@ -57,7 +57,7 @@
 		name := fmt.Sprintf("host-%02d", i)
 		m, cleanMessenger, err := messenger.Open(messenger.Config{Name: name, Incarnation: 1, Address: "127.0.0.1:0"}, func(e messenger.Envelope, msg messenger.Message) {
 			<-h.ready
-			h.r.Hear(e.From, msg)
+			h.r.Receive(e.From, msg)
 		})
 		if err != nil {
 			b.Fatal(err)
@@ -65,8 +65,8 @@
 		defer cleanMessenger()
 		h.m = m
 		h.r = registrar.New(registrar.Config{
-			Self: registrar.Record{Name: name, Zone: fmt.Sprint("z", i%4), Control: m.Address(), Incarnation: 1},
-			Beat: beat, Lease: 20 * time.Second, Store: store, Transport: m, Log: zap.NewNop(), Notify: func(registrar.Roster) {},
+			Self:              registrar.Record{Name: name, Zone: fmt.Sprint("z", i%4), Control: m.Address(), Incarnation: 1},
+			HeartbeatInterval: beat, LeaseDuration: 20 * time.Second, Store: store, Transport: m, Log: zap.NewNop(), Notify: func(registrar.Roster) {},
 		})
 		close(h.ready)
 		tasks.Go(func() { h.r.Run(ctx) })
--- a/registrar/follow.go
+++ b/registrar/follow.go
@@ -56,7 +56,7 @@
 func (r *Registrar) watch(ctx context.Context, after storer.Version) error {
 	until := time.Now().Add(jitter(relistWait))
 	for ctx.Err() == nil && time.Now().Before(until) {
-		if r.config.Turn != nil && !r.config.Turn() {
+		if r.config.ShouldWatch != nil && !r.config.ShouldWatch() {
 			wait(ctx, turnWait)
 			continue
 		}
@@ -94,7 +94,7 @@
 func recordOf(o storer.Object) (Record, bool) {
 	var h Record
 	err := json.Unmarshal(o.Value, &h)
-	h.Parted = false
+	h.Unreachable = false
 	return h, err == nil && h.Name != "" && Prefix+h.Name == o.Key
 }
 
--- a/registrar/members.go
+++ b/registrar/members.go
@@ -149,7 +149,7 @@
 
 func (m *member) record() Record {
 	f := m.fact
-	return Record{Name: f.Name, Zone: f.Zone, Region: f.Region, Control: f.Control, Admin: f.Admin, Incarnation: f.Incarnation, Weight: f.Weight, Leaving: f.Status == leaving, Parted: m.parted}
+	return Record{Name: f.Name, Zone: f.Zone, Region: f.Region, Control: f.Control, Admin: f.Admin, Incarnation: f.Incarnation, Weight: f.Weight, Leaving: f.Status == leaving, Unreachable: m.parted}
 }
 
 // Roster is the hosts that count as alive. A host that was declared dead, or
--- a/registrar/recorder.go
+++ b/registrar/recorder.go
@@ -149,7 +149,7 @@
 
 // renew writes the lease, and now and then the record where the store has another.
 func (c *recorder) renew(ctx context.Context, self Record) error {
-	self.Parted = false
+	self.Unreachable = false
 	if c.stored != self || c.renewals%recordEvery == 0 {
 		if err := c.record(ctx, self); err != nil || c.stored != self {
 			return err
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -28,29 +28,29 @@
 
 // Config is what a Registrar is made with.
 type Config struct {
-	Self      Record
-	Beat      time.Duration // between heartbeats
-	Lease     time.Duration // of this host's lease in the Object API
-	Store     storer.Store
-	Transport Transport
-	Log       *zap.Logger
+	Self              Record
+	HeartbeatInterval time.Duration // between heartbeats
+	LeaseDuration     time.Duration // of this host's lease in the Object API
+	Store             storer.Store
+	Transport         Transport
+	Log               *zap.Logger
 	// Peers is control addresses of other hosts: whom to ask for the roster while
 	// this host knows nobody, as when it starts while the platform is down.
 	Peers []string
-	// Turn says whether this host is to watch the records: those that do pass on what
+	// ShouldWatch says whether this host is to watch the records: those that do pass on what
 	// they learn with their facts. Nil is always.
-	Turn func() bool
+	ShouldWatch func() bool
 	// Notify is called with each new roster. It must not block for long.
 	Notify func(Roster)
 }
 
 // Counts is what a Registrar has seen so far.
 type Counts struct {
-	Alive      int    `json:"alive"`
-	Parted     int    `json:"parted"`
-	Suspicions uint64 `json:"suspicions"`
-	Deaths     uint64 `json:"deaths"` // concluded by this host
-	Rejoins    uint64 `json:"rejoins"`
+	Alive       int    `json:"alive"`
+	Unreachable int    `json:"parted"`
+	Suspicions  uint64 `json:"suspicions"`
+	Deaths      uint64 `json:"deaths"` // concluded by this host
+	Rejoins     uint64 `json:"rejoins"`
 }
 
 // Registrar runs Members: one goroutine owns them, others do the calls of the
@@ -75,10 +75,10 @@
 // New returns a registrar that does nothing yet.
 func New(c Config) *Registrar {
 	r := &Registrar{
-		config: c, members: NewMembers(time.Now(), c.Self, c.Beat), inputs: make(chan func(time.Time) []Output, inputBacklog),
+		config: c, members: NewMembers(time.Now(), c.Self, c.HeartbeatInterval), inputs: make(chan func(time.Time) []Output, inputBacklog),
 		ended: make(chan struct{}), doubting: map[string]bool{},
 	}
-	r.recorder = newRecorder(c.Store, c.Self, c.Lease, c.Log)
+	r.recorder = newRecorder(c.Store, c.Self, c.LeaseDuration, c.Log)
 	return r
 }
 
@@ -90,7 +90,7 @@
 	r.tasks.Go(func() { r.follow(inner) })
 	r.tasks.Go(func() { r.recorder.run(inner) })
 	r.act(inner, []Output{Changed{Roster: r.members.Roster()}})
-	ticker := time.NewTicker(r.config.Beat / TicksPerBeat)
+	ticker := time.NewTicker(r.config.HeartbeatInterval / TicksPerBeat)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -130,13 +130,13 @@
 	return out
 }
 
-// Restored takes that the store came back from an older copy of itself: this host's record
+// StoreRestored takes that the store came back from an older copy of itself: this host's record
 // and lease are looked at soon, and written where they are lost.
-func (r *Registrar) Restored() { r.recorder.restore() }
+func (r *Registrar) StoreRestored() { r.recorder.restore() }
 
-// Hear takes a message of another host. It says whether the message is one of
+// Receive takes a message of another host. It says whether the message is one of
 // membership. It does not block.
-func (r *Registrar) Hear(from string, m messenger.Message) bool {
+func (r *Registrar) Receive(from string, m messenger.Message) bool {
 	switch m.(type) {
 	case messenger.Beat, messenger.Probe, messenger.Suspect, messenger.Vouch, messenger.News, messenger.Sync:
 	default:
@@ -149,9 +149,9 @@
 	return true
 }
 
-// Reach takes the messenger's outcome for an address. It waits for the
+// SetReachable takes the messenger's outcome for an address. It waits for the
 // registrar, so that outcomes keep their order.
-func (r *Registrar) Reach(address string, reachable bool) {
+func (r *Registrar) SetReachable(address string, reachable bool) {
 	for _, h := range r.Roster().hosts {
 		if h.Control == address {
 			r.post(func(now time.Time) []Output { return r.members.Reach(now, h.Name, reachable) })
@@ -171,8 +171,8 @@
 	c := Counts{Suspicions: r.suspicions.Load(), Deaths: r.deaths.Load(), Rejoins: r.rejoins.Load()}
 	for _, h := range r.Roster().hosts {
 		c.Alive++
-		if h.Parted {
-			c.Parted++
+		if h.Unreachable {
+			c.Unreachable++
 		}
 	}
 	return c
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -42,7 +42,7 @@
 	to, cut := e.w.hosts[address], e.w.cut
 	e.w.mu.Unlock()
 	if to != nil && !cut {
-		to.Hear(e.name, m)
+		to.Receive(e.name, m)
 	}
 	return nil
 }
@@ -53,8 +53,8 @@
 // join starts a registrar; the result ends it and waits until it has left.
 func (w *wire) join(store storer.Store, name string, incarnation uint64) (*registrar.Registrar, func()) {
 	r := registrar.New(registrar.Config{
-		Self: registrar.Record{Name: name, Zone: name, Control: name, Incarnation: incarnation},
-		Beat: 50 * time.Millisecond, Lease: w.lease, Turn: w.turn, Store: store, Transport: end{w, name},
+		Self:              registrar.Record{Name: name, Zone: name, Control: name, Incarnation: incarnation},
+		HeartbeatInterval: 50 * time.Millisecond, LeaseDuration: w.lease, ShouldWatch: w.turn, Store: store, Transport: end{w, name},
 		Log: zap.NewNop(), Peers: peers, Notify: func(registrar.Roster) {},
 	})
 	w.mu.Lock()
--- a/registrar/roster.go
+++ b/registrar/roster.go
@@ -24,9 +24,9 @@
 	Leaving     bool   `json:"leaving"`
 	// Weight is the hundredths of a core that the host has; 0 where it does not say.
 	Weight int `json:"weight,omitempty"`
-	// Parted says that the host lives but can't be reached from here. It is this
+	// Unreachable says that the host lives but can't be reached from here. It is this
 	// host's own view and never leaves it.
-	Parted bool `json:"parted,omitempty"`
+	Unreachable bool `json:"parted,omitempty"`
 }
 
 // Roster is the hosts known to be alive, by name. It is never changed once made.
@@ -64,7 +64,7 @@
 	best, weight := -1, uint64(0)
 	hash := xxhash.Sum64String(role)
 	for i := range r.hosts {
-		if r.hosts[i].Leaving || r.hosts[i].Parted {
+		if r.hosts[i].Leaving || r.hosts[i].Unreachable {
 			continue
 		}
 		if w := mix(hash ^ r.hashes[i]); best < 0 || w > weight {
@@ -85,7 +85,7 @@
 	most := 0
 	at := make([]int, 0, len(r.hosts))
 	for i := range r.hosts {
-		if h := &r.hosts[i]; !h.Leaving && !h.Parted {
+		if h := &r.hosts[i]; !h.Leaving && !h.Unreachable {
 			at = append(at, i)
 			most = max(most, h.Weight)
 		}
--- a/relayer/eras_test.go
+++ b/relayer/eras_test.go
@@ -19,8 +19,8 @@
 	// Guards against hosts that take each change for an old one, once revisions went back.
 	It("takes the whole list of a later era, and changes from there", func() {
 		r := listener(object("a", in(1, 9)))
-		Expect(r.HeardAll(start, "w-1", in(2, 7), []storer.Object{object("a", in(2, 5))})).To(BeTrue())
-		fresh, whole := r.Heard(start, "w-1", word(in(2, 7), in(2, 8), object("a", in(2, 8))))
+		Expect(r.ReceivedList(start, "w-1", in(2, 7), []storer.Object{object("a", in(2, 5))})).To(BeTrue())
+		fresh, whole := r.Received(start, "w-1", word(in(2, 7), in(2, 8), object("a", in(2, 8))))
 		Expect(whole).To(BeTrue())
 		Expect(fresh).To(ConsistOf(object("a", in(2, 8))))
 	})
@@ -29,22 +29,22 @@
 	// that watches for them.
 	It("takes nothing of an earlier era, and does not count who is in it", func() {
 		r := listener()
-		_, _ = r.Heard(start, "w-1", word(10, 11))
-		Expect(r.HeardAll(start, "w-2", in(2, 7), nil)).To(BeTrue())
+		_, _ = r.Received(start, "w-1", word(10, 11))
+		Expect(r.ReceivedList(start, "w-2", in(2, 7), nil)).To(BeTrue())
 		Expect(r.Listed(start, 900, nil)).To(BeFalse(), "a list that was on its way")
 		Expect(r.Era()).To(BeEquivalentTo(2))
-		fresh, whole := r.Heard(start, "w-1", word(11, 12, object("a", 12)))
+		fresh, whole := r.Received(start, "w-1", word(11, 12, object("a", 12)))
 		Expect(whole).To(BeFalse())
 		Expect(fresh).To(BeEmpty())
-		Expect(r.HeardAll(start, "w-1", 900, nil)).To(BeFalse())
-		r.Blind("w-2")
-		Expect(r.Hearing(start)).To(BeFalse())
+		Expect(r.ReceivedList(start, "w-1", 900, nil)).To(BeFalse())
+		r.WatcherLost("w-2")
+		Expect(r.HasWatcher(start)).To(BeFalse())
 	})
 
 	// Guards against a host that stays in an earlier era, as nobody tells it of the list.
 	It("calls the store where it hears only changes of a later era", func() {
 		r := listener()
-		_, whole := r.Heard(start, "w-1", word(in(2, 7), in(2, 8), object("a", in(2, 8))))
+		_, whole := r.Received(start, "w-1", word(in(2, 7), in(2, 8), object("a", in(2, 8))))
 		Expect(whole).To(BeFalse())
 		_, call, behind := r.Next(start.Add(100 * time.Millisecond))
 		Expect(call).To(BeTrue())
@@ -84,7 +84,7 @@
 	return next
 }
 
-func (h *history) word(after, upto int) relayer.Word {
+func (h *history) word(after, upto int) relayer.Update {
 	return word(in(h.era, uint64(after)), in(h.era, uint64(upto)), h.changes[after:upto]...)
 }
 
@@ -132,12 +132,12 @@
 		}
 		upto := r.IntN(len(h.changes))
 		if r.IntN(6) == 0 {
-			if relay.HeardAll(start, from, in(h.era, uint64(upto)), h.list(upto)) {
+			if relay.ReceivedList(start, from, in(h.era, uint64(upto)), h.list(upto)) {
 				adopt(h, upto)
 			}
 			continue
 		}
-		fresh, _ := relay.Heard(start, from, h.word(r.IntN(upto+1), upto))
+		fresh, _ := relay.Received(start, from, h.word(r.IntN(upto+1), upto))
 		take(fresh)
 	}
 	end := len(second.changes)
--- a/relayer/ledger.go
+++ b/relayer/ledger.go
@@ -29,7 +29,7 @@
 
 // take takes a word and returns its changes that are new; false where something
 // before it is missing.
-func (l *ledger) take(w Word) ([]storer.Object, bool) {
+func (l *ledger) take(w Update) ([]storer.Object, bool) {
 	if w.After > l.upto || w.Upto.Era() != l.upto.Era() {
 		return nil, false
 	}
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -22,31 +22,31 @@
 	// watchers is how many hosts watch for all, at most: one may be frozen and another
 	// cut off from the store in the moment that a third is missed.
 	watchers = 3
-	// BeatEvery is how often a watcher says that it is up to date.
-	BeatEvery = 400 * time.Millisecond
+	// HeartbeatInterval is how often a watcher says that it is up to date.
+	HeartbeatInterval = 400 * time.Millisecond
 	// silence is how long a watcher may say nothing before it does not count any more:
 	// three beats. A change has to be known within 2 s.
-	silence = 3 * BeatEvery
+	silence = 3 * HeartbeatInterval
 	// catchAfter is how long a host waits for a word that it missed: it may be on its
 	// way on another connection.
 	catchAfter = 50 * time.Millisecond
-	// WatchWait is how long a watch waits. Failure: the store drops its history while
+	// WatchTimeout is how long a watch waits. Failure: the store drops its history while
 	// changes are made, and a watch that waits hears nothing of them and is not told;
 	// or it turns a watcher away by silence. A change is to be in force within seconds,
 	// so that no watch may wait much longer. Each costs one read.
-	WatchWait = 750 * time.Millisecond
+	WatchTimeout = 750 * time.Millisecond
 	// joinFor is how long after its first list a host does not watch. Failure: all hosts come
 	// back at once, each knows only itself, and all watch all lists for all. By then it knows
 	// the others, and a watcher's first word was due.
-	joinFor = BeatEvery + 100*time.Millisecond
+	joinFor = HeartbeatInterval + 100*time.Millisecond
 	// answerAge is how old a watcher's last answer of the store may be for it to speak:
 	// a watch and the slowest answer of a store in trouble.
-	answerAge = WatchWait + 400*time.Millisecond
+	answerAge = WatchTimeout + 400*time.Millisecond
 )
 
-// Word is all that changed in a list after one version of the store, up to another of the
+// Update is all that changed in a list after one version of the store, up to another of the
 // same era.
-type Word struct {
+type Update struct {
 	After, Upto storer.Version
 	Changed     []storer.Object // in the order of their revisions
 }
@@ -70,8 +70,8 @@
 	return &Relay{self: self, list: list, turn: true, heard: map[string]time.Time{}}
 }
 
-// Enroll takes the hosts that are there, and from them whose turn it is to watch.
-func (r *Relay) Enroll(hosts registrar.Roster) {
+// SetHosts takes the hosts that are there, and from them whose turn it is to watch.
+func (r *Relay) SetHosts(hosts registrar.Roster) {
 	owners := hosts.Owners(r.list, watchers)
 	r.turn = len(owners) == 0 || slices.ContainsFunc(owners, func(h registrar.Record) bool { return h.Name == r.self })
 	for host := range r.heard {
@@ -97,15 +97,15 @@
 	age := now.Sub(r.joined)
 	switch {
 	case r.spoken:
-		return r.turn || !r.Hearing(now)
+		return r.turn || !r.HasWatcher(now)
 	case r.turn:
 		return age >= joinFor
 	}
 	return age >= silence
 }
 
-// Hearing says that a watcher whom the store answers was heard of lately.
-func (r *Relay) Hearing(now time.Time) bool {
+// HasWatcher says that a watcher whom the store answers was heard of lately.
+func (r *Relay) HasWatcher(now time.Time) bool {
 	for _, at := range r.heard {
 		if now.Sub(at) < silence {
 			return true
@@ -131,7 +131,7 @@
 }
 
 // Watched takes an answer of the store, and returns what was not known before.
-func (r *Relay) Watched(now time.Time, w Word) []storer.Object {
+func (r *Relay) Watched(now time.Time, w Update) []storer.Object {
 	r.answered = now
 	fresh, _ := r.ledger.take(w)
 	r.settle(now)
@@ -141,15 +141,15 @@
 // Failed takes that a call of the store failed.
 func (r *Relay) Failed() { r.answered = time.Time{} }
 
-// Blind takes that the store does not answer another host any more, or that it does
+// WatcherLost takes that the store does not answer another host any more, or that it does
 // not watch any more. Failure: the store turns away just those that watch, by
 // silence. Their last words would count for as long as words do.
-func (r *Relay) Blind(from string) { delete(r.heard, from) }
+func (r *Relay) WatcherLost(from string) { delete(r.heard, from) }
 
-// Heard takes another host's word, and returns what was not known before. Where
+// Received takes another host's word, and returns what was not known before. Where
 // something before it is missing, or it is of another era, nothing of it is taken, and it
 // returns false. A host that is still in an earlier era watches for nobody.
-func (r *Relay) Heard(now time.Time, from string, w Word) ([]storer.Object, bool) {
+func (r *Relay) Received(now time.Time, from string, w Update) ([]storer.Object, bool) {
 	r.told = max(r.told, w.After)
 	fresh, whole := r.ledger.take(w)
 	switch {
@@ -162,10 +162,10 @@
 	return fresh, whole
 }
 
-// HeardAll takes another host's word of the whole list, as the store had it when it came
+// ReceivedList takes another host's word of the whole list, as the store had it when it came
 // back from an older copy, and says whether it is news. Failure: all hosts of a fleet ask
 // the store in the moment in which it is back.
-func (r *Relay) HeardAll(now time.Time, from string, upto storer.Version, all []storer.Object) bool {
+func (r *Relay) ReceivedList(now time.Time, from string, upto storer.Version, all []storer.Object) bool {
 	if upto <= r.ledger.upto || r.joined.IsZero() {
 		return false
 	}
@@ -189,10 +189,10 @@
 	}
 }
 
-// Beat is the word that a watcher is up to date; false where this host can't say so.
-func (r *Relay) Beat(now time.Time) (Word, bool) {
+// Heartbeat is the word that a watcher is up to date; false where this host can't say so.
+func (r *Relay) Heartbeat(now time.Time) (Update, bool) {
 	if !r.turn || r.answered.IsZero() || now.Sub(r.answered) > answerAge {
-		return Word{}, false
+		return Update{}, false
 	}
-	return Word{After: r.ledger.upto, Upto: r.ledger.upto}, true
+	return Update{After: r.ledger.upto, Upto: r.ledger.upto}, true
 }
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -23,8 +23,8 @@
 	return storer.Object{Key: key, Version: version, Deleted: true}
 }
 
-func word(after, upto storer.Version, changed ...storer.Object) relayer.Word {
-	return relayer.Word{After: after, Upto: upto, Changed: changed}
+func word(after, upto storer.Version, changed ...storer.Object) relayer.Update {
+	return relayer.Update{After: after, Upto: upto, Changed: changed}
 }
 
 // fleet is a roster of so many hosts.
@@ -40,7 +40,7 @@
 func listener(objects ...storer.Object) *relayer.Relay {
 	for i := range 74 {
 		r := relayer.New(fmt.Sprintf("h-%02d", i), "list")
-		r.Enroll(fleet(74))
+		r.SetHosts(fleet(74))
 		if !r.Watching() {
 			r.Listed(start, 10, objects)
 			return r
@@ -55,23 +55,23 @@
 		for i := range 74 {
 			r := relayer.New(fmt.Sprintf("h-%02d", i), "list")
 			Expect(r.Watching()).To(BeTrue())
-			r.Enroll(fleet(74))
+			r.SetHosts(fleet(74))
 			if r.Watching() {
 				watching++
 			}
 		}
 		Expect(watching).To(And(BeNumerically(">=", 1), BeNumerically("<=", 3)))
 		alone := relayer.New("h-00", "list")
-		alone.Enroll(fleet(1))
+		alone.SetHosts(fleet(1))
 		Expect(alone.Watching()).To(BeTrue())
 	})
 
 	It("takes each change once, whoever tells of it and how often", func() {
 		r := listener()
-		fresh, whole := r.Heard(start, "w-1", word(10, 12, object("a", 11), object("b", 12)))
+		fresh, whole := r.Received(start, "w-1", word(10, 12, object("a", 11), object("b", 12)))
 		Expect(whole).To(BeTrue())
 		Expect(fresh).To(HaveLen(2))
-		fresh, whole = r.Heard(start, "w-1", word(9, 13, object("a", 11), object("b", 12), object("c", 13)))
+		fresh, whole = r.Received(start, "w-1", word(9, 13, object("a", 11), object("b", 12), object("c", 13)))
 		Expect(whole).To(BeTrue())
 		Expect(fresh).To(ConsistOf(object("c", 13)))
 	})
@@ -80,14 +80,14 @@
 	// of workers that leave, and requests are sent to them for as long.
 	It("has a host call the store itself once the watchers fall silent", func() {
 		r := listener()
-		r.Heard(start, "w-1", word(10, 10))
+		r.Received(start, "w-1", word(10, 10))
 		_, call, _ := r.Next(start.Add(1100 * time.Millisecond))
 		Expect(call).To(BeFalse())
 		after, call, behind := r.Next(start.Add(1300 * time.Millisecond))
 		Expect(call).To(BeTrue())
 		Expect(behind).To(BeFalse())
 		Expect(after).To(BeEquivalentTo(10))
-		r.Heard(start.Add(1700*time.Millisecond), "w-1", word(10, 10))
+		r.Received(start.Add(1700*time.Millisecond), "w-1", word(10, 10))
 		_, call, _ = r.Next(start.Add(1800 * time.Millisecond))
 		Expect(call).To(BeFalse())
 	})
@@ -115,25 +115,25 @@
 	It("has a host call the store itself once no watcher is answered", func() {
 		r := listener()
 		for _, w := range []string{"w-1", "w-2", "w-3"} {
-			r.Heard(start, w, word(10, 10))
+			r.Received(start, w, word(10, 10))
 		}
 		calls := func(after time.Duration) bool {
 			_, call, _ := r.Next(start.Add(after))
 			return call
 		}
-		r.Blind("w-1")
-		r.Blind("w-2")
+		r.WatcherLost("w-1")
+		r.WatcherLost("w-2")
 		Expect(calls(100 * time.Millisecond)).To(BeFalse())
-		r.Blind("w-3")
+		r.WatcherLost("w-3")
 		Expect(calls(100 * time.Millisecond)).To(BeTrue())
 	})
 
 	It("does not count on a watcher that has left the roster", func() {
 		r := listener()
-		r.Heard(start, "gone", word(10, 10))
+		r.Received(start, "gone", word(10, 10))
 		_, call, _ := r.Next(start)
 		Expect(call).To(BeFalse())
-		r.Enroll(fleet(74))
+		r.SetHosts(fleet(74))
 		_, call, _ = r.Next(start)
 		Expect(call).To(BeTrue())
 	})
@@ -141,8 +141,8 @@
 	// A word is lost with its connection. What follows must not hide the change in it.
 	It("takes nothing after a gap, and has the host ask for what is missing", func() {
 		r := listener()
-		r.Heard(start, "w-1", word(10, 10))
-		fresh, whole := r.Heard(start, "w-1", word(14, 15, object("c", 15)))
+		r.Received(start, "w-1", word(10, 10))
+		fresh, whole := r.Received(start, "w-1", word(14, 15, object("c", 15)))
 		Expect(whole).To(BeFalse())
 		Expect(fresh).To(BeEmpty())
 		_, call, _ := r.Next(start.Add(10 * time.Millisecond))
@@ -160,25 +160,25 @@
 	// since; requests would go to whoever has its address now.
 	It("does not bring back what is gone by a word that comes late", func() {
 		r := listener(object("a", 5))
-		r.Heard(start, "w-1", word(10, 12, object("a", 11)))
-		fresh, _ := r.Heard(start, "w-1", word(12, 13, gone("a", 11)))
+		r.Received(start, "w-1", word(10, 12, object("a", 11)))
+		fresh, _ := r.Received(start, "w-1", word(12, 13, gone("a", 11)))
 		Expect(fresh).To(HaveLen(1))
-		fresh, _ = r.Heard(start, "w-1", word(10, 11, object("a", 11)))
+		fresh, _ = r.Received(start, "w-1", word(10, 11, object("a", 11)))
 		Expect(fresh).To(BeEmpty())
 		r.Listed(start, 20, nil)
-		fresh, _ = r.Heard(start, "w-1", word(10, 19, object("b", 18)))
+		fresh, _ = r.Received(start, "w-1", word(10, 19, object("b", 18)))
 		Expect(fresh).To(BeEmpty(), "the list at 20 has no b")
-		fresh, _ = r.Heard(start, "w-1", word(20, 22, object("a", 22)))
+		fresh, _ = r.Received(start, "w-1", word(20, 22, object("a", 22)))
 		Expect(fresh).To(HaveLen(1), "registered anew")
-		fresh, _ = r.Heard(start, "w-1", word(11, 13, gone("a", 11)))
+		fresh, _ = r.Received(start, "w-1", word(11, 13, gone("a", 11)))
 		Expect(fresh).To(BeEmpty())
 	})
 
 	It("asks again for what words told while an older list was on its way", func() {
 		r := listener(object("a", 5))
-		r.Heard(start, "w-1", word(10, 15, gone("a", 14)))
+		r.Received(start, "w-1", word(10, 15, gone("a", 14)))
 		r.Listed(start, 12, []storer.Object{object("a", 5)})
-		r.Heard(start, "w-1", word(15, 15))
+		r.Received(start, "w-1", word(15, 15))
 		after, call, behind := r.Next(start.Add(100 * time.Millisecond))
 		Expect(call && behind).To(BeTrue())
 		Expect(after).To(BeEquivalentTo(12))
@@ -186,17 +186,17 @@
 
 	It("has a watcher speak only while the store answers it", func() {
 		r := relayer.New("h-00", "list")
-		_, ok := r.Beat(start)
+		_, ok := r.Heartbeat(start)
 		Expect(ok).To(BeFalse())
 		r.Listed(start, 10, nil)
-		w, ok := r.Beat(start.Add(time.Second))
+		w, ok := r.Heartbeat(start.Add(time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(w).To(Equal(word(10, 10)))
-		_, ok = r.Beat(start.Add(1200 * time.Millisecond))
+		_, ok = r.Heartbeat(start.Add(1200 * time.Millisecond))
 		Expect(ok).To(BeFalse())
 		r.Listed(start, 10, nil)
 		r.Failed()
-		_, ok = r.Beat(start)
+		_, ok = r.Heartbeat(start)
 		Expect(ok).To(BeFalse())
 	})
 
@@ -260,7 +260,7 @@
 	for range 80 {
 		after := storer.Version(r.IntN(int(end)))
 		upto := after + storer.Version(r.IntN(int(end-after)+1))
-		switch fresh, _ := relay.Heard(start, "w-1", word(after, upto, between(after, upto)...)); r.IntN(20) {
+		switch fresh, _ := relay.Received(start, "w-1", word(after, upto, between(after, upto)...)); r.IntN(20) {
 		case 0:
 			take(fresh)
 			relist(storer.Version(r.IntN(int(end))))
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -220,7 +220,7 @@
 	}
 	before, listened := p.roster, p.deciding.listeners
 	p.roster = r
-	p.relay.Enroll(r)
+	p.relay.SetHosts(r)
 	p.deciding.enroll(r)
 	p.catchUp(now, before, listened)
 	p.quarantine.enroll(now, r)
@@ -231,9 +231,9 @@
 // setWorkers gives the view the workers that may get requests.
 func (p *choosing) setWorkers(now time.Time) {
 	var workers []placer.Worker
-	for _, e := range p.directory.Present() {
+	for _, e := range p.directory.Available() {
 		w := placer.Worker{
-			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, Cold: e.Cold, Born: e.Born,
+			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, Cold: e.WarmUp, Born: e.Incarnation,
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
--- a/runner/entries.go
+++ b/runner/entries.go
@@ -49,7 +49,7 @@
 // callNext is the relay's answer to next.
 func (p *choosing) callNext(now time.Time) callNext {
 	after, call, behind := p.relay.Next(now)
-	n := callNext{after: after, call: call, wait: relayer.WatchWait, forAll: p.relay.Watching()}
+	n := callNext{after: after, call: call, wait: relayer.WatchTimeout, forAll: p.relay.Watching()}
 	if behind {
 		n.wait = catchWait
 	}
@@ -63,7 +63,7 @@
 		p.relay.Failed()
 		p.beat(now)
 		// While the watchers speak, the store is there, if not for this host.
-		if !p.relay.Hearing(now) {
+		if !p.relay.HasWatcher(now) {
 			p.directory.Failed()
 		}
 	case e.whole:
@@ -77,7 +77,7 @@
 }
 
 // list takes all entries, as this host's own call brought them.
-func (p *choosing) list(now time.Time, w relayer.Word) {
+func (p *choosing) list(now time.Time, w relayer.Update) {
 	restored := p.known.Load() && w.Upto.Era() > p.relay.Era()
 	if !p.relay.Listed(now, w.Upto, w.Changed) {
 		p.log.Info("list of an earlier era left out", zap.Stringer("version", w.Upto), zap.Uint64("era", p.relay.Era()))
@@ -107,7 +107,7 @@
 	upto := storer.Version(e.entries.Upto)
 	restored := upto.Era() > p.relay.Era()
 	objects := objectsOf(e.entries.All)
-	if !p.relay.HeardAll(now, e.from, upto, objects) {
+	if !p.relay.ReceivedList(now, e.from, upto, objects) {
 		return
 	}
 	p.log.Info("workers told after the store came back", zap.String("from", e.from), zap.Stringer("version", upto), zap.Int("entries", len(objects)))
@@ -120,12 +120,12 @@
 // hearWord takes another host's word of the entries.
 func (p *choosing) hearWord(now time.Time, e wordHeard) {
 	if e.word.Blind {
-		p.relay.Blind(e.from)
+		p.relay.WatcherLost(e.from)
 		p.takeTurn(now, "watcher blind")
 		return
 	}
-	w := relayer.Word{After: storer.Version(e.word.After), Upto: storer.Version(e.word.Upto), Changed: objectsOf(e.word.Changed)}
-	if fresh, whole := p.relay.Heard(now, e.from, w); whole {
+	w := relayer.Update{After: storer.Version(e.word.After), Upto: storer.Version(e.word.Upto), Changed: objectsOf(e.word.Changed)}
+	if fresh, whole := p.relay.Received(now, e.from, w); whole {
 		p.change(now, fresh)
 	}
 }
@@ -146,7 +146,7 @@
 }
 
 // spread tells all other hosts a word.
-func (p *choosing) spread(w relayer.Word) {
+func (p *choosing) spread(w relayer.Update) {
 	p.toOthers(messenger.Word{After: uint64(w.After), Upto: uint64(w.Upto), Changed: changesOf(w.Changed)})
 }
 
@@ -171,9 +171,9 @@
 // beat tells the others that this host, if it watches for them, is up to date, and
 // at once when it is so no more.
 func (p *choosing) beat(now time.Time) {
-	w, ok := p.relay.Beat(now)
+	w, ok := p.relay.Heartbeat(now)
 	switch {
-	case ok && now.Sub(p.beaten) >= relayer.BeatEvery:
+	case ok && now.Sub(p.beaten) >= relayer.HeartbeatInterval:
 		p.beaten, p.watching = now, true
 		p.spread(w)
 	case !ok && p.watching:
--- a/runner/host.go
+++ b/runner/host.go
@@ -116,7 +116,7 @@
 		Name: s.Name, Incarnation: incarnation, Address: s.Control, Silence: s.Limits.Link.Std(), Delay: ackDelay,
 		Outcome: func(address string, reachable bool) {
 			<-connected
-			h.registrar.Reach(address, reachable)
+			h.registrar.SetReachable(address, reachable)
 		},
 	}, func(e messenger.Envelope, msg messenger.Message) {
 		<-connected
@@ -145,7 +145,7 @@
 			Name: s.Name, Zone: s.Zone, Region: s.Region, Control: s.Control, Admin: s.Admin, Incarnation: incarnation,
 			Weight: int(100 * s.Limits.Cores),
 		},
-		Beat: s.Limits.Beat.Std(), Lease: s.Limits.Lease.Std(), Store: store, Transport: m, Log: h.log, Peers: s.Peers, Turn: turn,
+		HeartbeatInterval: s.Limits.Beat.Std(), LeaseDuration: s.Limits.Lease.Std(), Store: store, Transport: m, Log: h.log, Peers: s.Peers, ShouldWatch: turn,
 		Notify: func(r registrar.Roster) {
 			h.following.enroll(r)
 			h.control.post(rosterChanged{roster: r})
@@ -168,7 +168,7 @@
 		h.server.SetRoutes(h.routing.router)
 	}
 	h.era.onLost(func(n uint64) {
-		h.registrar.Restored()
+		h.registrar.StoreRestored()
 		h.control.post(storeRestored{era: n})
 		if h.routing != nil {
 			h.routing.choosing.post(storeRestored{era: n})
@@ -183,7 +183,7 @@
 
 // receive takes a frame of another host.
 func (h *Host) receive(e messenger.Envelope, msg messenger.Message) {
-	if h.following.take(e, msg) || h.registrar.Hear(e.From, msg) || h.routing.hear(e.From, msg) {
+	if h.following.take(e, msg) || h.registrar.Receive(e.From, msg) || h.routing.hear(e.From, msg) {
 		return
 	}
 	f := frameArrived{from: e.From, message: msg}
--- a/runner/listing.go
+++ b/runner/listing.go
@@ -41,9 +41,9 @@
 
 // entriesSeen is what a call of the store told of the workers' entries.
 type entriesSeen struct {
-	failed bool         // the call failed; nothing else is set
-	whole  bool         // the word is every entry at its last revision
-	word   relayer.Word // what changed
+	failed bool           // the call failed; nothing else is set
+	whole  bool           // the word is every entry at its last revision
+	word   relayer.Update // what changed
 }
 
 // callNext is whether a host is to call the store, and from which revision on.
@@ -105,7 +105,7 @@
 		return err
 	}
 	l.answered(version)
-	l.tell(entriesSeen{whole: true, word: relayer.Word{Upto: version, Changed: objects}})
+	l.tell(entriesSeen{whole: true, word: relayer.Update{Upto: version, Changed: objects}})
 	return nil
 }
 
@@ -131,7 +131,7 @@
 			return err
 		}
 		l.answered(version)
-		l.tell(entriesSeen{word: relayer.Word{After: n.after, Upto: version, Changed: objects}})
+		l.tell(entriesSeen{word: relayer.Update{After: n.after, Upto: version, Changed: objects}})
 	}
 	return ctx.Err()
 }
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -26,7 +26,7 @@
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(h.registrar.Counts()) }))
 	}
 	member("cicadawood_hosts_alive", "Hosts on this host's roster.", func(c registrar.Counts) float64 { return float64(c.Alive) })
-	member("cicadawood_hosts_parted", "Hosts that live but can't be reached from here.", func(c registrar.Counts) float64 { return float64(c.Parted) })
+	member("cicadawood_hosts_parted", "Hosts that live but can't be reached from here.", func(c registrar.Counts) float64 { return float64(c.Unreachable) })
 	member("cicadawood_host_suspicions", "Suspicions begun by this host.", func(c registrar.Counts) float64 { return float64(c.Suspicions) })
 	member("cicadawood_host_deaths", "Deaths concluded by this host.", func(c registrar.Counts) float64 { return float64(c.Deaths) })
 	member("cicadawood_host_rejoins", "Times that this host was declared dead and came back.", func(c registrar.Counts) float64 { return float64(c.Rejoins) })
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -164,10 +164,10 @@
 	count := 0
 	for s := range c.observer.All(now) {
 		count++
-		if !s.Present {
+		if !s.Available {
 			away++
 		}
-		if before, known := c.present[workerName{s.Service, s.Name}]; !known || before != s.Present {
+		if before, known := c.present[workerName{s.Service, s.Name}]; !known || before != s.Available {
 			fresh = append(fresh, s)
 		}
 	}
@@ -183,9 +183,9 @@
 func (c *control) note(s observer.State) {
 	n := workerName{s.Service, s.Name}
 	_, known := c.present[n]
-	c.present[n] = s.Present
-	if known || !s.Present {
-		c.log.Info("worker", zap.String("service", s.Service), zap.String("worker", s.Name), zap.Bool("present", s.Present), zap.String("why", s.Why))
+	c.present[n] = s.Available
+	if known || !s.Available {
+		c.log.Info("worker", zap.String("service", s.Service), zap.String("worker", s.Name), zap.Bool("present", s.Available), zap.String("why", s.Reason))
 	}
 }
 
@@ -236,5 +236,5 @@
 
 // filled is a cell with only the workers that may get new work.
 func (c *control) filled(now time.Time, cell dispatcher.Cell) dispatcher.Cell {
-	return c.observer.Present(now, cell)
+	return c.observer.Available(now, cell)
 }
--- a/runner/observing_test.go
+++ b/runner/observing_test.go
@@ -35,7 +35,7 @@
 				owner, _ := registrar.NewRoster(a.state().Roster...).Owner("lm/0")
 				for _, w := range t.hosts[owner.Name].state().Workers {
 					if w.Name == "lm1" {
-						return !w.Present
+						return !w.Available
 					}
 				}
 				return false
--- a/runner/operator.go
+++ b/runner/operator.go
@@ -27,7 +27,7 @@
 // store; turn says whether this host is to watch it.
 func operatorSource(turn func() bool) publisher.Source {
 	return publisher.Source{
-		Key: platform.ConfigurationKey, Decode: decodeOperator, Wait: relayer.WatchWait, Retries: operatorRetries, Turn: turn,
+		Key: platform.ConfigurationKey, Decode: decodeOperator, Wait: relayer.WatchTimeout, Retries: operatorRetries, Turn: turn,
 	}
 }
 
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -120,7 +120,7 @@
 func (p *choosing) toOthers(m messenger.Message) {
 	var addresses []string
 	for _, h := range p.roster.Hosts() {
-		if h.Name != p.self && !h.Parted {
+		if h.Name != p.self && !h.Unreachable {
 			addresses = append(addresses, h.Control)
 		}
 	}
