--- a/placer/basis.go
+++ b/placer/basis.go
@@ -20,7 +20,7 @@
 }
 
 // basis is what a refusal of a request was decided by.
-func (v *View) basis(now time.Time, a Ask, best *option) Basis {
+func (v *View) basis(now time.Time, a Request, best *option) Basis {
 	b := Basis{
 		Free: v.guard.free, Offered: v.guard.rate, Held: milliseconds(v.guard.held), Wanted: int(max(v.guard.wanted(), 0)),
 	}
@@ -38,8 +38,8 @@
 
 // bound is the milliseconds that a request may wait for others: for a prompt to be read,
 // or for a plain service's answer.
-func (v *View) bound(o *option, a Ask) float64 {
-	if o.Memory == 0 {
+func (v *View) bound(o *option, a Request) float64 {
+	if o.CacheTokens == 0 {
 		return v.plainMost(a)
 	}
 	return queueShare * inMilliseconds(a.Target)
--- a/placer/basis_test.go
+++ b/placer/basis_test.go
@@ -17,13 +17,13 @@
 		workers[0].Slots = 4
 		v.SetWorkers(start, workers)
 		for id := range uint64(4) {
-			v.Heard(start, "other", placer.Flight{ID: 100 + id, Worker: "e-1", Read: 800, Hold: 900, Output: 100, Left: 9 * time.Second})
+			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "e-1", Prefill: 800, Hold: 900, Output: 100, Left: 9 * time.Second})
 		}
 		later := start.Add(20 * time.Millisecond)
 		long := plan(7)
 		long.Rank, long.Tier = 1, 1
 		c, refusal := v.Place(later, 1, long)
-		Expect(refusal.Why).To(Equal("slots"))
+		Expect(refusal.Reason).To(Equal("slots"))
 		b := c.Basis
 		Expect(b.Worker).To(Equal("e-1"))
 		Expect([]int{b.Slots, b.Taken, b.Free}).To(Equal([]int{4, 4, 0}))
@@ -45,10 +45,10 @@
 				refused++
 			}
 		}
-		told := v.Refused()
+		told := v.DrainRefused()
 		Expect(told).To(HaveLen(1))
 		Expect(told[0].Count).To(And(Equal(refused), BeNumerically(">", 0)))
 		Expect(told[0].Output).To(Equal(60 * refused))
-		Expect(v.Refused()).To(BeEmpty())
+		Expect(v.DrainRefused()).To(BeEmpty())
 	})
 })
--- a/placer/chooser_test.go
+++ b/placer/chooser_test.go
@@ -19,9 +19,9 @@
 
 func decided(c placer.Choice, r *placer.Refusal) decision {
 	if r != nil {
-		return decision{after: r.After}
+		return decision{after: r.RetryAfter}
 	}
-	return decision{worker: c.Worker.Name, source: c.Source, pause: c.Pause}
+	return decision{worker: c.Worker.Name, source: c.Source, pause: c.Delay}
 }
 
 // chooser picks an engine for a request.
@@ -135,8 +135,8 @@
 	if refusal != nil {
 		return decided(c, refusal)
 	}
-	f.taken[s.id], f.sent[s.id] = i, now+c.Pause
-	f.tell(now+f.late.sent, i, func(v *placer.View, at time.Time) { v.Heard(at, fmt.Sprint(i), c.Flight) })
+	f.taken[s.id], f.sent[s.id] = i, now+c.Delay
+	f.tell(now+f.late.sent, i, func(v *placer.View, at time.Time) { v.Receive(at, fmt.Sprint(i), c.Flight) })
 	return decided(c, nil)
 }
 
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -77,7 +77,7 @@
 )
 
 // cost is what decides between workers, in milliseconds.
-func (v *View) cost(now time.Time, o *option, a Ask) float64 {
+func (v *View) cost(now time.Time, o *option, a Request) float64 {
 	c := o.wait + o.avoided(now)
 	if o.Zone != cmp.Or(a.Zone, v.zone) {
 		c += zoneCost
@@ -85,7 +85,7 @@
 	if now.Before(o.coldUntil) {
 		c += coldCost
 	}
-	if o.Memory == 0 {
+	if o.CacheTokens == 0 {
 		return c + loadCost*float64(len(o.flights))/float64(o.Slots)
 	}
 	c += readWeight*o.own + fetchWeight*o.fetching + o.harm(now, a)
@@ -95,7 +95,7 @@
 	if over := len(o.flights) + 1 - o.Slots; over > 0 {
 		c += slotCost * float64(over)
 	}
-	if room := memoryShare * float64(o.Memory); float64(o.hold+a.Prompt+a.Output) > room {
+	if room := memoryShare * float64(o.CacheTokens); float64(o.hold+a.Prompt+a.Output) > room {
 		c += fullCost
 	}
 	return c
@@ -105,7 +105,7 @@
 // the request, of parts that other requests use. Failure: engines whose memory is full are
 // given more, as their queue is short for a moment, while others have room; what they
 // evict is read again for the next ones, and the queues grow for that.
-func (o *option) evicting(a Ask) float64 {
+func (o *option) evicting(a Request) float64 {
 	kept := a.Prompt - o.read - o.fetch
 	fresh := -kept
 	for _, p := range a.Parts {
@@ -119,7 +119,7 @@
 // the worker, if this request's prompt makes it read for longer than one of their
 // events may take; and of this one, if the worker is given much to read. So long
 // prompts and streams with tight pauses part by themselves.
-func (o *option) harm(now time.Time, a Ask) float64 {
+func (o *option) harm(now time.Time, a Request) float64 {
 	long := longRead * o.stretch()
 	harm := 0.0
 	if o.own > long || o.pause(a) == 0 && o.own+o.all > long {
@@ -135,7 +135,7 @@
 // pause is how long a long prompt waits at its host until the worker has read what
 // it was sent before, where reading both in one stretch would break the target for
 // pauses of streams at the worker. Between the two their next tokens come.
-func (o *option) pause(a Ask) time.Duration {
+func (o *option) pause(a Request) time.Duration {
 	if o.own < longLeast || o.all == 0 || o.own+o.all <= longRead*o.stretch() || o.tight == 0 {
 		return 0
 	}
--- a/placer/demand.go
+++ b/placer/demand.go
@@ -20,7 +20,7 @@
 }
 
 // note takes that a request came.
-func (d demands) note(now time.Time, a Ask) {
+func (d demands) note(now time.Time, a Request) {
 	kept := d[a.Service][:0]
 	known := false
 	for _, x := range d[a.Service] {
@@ -39,7 +39,7 @@
 
 // tightest is the shortest target of requests that came lately and are as urgent as this
 // one, or more, its own among them.
-func (d demands) tightest(a Ask) time.Duration {
+func (d demands) tightest(a Request) time.Duration {
 	least := a.Target
 	for _, x := range d[a.Service] {
 		if x.rank <= a.Rank && x.target > 0 && x.target < least {
@@ -50,6 +50,6 @@
 }
 
 // leastUrgent says that no request of a less urgent route than this one's came lately.
-func (d demands) leastUrgent(a Ask) bool {
+func (d demands) leastUrgent(a Request) bool {
 	return !slices.ContainsFunc(d[a.Service], func(x demand) bool { return x.tier > a.Tier })
 }
--- a/placer/ending.go
+++ b/placer/ending.go
@@ -23,8 +23,8 @@
 // finish is the milliseconds until the last token that a caller expects of its stream, 0
 // where it expects none: while the engine reads, a token takes as long as a chunk of a
 // prompt.
-func (o *option) finish(a Ask) float64 {
-	if o.Memory == 0 || a.Expected <= 0 {
+func (o *option) finish(a Request) float64 {
+	if o.CacheTokens == 0 || a.Expected <= 0 {
 		return 0
 	}
 	step := stepTime + contextTime*float64(o.hold)/1000
@@ -34,11 +34,11 @@
 
 // end is when the stream's last token is expected: finish, as far as such predictions held
 // lately.
-func (o *option) end(a Ask) time.Duration { return milliseconds(o.fit.lasting() * o.finish(a)) }
+func (o *option) end(a Request) time.Duration { return milliseconds(o.fit.lasting() * o.finish(a)) }
 
 // learnEnd takes how long after it was sent a stream ended, or was given up at its deadline.
 func (w *worker) learnEnd(f *flight, took float64, o Outcome) {
-	if f.ends <= 0 || o != Answered && (o != Dropped || took < deadlineShare*inMilliseconds(f.Left)) {
+	if f.ends <= 0 || o != Answered && (o != Canceled || took < deadlineShare*inMilliseconds(f.Left)) {
 		return
 	}
 	w.fit.learnEnd(f.ends, took)
--- a/placer/engine_test.go
+++ b/placer/engine_test.go
@@ -25,7 +25,7 @@
 
 // stream is one request at an engine.
 type stream struct {
-	ask      placer.Ask
+	ask      placer.Request
 	id       uint64
 	at       time.Duration // it was asked for
 	unread   int
--- a/placer/fetch_test.go
+++ b/placer/fetch_test.go
@@ -13,7 +13,7 @@
 func linked(names ...string) []placer.Worker {
 	out := engines(names...)
 	for i := range out {
-		out[i].Address, out[i].Token, out[i].Link = out[i].Name, 131072, 740_000
+		out[i].Address, out[i].TokenBytes, out[i].LinkMbps = out[i].Name, 131072, 740_000
 	}
 	return out
 }
@@ -48,7 +48,7 @@
 		c := crowd(first.Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(Equal(first.Worker.Address))
-		Expect(c.Flight.Read).To(Equal(2900))
+		Expect(c.Flight.Prefill).To(Equal(2900))
 		Expect(c.Flight.Fetch).To(Equal(6300))
 	})
 
@@ -56,7 +56,7 @@
 		c := crowd(read(engines("e-1", "e-2")).Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(BeEmpty())
-		Expect(c.Flight.Read).To(Equal(9200))
+		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 
 	It("is not fetched from one that has yet to read it", func() {
@@ -66,7 +66,7 @@
 		c := crowd(first.Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(BeEmpty())
-		Expect(c.Flight.Read).To(Equal(9200))
+		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 
 	// A caller leaves while its prompt waits to be read. What it was to bring is not
@@ -75,8 +75,8 @@
 		v = placer.New("a")
 		v.SetWorkers(start, linked("e-1"))
 		_, _ = v.Place(now, 1, plan(7))
-		v.Ended(now, 1, placer.Dropped)
+		v.Ended(now, 1, placer.Canceled)
 		c, _ := v.Place(now, 2, plan(7))
-		Expect(c.Flight.Read).To(Equal(9200))
+		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 })
--- a/placer/fit_test.go
+++ b/placer/fit_test.go
@@ -19,8 +19,8 @@
 }
 
 // prompt is a request with no shared parts.
-func prompt(tokens int) placer.Ask {
-	return placer.Ask{Service: "lm", Prompt: tokens, Left: 30 * time.Second, Target: 20 * time.Second}
+func prompt(tokens int) placer.Request {
+	return placer.Request{Service: "lm", Prompt: tokens, Left: 30 * time.Second, Target: 20 * time.Second}
 }
 
 // An operator deploys engines twice as fast as those seen before, that take 85 ms to a
@@ -37,7 +37,7 @@
 	// teach has a worker read a prompt alone, which a host saw take so long.
 	teach := func(from, worker string, tokens int, d time.Duration) {
 		next++
-		v.Heard(now, from, placer.Flight{ID: next, Worker: worker, Read: tokens, Hold: tokens, Left: time.Minute})
+		v.Receive(now, from, placer.Flight{ID: next, Worker: worker, Prefill: tokens, Hold: tokens, Left: time.Minute})
 		now = now.Add(d)
 		v.BegunAfter(now, next, d)
 		v.Ended(now, next, placer.Answered)
@@ -46,7 +46,7 @@
 		next++
 		c, refusal := v.Place(now, next, prompt(tokens))
 		Expect(refusal).To(BeNil())
-		v.Ended(now, next, placer.Dropped)
+		v.Ended(now, next, placer.Canceled)
 		now = now.Add(time.Second)
 		return c.Wait
 	}
@@ -83,7 +83,7 @@
 		Expect(expected(9000).Seconds()).To(BeNumerically("~", before, 0.15*before))
 		c, _ := v.Place(now, 1<<40, prompt(300))
 		Expect(c.Worker.Name).To(Equal("e-1"))
-		v.Ended(now, 1<<40, placer.Dropped)
+		v.Ended(now, 1<<40, placer.Canceled)
 		for range 10 {
 			teach("other", "e-1", 300, 2*took(300, 300))
 			teach("other", "e-2", 300, took(300, 300))
@@ -97,8 +97,8 @@
 		before := expected(9000).Seconds()
 		for i := range uint64(50) {
 			a, b := 1000+2*i, 1001+2*i
-			v.Heard(now, "other", placer.Flight{ID: a, Worker: "e-1", Read: 9000, Hold: 9000, Left: time.Minute})
-			v.Heard(now, "other", placer.Flight{ID: b, Worker: "e-1", Read: 9000, Hold: 9000, Left: time.Minute})
+			v.Receive(now, "other", placer.Flight{ID: a, Worker: "e-1", Prefill: 9000, Hold: 9000, Left: time.Minute})
+			v.Receive(now, "other", placer.Flight{ID: b, Worker: "e-1", Prefill: 9000, Hold: 9000, Left: time.Minute})
 			now = now.Add(2 * time.Second)
 			for _, id := range []uint64{a, b} {
 				v.BegunAfter(now, id, 2*time.Second)
--- a/placer/flight.go
+++ b/placer/flight.go
@@ -27,14 +27,14 @@
 	took   time.Duration // until its first event or its answer, as its host saw; 0 before
 }
 
-// Heard takes a flight that another host told of.
-func (v *View) Heard(now time.Time, from string, f Flight) {
+// Receive takes a flight that another host told of.
+func (v *View) Receive(now time.Time, from string, f Flight) {
 	x := v.hear(now, from, f)
 	if x == nil {
 		return
 	}
 	if w := v.workers[f.Worker]; w != nil {
-		v.offers.note(now, Offer{Service: w.Service, Tier: f.Tier, Count: 1, Output: f.Output, Read: milliseconds(x.unread)})
+		v.offers.note(now, OfferedLoad{Service: w.Service, Tier: f.Tier, Count: 1, Output: f.Output, Prefill: milliseconds(x.unread)})
 	}
 }
 
@@ -101,7 +101,7 @@
 	w.judge(now, o)
 	v.learnLength(now, w, f, o)
 	w.learnEnd(f, inMilliseconds(now.Sub(f.at)), o)
-	if w.Memory == 0 && o == Answered {
+	if w.CacheTokens == 0 && o == Answered {
 		v.learnPlain(w.Service, f)
 	}
 }
@@ -118,17 +118,17 @@
 	return w
 }
 
-// Lost takes that a host is gone. Workers drop requests whose connections end, so that
+// HostLost takes that a host is gone. Workers drop requests whose connections end, so that
 // what it had under way at plain services is forgotten. Failure: the connections of a host
 // that lost its power do not end, and engines go on with its streams; forgotten at once,
 // their slots are given away, and streams are taken off for it. So these count until they
 // must have ended.
-func (v *View) Lost(now time.Time, host string) {
+func (v *View) HostLost(now time.Time, host string) {
 	for _, f := range v.flights {
 		if f.from != host || host == "" {
 			continue
 		}
-		if w := v.workers[f.Worker]; w != nil && w.Memory > 0 && w.has(f) {
+		if w := v.workers[f.Worker]; w != nil && w.CacheTokens > 0 && w.has(f) {
 			f.until = f.at.Add(v.lasts(w, f))
 			continue
 		}
--- a/placer/flight_test.go
+++ b/placer/flight_test.go
@@ -15,14 +15,14 @@
 	It("counts at engines after its host is lost, until it must have ended", func() {
 		v := placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
-		v.Heard(start, "other", placer.Flight{ID: 1, Worker: "e-1", Read: 800, Hold: 1100, Output: 300, Left: 15 * time.Second})
+		v.Receive(start, "other", placer.Flight{ID: 1, Worker: "e-1", Prefill: 800, Hold: 1100, Output: 300, Left: 15 * time.Second})
 		v.Begun(start.Add(50*time.Millisecond), 1)
-		v.Lost(start.Add(time.Second), "other")
-		Expect(v.Beliefs(start)[0].Flights).To(Equal(1))
+		v.HostLost(start.Add(time.Second), "other")
+		Expect(v.WorkerStates(start)[0].Flights).To(Equal(1))
 		v.Sweep(start.Add(1200 * time.Millisecond))
-		Expect(v.Beliefs(start)[0].Flights).To(Equal(1))
+		Expect(v.WorkerStates(start)[0].Flights).To(Equal(1))
 		v.Sweep(start.Add(4 * time.Second))
-		Expect(v.Beliefs(start)[0].Flights).To(BeZero())
+		Expect(v.WorkerStates(start)[0].Flights).To(BeZero())
 	})
 
 	// Guards against engines that seem far behind, as nobody tells that a lost host's requests
@@ -31,10 +31,10 @@
 		v := placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
 		for id := range uint64(3) {
-			v.Heard(start, "other", placer.Flight{ID: id, Worker: "e-1", Read: 800, Hold: 1100, Output: 1000, Left: 15 * time.Second})
+			v.Receive(start, "other", placer.Flight{ID: id, Worker: "e-1", Prefill: 800, Hold: 1100, Output: 1000, Left: 15 * time.Second})
 		}
-		v.Lost(start.Add(time.Second), "other")
-		chat := placer.Ask{Service: "lm", Prompt: 300, Output: 30, Left: 9 * time.Second, Patience: 2 * time.Second, Target: 300 * time.Millisecond}
+		v.HostLost(start.Add(time.Second), "other")
+		chat := placer.Request{Service: "lm", Prompt: 300, Output: 30, Left: 9 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond}
 		first, _ := v.Place(start.Add(1400*time.Millisecond), 98, chat)
 		v.Ended(start.Add(1450*time.Millisecond), first.Flight.ID, placer.Answered)
 		c, refusal := v.Place(start.Add(1500*time.Millisecond), 99, plan(7))
--- a/placer/flood_test.go
+++ b/placer/flood_test.go
@@ -32,7 +32,7 @@
 		v := placer.New("a")
 		workers := engines(names...)
 		for i := range workers {
-			workers[i].Slots, workers[i].Memory = flood.slots, flood.memory
+			workers[i].Slots, workers[i].CacheTokens = flood.slots, flood.memory
 		}
 		v.SetWorkers(start, workers)
 		return ours{view: v}
--- a/placer/limiting.go
+++ b/placer/limiting.go
@@ -63,17 +63,17 @@
 	return time.Duration((1 - l.room) / l.rate * float64(time.Second))
 }
 
-// Named is a worker and how many requests a second it takes.
-type Named struct {
+// WorkerLimit is a worker and how many requests a second it takes.
+type WorkerLimit struct {
 	Worker string
 	Rate   float64 // 0 is any number, from now on
 }
 
-// Named takes how many requests a second a worker named as it answered a request; 0 where it
+// UpdateLimit takes how many requests a second a worker named as it answered a request; 0 where it
 // named none. Known is what it was known to name as the request was placed, here or by the
 // host that decided: an answer to what was sent before a limit was known tells nothing of
 // its end. It returns true where other hosts may not know it.
-func (v *View) Named(now time.Time, worker string, rate, known float64) bool {
+func (v *View) UpdateLimit(now time.Time, worker string, rate, known float64) bool {
 	w := v.workers[worker]
 	if w == nil || rate <= 0 && known <= 0 {
 		return false
@@ -83,26 +83,26 @@
 	return w.limit.rate != was || w.limit.rate != known
 }
 
-// HeardNamed takes what a worker named to another host.
-func (v *View) HeardNamed(now time.Time, n Named) {
+// ReceiveLimit takes what a worker named to another host.
+func (v *View) ReceiveLimit(now time.Time, n WorkerLimit) {
 	if w := v.workers[n.Worker]; w != nil {
 		w.limit.set(now, n.Rate)
 	}
 }
 
 // Limits is the workers that name how many requests a second they take.
-func (v *View) Limits() []Named {
-	var out []Named
+func (v *View) Limits() []WorkerLimit {
+	var out []WorkerLimit
 	for _, w := range v.order {
 		if w.limit.rate > 0 {
-			out = append(out, Named{Worker: w.Name, Rate: w.limit.rate})
+			out = append(out, WorkerLimit{Worker: w.Name, Rate: w.limit.rate})
 		}
 	}
 	return out
 }
 
-// Rate is how many requests a second a worker takes; 0 is any number.
-func (v *View) Rate(worker string) float64 {
+// RateLimit is how many requests a second a worker takes; 0 is any number.
+func (v *View) RateLimit(worker string) float64 {
 	if w := v.workers[worker]; w != nil {
 		return w.limit.rate
 	}
@@ -115,7 +115,7 @@
 // limited refuses a request that no worker may get for the limits that they name: where
 // each of them got as many as it takes, or where all name one and more urgent routes ask
 // for all that they take.
-func (v *View) limited(now time.Time, options []option, a Ask) *Refusal {
+func (v *View) limited(now time.Time, options []option, a Request) *Refusal {
 	if len(options) == 0 {
 		return nil
 	}
@@ -136,7 +136,7 @@
 }
 
 // urgentRate is the requests a second that are asked for of more urgent routes.
-func (v *View) urgentRate(now time.Time, a Ask) float64 {
+func (v *View) urgentRate(now time.Time, a Request) float64 {
 	rate := 0.0
 	for i := range v.offers[a.Service] {
 		if x := &v.offers[a.Service][i]; x.tier < a.Tier {
--- a/placer/limiting_test.go
+++ b/placer/limiting_test.go
@@ -15,7 +15,7 @@
 		span  = 4 * time.Second
 		delay = 5 * time.Millisecond // until another host has heard of a request
 	)
-	quote := placer.Ask{Service: "app", Left: 2 * time.Second, Target: 300 * time.Millisecond, Tier: 1}
+	quote := placer.Request{Service: "app", Left: 2 * time.Second, Target: 300 * time.Millisecond, Tier: 1}
 	var (
 		v  *placer.View
 		id uint64
@@ -26,7 +26,7 @@
 	})
 	// first has a worker answer a request that it was sent at a time, and name a rate.
 	first := func(now time.Time, worker string, rate float64) bool {
-		return v.Named(now.Add(time.Millisecond), worker, rate, v.Rate(worker))
+		return v.UpdateLimit(now.Add(time.Millisecond), worker, rate, v.RateLimit(worker))
 	}
 	// most is the most of these times within span.
 	most := func(at []time.Time) int {
@@ -47,7 +47,7 @@
 		for i := range views {
 			views[i] = placer.New("a")
 			views[i].SetWorkers(start, desks("d-1", "d-2"))
-			views[i].HeardNamed(start, placer.Named{Worker: "d-1", Rate: rate})
+			views[i].ReceiveLimit(start, placer.WorkerLimit{Worker: "d-1", Rate: rate})
 		}
 		type word struct {
 			at   time.Time
@@ -60,7 +60,7 @@
 			for len(words) > 0 && !now.Before(words[0].at) {
 				for i, other := range views {
 					if i != words[0].from {
-						other.Heard(now, "h", words[0].f)
+						other.Receive(now, "h", words[0].f)
 					}
 					other.Ended(now, words[0].f.ID, placer.Answered)
 				}
@@ -98,9 +98,9 @@
 		id++
 		_, refused := v.Place(now, id, quote)
 		Expect(refused).NotTo(BeNil())
-		Expect(refused.Why).To(Equal("limit"))
-		Expect(refused.After).To(BeNumerically("~", time.Second, 10*time.Millisecond))
-		_, refused = v.Place(now.Add(refused.After), id, quote)
+		Expect(refused.Reason).To(Equal("limit"))
+		Expect(refused.RetryAfter).To(BeNumerically("~", time.Second, 10*time.Millisecond))
+		_, refused = v.Place(now.Add(refused.RetryAfter), id, quote)
 		Expect(refused).To(BeNil())
 	})
 
@@ -112,7 +112,7 @@
 		urgent.Tier = 0
 		served := map[int]int{}
 		for now := start.Add(time.Second); now.Before(start.Add(10 * time.Second)); now = now.Add(50 * time.Millisecond) {
-			for _, a := range []placer.Ask{quote, urgent} {
+			for _, a := range []placer.Request{quote, urgent} {
 				id++
 				if _, refused := v.Place(now, id, a); refused == nil {
 					served[a.Tier]++
@@ -126,10 +126,10 @@
 
 	// Guards against an answer that was on its way ending a limit.
 	It("are free again by an answer to what was sent after the limit was known", func() {
-		known := v.Rate("d-1") // as a request is placed
+		known := v.RateLimit("d-1") // as a request is placed
 		Expect(first(start.Add(time.Millisecond), "d-1", 2)).To(BeTrue())
-		Expect(v.Named(start.Add(5*time.Millisecond), "d-1", 0, known)).To(BeFalse())
-		Expect(v.Rate("d-1")).To(Equal(2.0))
+		Expect(v.UpdateLimit(start.Add(5*time.Millisecond), "d-1", 0, known)).To(BeFalse())
+		Expect(v.RateLimit("d-1")).To(Equal(2.0))
 		Expect(first(start.Add(time.Second), "d-1", 2)).To(BeFalse(), "no news")
 		Expect(first(start.Add(2*time.Second), "d-1", 0)).To(BeTrue())
 		Expect(v.Limits()).To(BeEmpty())
@@ -137,20 +137,20 @@
 
 	// Guards against hosts that decide for others never hearing of a limit, or of its end.
 	It("are told of where the host that decided knew another", func() {
-		Expect(v.Named(start, "d-1", 2, 0)).To(BeTrue())
-		Expect(v.Named(start, "d-1", 2, 0)).To(BeTrue(), "this host knows, that one did not")
-		Expect(v.Named(start, "d-1", 2, 2)).To(BeFalse())
-		Expect(v.Named(start, "d-1", 0, 2)).To(BeTrue())
-		Expect(v.Named(start, "d-1", 0, 2)).To(BeTrue(), "that one did not know of its end yet")
-		Expect(v.Named(start, "d-1", 0, 0)).To(BeFalse())
+		Expect(v.UpdateLimit(start, "d-1", 2, 0)).To(BeTrue())
+		Expect(v.UpdateLimit(start, "d-1", 2, 0)).To(BeTrue(), "this host knows, that one did not")
+		Expect(v.UpdateLimit(start, "d-1", 2, 2)).To(BeFalse())
+		Expect(v.UpdateLimit(start, "d-1", 0, 2)).To(BeTrue())
+		Expect(v.UpdateLimit(start, "d-1", 0, 2)).To(BeTrue(), "that one did not know of its end yet")
+		Expect(v.UpdateLimit(start, "d-1", 0, 0)).To(BeFalse())
 	})
 
 	It("lose their limit with a restart under their name, and get a few whatever they name", func() {
 		first(start, "d-1", 1e-9)
-		Expect(v.Rate("d-1")).To(Equal(0.25))
+		Expect(v.RateLimit("d-1")).To(Equal(0.25))
 		workers := desks("d-1", "d-2")
-		workers[0].Born = "2"
+		workers[0].Instance = "2"
 		v.SetWorkers(start.Add(time.Second), workers)
-		Expect(v.Rate("d-1")).To(BeZero())
+		Expect(v.RateLimit("d-1")).To(BeZero())
 	})
 })
--- a/placer/line_test.go
+++ b/placer/line_test.go
@@ -31,7 +31,7 @@
 
 	It("counts for a request what is as urgent or more, and what is being read", func() {
 		refusal := fill()
-		Expect(refusal.Why).To(Equal("queue"))
+		Expect(refusal.Reason).To(Equal("queue"))
 		c, refused := v.Place(start, 100, urgent)
 		Expect(refused).To(BeNil())
 		Expect(c.Wait).To(BeNumerically("<", 600*time.Millisecond))
@@ -44,7 +44,7 @@
 
 	It("tells the refused to come back when there will be room", func() {
 		refusal := fill()
-		back := start.Add(refusal.After)
+		back := start.Add(refusal.RetryAfter)
 		_, again := v.Place(back, 100, less)
 		Expect(again).To(BeNil())
 	})
@@ -57,8 +57,8 @@
 		v.Begun(now, 1)
 		third, _ := v.Place(now, 3, urgent)
 		Expect(third.Wait).To(BeNumerically("<=", next.Wait))
-		v.Ended(now, 2, placer.Dropped)
-		v.Ended(now, 3, placer.Dropped)
+		v.Ended(now, 2, placer.Canceled)
+		v.Ended(now, 3, placer.Canceled)
 		alone, _ := v.Place(now, 4, urgent)
 		Expect(alone.Wait).To(BeNumerically("<", third.Wait))
 	})
--- a/placer/load_test.go
+++ b/placer/load_test.go
@@ -178,7 +178,7 @@
 }
 
 func small(name string) placer.Worker {
-	return placer.Worker{Name: name, Service: "lm", Zone: "z", Slots: 24, Memory: 261_920, Event: 5}
+	return placer.Worker{Name: name, Service: "lm", Zone: "z", Slots: 24, CacheTokens: 261_920, EventTokens: 5}
 }
 
 // Many hosts place at once, and each sees what the others sent only after a while.
--- a/placer/offer.go
+++ b/placer/offer.go
@@ -21,13 +21,13 @@
 	lengthStart = 1000.0
 )
 
-// Offer is requests of a service's routes of a tier that were asked for.
-type Offer struct {
+// OfferedLoad is requests of a service's routes of a tier that were asked for.
+type OfferedLoad struct {
 	Service string
 	Tier    int
 	Count   int           // requests
 	Output  int           // tokens of output that all of them expect
-	Read    time.Duration // that an engine would have to read for all of them
+	Prefill time.Duration // that an engine would have to read for all of them
 }
 
 // offered is what is asked for of a service's routes of a tier.
@@ -60,13 +60,13 @@
 }
 
 // note takes that requests were asked for.
-func (o offers) note(now time.Time, more Offer) {
+func (o offers) note(now time.Time, more OfferedLoad) {
 	if more.Count <= 0 {
 		return
 	}
 	x := o.of(more.Service, more.Tier)
 	count := float64(more.Count)
-	output, read := float64(more.Output)/count, inMilliseconds(more.Read)/count
+	output, read := float64(more.Output)/count, inMilliseconds(more.Prefill)/count
 	if x.at.IsZero() {
 		x.output, x.read = output, read
 	}
@@ -121,28 +121,28 @@
 	return sum
 }
 
-// Offered takes what other hosts refused.
-func (v *View) Offered(now time.Time, list []Offer) {
+// ReceiveOffered takes what other hosts refused.
+func (v *View) ReceiveOffered(now time.Time, list []OfferedLoad) {
 	for _, x := range list {
 		v.offers.note(now, x)
 	}
 }
 
-// Refused is what was refused since the last call, a sum for each service and tier.
-func (v *View) Refused() []Offer {
+// DrainRefused is what was refused since the last call, a sum for each service and tier.
+func (v *View) DrainRefused() []OfferedLoad {
 	out := v.refused
 	v.refused = nil
 	return out
 }
 
 // count counts a request that was refused.
-func (v *View) count(x Offer) {
+func (v *View) count(x OfferedLoad) {
 	for i := range v.refused {
 		r := &v.refused[i]
 		if r.Service == x.Service && r.Tier == x.Tier {
 			r.Count += x.Count
 			r.Output += x.Output
-			r.Read += x.Read
+			r.Prefill += x.Prefill
 			return
 		}
 	}
--- a/placer/option.go
+++ b/placer/option.go
@@ -37,9 +37,9 @@
 }
 
 // option is what a request would make an engine do; a plain worker's is set by plain.
-func (w *worker) option(now time.Time, a Ask, holder *worker, held int) option {
+func (w *worker) option(now time.Time, a Request, holder *worker, held int) option {
 	o := option{worker: w, others: w.others(now, a), free: w.limit.wait(now)}
-	if w.Memory == 0 {
+	if w.CacheTokens == 0 {
 		return o
 	}
 	kept := w.parts.covered(a.Parts)
@@ -56,7 +56,7 @@
 
 // fetchFrom has the worker fetch what another holds of a prompt beyond what it keeps
 // itself, where that takes less time than reading it.
-func (o *option) fetchFrom(holder *worker, held, kept int, a Ask) {
+func (o *option) fetchFrom(holder *worker, held, kept int, a Request) {
 	read := max(a.Prompt-held, 1)
 	own, fetching := o.readTime(read, a.Prompt+a.Output), o.fetchTime(held-kept, holder)
 	if own+fetching < o.own {
@@ -67,7 +67,7 @@
 // fetchTime is how long the worker takes to fetch so many tokens from another.
 func (w *worker) fetchTime(tokens int, from *worker) float64 {
 	const bits = 8
-	took := fetchSetup + float64(tokens)*float64(w.Token)*bits/(w.Link*1000)
+	took := fetchSetup + float64(tokens)*float64(w.TokenBytes)*bits/(w.LinkMbps*1000)
 	if w.Zone != from.Zone {
 		took *= fetchFar
 	}
@@ -76,11 +76,11 @@
 
 // holder is the worker that keeps most of a prompt's first parts, and how many tokens
 // of them; nil where none does, or engines can't fetch from one another.
-func (v *View) holder(a Ask) (*worker, int) {
+func (v *View) holder(a Request) (*worker, int) {
 	var holder *worker
 	held := 0
 	for _, w := range v.order {
-		if w.Service != a.Service || w.Link <= 0 || w.Token <= 0 {
+		if w.Service != a.Service || w.LinkMbps <= 0 || w.TokenBytes <= 0 {
 			continue
 		}
 		if n := w.parts.present(a.Parts); n > held || n == held && n > 0 && w.Name < holder.Name {
--- a/placer/others.go
+++ b/placer/others.go
@@ -18,7 +18,7 @@
 }
 
 // others looks at each request at the worker once.
-func (w *worker) others(now time.Time, a Ask) others {
+func (w *worker) others(now time.Time, a Request) others {
 	var o others
 	stretch := milliseconds(tightShare * w.stretch())
 	rest := w.rest()
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -44,9 +44,9 @@
 	options  []option                 // of the request under way; kept for its memory
 	demands  demands                  // what came lately
 	offers   offers                   // how much is asked for
-	refused  []Offer                  // what was refused and not told of yet
+	refused  []OfferedLoad            // what was refused and not told of yet
 	guard    protection               // of the request under way
-	suspects quarantiner.Book         // requests that ended workers
+	suspects quarantiner.Tracker      // requests that ended workers
 	told     time.Time                // when another host last told what it sent
 	sharers  int                      // hosts that decide, where these share slots
 	self     int                      // which of them this is
@@ -61,7 +61,7 @@
 	return &View{
 		zone: zone, workers: map[string]*worker{}, flights: map[uint64]*flight{}, over: map[uint64]time.Time{},
 		pace: map[string]time.Duration{}, fits: map[string]*fit{}, booked: map[class]time.Time{}, demands: demands{}, offers: offers{},
-		suspects: quarantiner.Book{Renamed: true},
+		suspects: quarantiner.Tracker{RenamedOnRestart: true},
 	}
 }
 
@@ -73,9 +73,9 @@
 	v.workers = make(map[string]*worker, len(workers))
 	for _, w := range workers {
 		x := old[w.Name]
-		if x == nil || x.Born != w.Born || x.Address != w.Address {
+		if x == nil || x.Instance != w.Instance || x.Address != w.Address {
 			x = newWorker()
-			x.coldUntil = now.Add(w.Cold)
+			x.coldUntil = now.Add(w.ColdFor)
 			added = append(added, w)
 		}
 		x.Worker, x.fit = w, v.fitOf(w.Service)
@@ -104,17 +104,17 @@
 	return f
 }
 
-// Workers is the number of workers of a service.
-func (v *View) Workers(service string) int { return v.counts[service] }
+// WorkerCount is the number of workers of a service.
+func (v *View) WorkerCount(service string) int { return v.counts[service] }
 
 // Place picks a worker for a request and counts it there.
-func (v *View) Place(now time.Time, id uint64, a Ask) (Choice, *Refusal) {
+func (v *View) Place(now time.Time, id uint64, a Request) (Choice, *Refusal) {
 	return v.PlaceFor(now, "", id, a)
 }
 
 // PlaceFor is Place for a request that another host sends.
-func (v *View) PlaceFor(now time.Time, from string, id uint64, a Ask) (Choice, *Refusal) {
-	if left, held := v.suspects.Held(now, a.Fingerprint); held {
+func (v *View) PlaceFor(now time.Time, from string, id uint64, a Request) (Choice, *Refusal) {
+	if left, held := v.suspects.Quarantined(now, a.Fingerprint); held {
 		return Choice{}, refusal("quarantine", left)
 	}
 	best, refusal := v.best(now, a)
@@ -124,11 +124,11 @@
 		return Choice{Basis: v.basis(now, a, best)}, refusal
 	}
 	f := Flight{
-		ID: id, Worker: best.Name, Parts: a.Parts, Read: best.read, Hold: a.Prompt + a.Output, Left: a.Left, Gap: a.Gap, Rank: a.Rank, Tier: a.Tier,
+		ID: id, Worker: best.Name, Parts: a.Parts, Prefill: best.read, Hold: a.Prompt + a.Output, Left: a.Left, Gap: a.Gap, Rank: a.Rank, Tier: a.Tier,
 		Fetch: best.fetch, Output: a.Output, Fingerprint: a.Fingerprint,
 	}
 	c := Choice{
-		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Pause: best.pause(a), Source: best.source,
+		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Delay: best.pause(a), Source: best.source,
 		Filling: float64(len(best.flights)+1) >= fillingShare*float64(best.Slots),
 	}
 	ends := best.finish(a)
@@ -139,7 +139,7 @@
 // best is the option with the least cost for a request. Where the request should not go
 // there, another does: one without streams that it would disturb, or, where less urgent
 // requests come, any. Else it is refused; then the option is the one that it would have got.
-func (v *View) best(now time.Time, a Ask) (*option, *Refusal) {
+func (v *View) best(now time.Time, a Request) (*option, *Refusal) {
 	v.demands.note(now, a)
 	options := v.weigh(now, a)
 	if refusal := v.limited(now, options, a); refusal != nil {
@@ -151,7 +151,7 @@
 		best = cheapest(options, anyOption)
 	}
 	if best == nil {
-		return nil, &Refusal{After: noneAfter, Why: "no_workers"}
+		return nil, &Refusal{RetryAfter: noneAfter, Reason: "no_workers"}
 	}
 	refusal := v.refuse(best, a)
 	if refusal == nil {
@@ -160,7 +160,7 @@
 	least := v.demands.leastUrgent(a)
 	other := cheapest(options, func(o *option) bool { return (o.tight == 0 || !least) && v.refuse(o, a) == nil })
 	if other == nil {
-		refusal.After = v.book(now, a, options, refusal.After)
+		refusal.RetryAfter = v.book(now, a, options, refusal.RetryAfter)
 		return best, refusal
 	}
 	return other, nil
@@ -168,7 +168,7 @@
 
 // weigh is what a request would make each worker of its service do, and what that
 // costs.
-func (v *View) weigh(now time.Time, a Ask) []option {
+func (v *View) weigh(now time.Time, a Request) []option {
 	options := v.options[:0]
 	holder, held := v.holder(a)
 	beside := v.beside(a)
@@ -178,7 +178,7 @@
 		}
 		o := w.option(now, a, holder, held)
 		o.margin = v.margin(w)
-		if o.Memory == 0 {
+		if o.CacheTokens == 0 {
 			v.plain(&o)
 		}
 		o.cost = v.cost(now, &o, a)
@@ -206,7 +206,7 @@
 // anyOption takes every option.
 func anyOption(*option) bool { return true }
 
-func excluded(a Ask, worker string) bool {
+func excluded(a Request, worker string) bool {
 	for _, name := range a.Exclude {
 		if name == worker {
 			return true
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -14,7 +14,7 @@
 func engines(names ...string) []placer.Worker {
 	var out []placer.Worker
 	for _, n := range names {
-		out = append(out, placer.Worker{Name: n, Service: "lm", Zone: "a", Slots: 96, Memory: 300_000, Event: 4})
+		out = append(out, placer.Worker{Name: n, Service: "lm", Zone: "a", Slots: 96, CacheTokens: 300_000, EventTokens: 4})
 	}
 	return out
 }
@@ -28,14 +28,14 @@
 }
 
 // plan is a long prompt with shared parts.
-func plan(shared uint64) placer.Ask {
-	return placer.Ask{
-		Service: "lm", Prompt: 9200, Output: 60, Left: 6 * time.Second, Patience: 3 * time.Second, Target: 600 * time.Millisecond,
+func plan(shared uint64) placer.Request {
+	return placer.Request{
+		Service: "lm", Prompt: 9200, Output: 60, Left: 6 * time.Second, FirstEventTimeout: 3 * time.Second, Target: 600 * time.Millisecond,
 		Gap: 400 * time.Millisecond, Parts: []placer.Part{{Key: 1, Tokens: 2500}, {Key: shared, Tokens: 3800}},
 	}
 }
 
-var quote = placer.Ask{Service: "app", Left: 3 * time.Second, Target: 300 * time.Millisecond}
+var quote = placer.Request{Service: "app", Left: 3 * time.Second, Target: 300 * time.Millisecond}
 
 var _ = Describe("View", func() {
 	var (
@@ -43,7 +43,7 @@
 		next uint64
 	)
 	BeforeEach(func() { v, next = placer.New("a"), 0 })
-	place := func(now time.Time, a placer.Ask) (placer.Choice, *placer.Refusal) {
+	place := func(now time.Time, a placer.Request) (placer.Choice, *placer.Refusal) {
 		next++
 		return v.Place(now, next, a)
 	}
@@ -54,8 +54,8 @@
 		v.Begun(start.Add(300*time.Millisecond), first.Flight.ID)
 		again, _ := place(start.Add(400*time.Millisecond), plan(7))
 		Expect(again.Worker.Name).To(Equal(first.Worker.Name))
-		Expect(again.Flight.Read).To(Equal(2900))
-		Expect(first.Flight.Read).To(Equal(9200))
+		Expect(again.Flight.Prefill).To(Equal(2900))
+		Expect(first.Flight.Prefill).To(Equal(9200))
 		used := map[string]bool{}
 		for range 30 {
 			if c, refusal := place(start.Add(400*time.Millisecond), plan(7)); refusal == nil {
@@ -70,13 +70,13 @@
 	It("counts what other hosts sent, until it ends or its host is gone", func() {
 		v.SetWorkers(start, desks("d-1", "d-2"))
 		for id := range uint64(6) {
-			v.Heard(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
+			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
 		}
 		for range 4 {
 			c, _ := place(start, quote)
 			Expect(c.Worker.Name).To(Equal("d-2"))
 		}
-		v.Lost(start, "other")
+		v.HostLost(start, "other")
 		c, _ := place(start, quote)
 		Expect(c.Worker.Name).To(Equal("d-1"))
 	})
@@ -88,17 +88,17 @@
 		v.SetWorkers(start, desks("d-1", "d-2"))
 		for id := range uint64(6) {
 			v.Ended(start, 100+id, placer.Answered)
-			v.Heard(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
+			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
 		}
 		c, _ := place(start, quote)
 		Expect(c.Worker.Name).To(Equal("d-1"))
-		Expect(v.Beliefs(start)[0].Flights).To(Equal(1))
+		Expect(v.WorkerStates(start)[0].Flights).To(Equal(1))
 	})
 
 	It("forgets what must be over where no word of its end came", func() {
 		v.SetWorkers(start, desks("d-1", "d-2"))
 		for id := range uint64(6) {
-			v.Heard(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
+			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
 		}
 		later := start.Add(3 * time.Second)
 		v.Sweep(later)
@@ -121,18 +121,18 @@
 
 	It("believes that a worker that was born anew keeps nothing", func() {
 		workers := engines("e-1")
-		workers[0].Born = "1"
+		workers[0].Instance = "1"
 		v.SetWorkers(start, workers)
 		place(start, plan(7))
-		workers[0].Born = "2"
+		workers[0].Instance = "2"
 		v.SetWorkers(start, workers)
 		c, _ := place(start, plan(7))
-		Expect(c.Flight.Read).To(Equal(9200))
+		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 
 	It("refuses what would wait longer than its caller, and says when to come back", func() {
 		v.SetWorkers(start, engines("e-1"))
-		fill := func(a placer.Ask) (sent int, refusal *placer.Refusal) {
+		fill := func(a placer.Request) (sent int, refusal *placer.Refusal) {
 			for refusal == nil {
 				sent++
 				Expect(sent).To(BeNumerically("<", 1000))
@@ -143,17 +143,17 @@
 		// A long prompt waits for half its target at most, 300 ms of reading.
 		sent, refusal := fill(plan(7))
 		Expect(sent).To(BeNumerically("<=", 4))
-		Expect(refusal.Why).To(Equal("queue"))
-		Expect(refusal.After).To(And(BeNumerically(">=", 100*time.Millisecond), BeNumerically("<", time.Second)))
+		Expect(refusal.Reason).To(Equal("queue"))
+		Expect(refusal.RetryAfter).To(And(BeNumerically(">=", 100*time.Millisecond), BeNumerically("<", time.Second)))
 		// A short one until its caller would have left, 1.8 s of reading.
-		sent, refusal = fill(placer.Ask{
-			Service: "lm", Prompt: 800, Output: 30, Left: 10 * time.Second, Patience: 2 * time.Second, Target: 300 * time.Millisecond,
+		sent, refusal = fill(placer.Request{
+			Service: "lm", Prompt: 800, Output: 30, Left: 10 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond,
 		})
 		Expect(sent).To(BeNumerically(">", 40))
-		Expect(refusal.Why).To(Equal("overload"))
-		Expect(refusal.After).To(BeNumerically(">", time.Second))
-		_, refusal = place(start, placer.Ask{Service: "nobody", Left: time.Second})
-		Expect(refusal.Why).To(Equal("no_workers"))
+		Expect(refusal.Reason).To(Equal("overload"))
+		Expect(refusal.RetryAfter).To(BeNumerically(">", time.Second))
+		_, refusal = place(start, placer.Request{Service: "nobody", Left: time.Second})
+		Expect(refusal.Reason).To(Equal("no_workers"))
 	})
 
 	// Streams with tight pauses gather on few workers. Beyond a worker's slots the more
@@ -165,12 +165,12 @@
 		}
 		v.SetWorkers(start, workers)
 		for id := range uint64(24) { // e-1 and e-2 were given much to read
-			f := placer.Flight{ID: 100 + id, Worker: []string{"e-1", "e-2"}[id%2], Read: 9000, Left: 9 * time.Second}
-			v.Heard(start, "other", f)
+			f := placer.Flight{ID: 100 + id, Worker: []string{"e-1", "e-2"}[id%2], Prefill: 9000, Left: 9 * time.Second}
+			v.Receive(start, "other", f)
 			v.Begun(start, f.ID)
 			v.Ended(start, f.ID, placer.Answered)
 		}
-		chat := placer.Ask{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond}
+		chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond}
 		held := map[string]int{}
 		for range 10 {
 			c, refusal := place(start.Add(400*time.Millisecond), chat)
@@ -191,7 +191,7 @@
 			workers[i].Slots = 4
 		}
 		v.SetWorkers(start, workers)
-		chat := placer.Ask{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond}
+		chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond}
 		now, last := start, placer.Choice{}
 		for range 8 {
 			c, refusal := place(now, chat)
@@ -201,7 +201,7 @@
 			last = c
 		}
 		_, refusal := place(now, chat)
-		Expect(refusal).To(Equal(&placer.Refusal{After: 150 * time.Millisecond, Why: "slots"}))
+		Expect(refusal).To(Equal(&placer.Refusal{RetryAfter: 150 * time.Millisecond, Reason: "slots"}))
 		v.Ended(now, last.Flight.ID, placer.Answered)
 		c, refusal := place(now, chat)
 		Expect(refusal).To(BeNil())
@@ -211,16 +211,16 @@
 	// Streams with tight targets for pauses gather on one engine. Each short prompt that
 	// is read there takes little, but many in a row break the streams' pauses.
 	It("keeps short reading away from many tight streams, the more so where they are more urgent", func() {
-		short := placer.Ask{Service: "lm", Prompt: 1400, Left: 10 * time.Second, Target: 1500 * time.Millisecond, Rank: 1}
+		short := placer.Request{Service: "lm", Prompt: 1400, Left: 10 * time.Second, Target: 1500 * time.Millisecond, Rank: 1}
 		chosen := func(streams, rank int) string {
 			v = placer.New("a")
 			v.SetWorkers(start, engines("e-1", "e-2"))
 			for id := range uint64(streams) {
 				f := placer.Flight{ID: 100 + id, Worker: "e-1", Hold: 800, Left: 9 * time.Second, Gap: 100 * time.Millisecond, Rank: rank}
-				v.Heard(start, "other", f)
+				v.Receive(start, "other", f)
 				v.Begun(start, f.ID)
 			}
-			v.Heard(start, "other", placer.Flight{ID: 99, Worker: "e-2", Read: 800, Hold: 800, Left: 9 * time.Second})
+			v.Receive(start, "other", placer.Flight{ID: 99, Worker: "e-2", Prefill: 800, Hold: 800, Left: 9 * time.Second})
 			c, refusal := place(start, short)
 			Expect(refusal).To(BeNil())
 			return c.Worker.Name
@@ -240,13 +240,13 @@
 		}
 		v.SetWorkers(start, workers)
 		now := start
-		long := placer.Ask{Service: "lm", Prompt: 9000, Output: 300, Left: 20 * time.Second, Target: 10 * time.Second, Rank: 1, Tier: 1}
-		chat := placer.Ask{Service: "lm", Prompt: 300, Output: 300, Left: 20 * time.Second, Target: 300 * time.Millisecond, Rank: 2}
-		fill := func(a placer.Ask) (sent int) {
+		long := placer.Request{Service: "lm", Prompt: 9000, Output: 300, Left: 20 * time.Second, Target: 10 * time.Second, Rank: 1, Tier: 1}
+		chat := placer.Request{Service: "lm", Prompt: 300, Output: 300, Left: 20 * time.Second, Target: 300 * time.Millisecond, Rank: 2}
+		fill := func(a placer.Request) (sent int) {
 			for {
 				c, refusal := place(now, a)
 				if refusal != nil {
-					Expect(refusal.Why).To(Equal("slots"))
+					Expect(refusal.Reason).To(Equal("slots"))
 					return sent
 				}
 				sent++
@@ -272,7 +272,7 @@
 			if id >= 4 {
 				f.Worker, f.Gap = "e-2", 50*time.Millisecond
 			}
-			v.Heard(start, "other", f)
+			v.Receive(start, "other", f)
 			v.Begun(start, f.ID)
 		}
 		c, refusal := place(start, plan(7))
@@ -282,21 +282,21 @@
 
 	// Guards against the more urgent being refused for a queue while the less urgent are read.
 	It("sends the more urgent to engines with tight streams before it refuses them", func() {
-		outcome := func(less ...placer.Ask) string {
+		outcome := func(less ...placer.Request) string {
 			v = placer.New("a")
 			v.SetWorkers(start, engines("e-1", "e-2"))
 			for id := range uint64(10) {
 				f := placer.Flight{ID: 100 + id, Worker: "e-2", Hold: 800, Left: 9 * time.Second, Gap: 50 * time.Millisecond}
-				v.Heard(start, "other", f)
+				v.Receive(start, "other", f)
 				v.Begun(start, f.ID)
 			}
-			v.Heard(start, "other", placer.Flight{ID: 99, Worker: "e-1", Read: 15_000, Hold: 15_000, Left: 9 * time.Second})
+			v.Receive(start, "other", placer.Flight{ID: 99, Worker: "e-1", Prefill: 15_000, Hold: 15_000, Left: 9 * time.Second})
 			for _, a := range less {
 				place(start, a)
 			}
 			c, refusal := place(start, plan(7))
 			if refusal != nil {
-				return refusal.Why
+				return refusal.Reason
 			}
 			return c.Worker.Name
 		}
@@ -308,7 +308,7 @@
 
 	It("keeps long prompts away from streams whose pauses they would stretch", func() {
 		v.SetWorkers(start, engines("e-1", "e-2"))
-		chat := placer.Ask{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond}
+		chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond}
 		chats := map[string]int{}
 		for range 4 {
 			c, _ := place(start, chat)
@@ -331,7 +331,7 @@
 	// again, which takes longer than the wait would have.
 	It("spares parts that others use, and no others, where an engine's memory is full", func() {
 		workers := engines("e-1", "e-2")
-		fresh := placer.Ask{
+		fresh := placer.Request{
 			Service: "lm", Prompt: 9000, Left: 8 * time.Second, Target: 1500 * time.Millisecond, Parts: []placer.Part{{Key: 99, Tokens: 9000}},
 		}
 		chosen := func(users int) string {
@@ -339,12 +339,12 @@
 			v.SetWorkers(start, workers)
 			for id := range uint64(60 * users) {
 				part := placer.Part{Key: 1000 + id%60, Tokens: 5000}
-				v.Heard(start, "other", placer.Flight{ID: 100 + id, Worker: "e-1", Read: 5000, Parts: []placer.Part{part}, Left: 9 * time.Second})
+				v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "e-1", Prefill: 5000, Parts: []placer.Part{part}, Left: 9 * time.Second})
 				v.Begun(start, 100+id)
 				v.Ended(start, 100+id, placer.Answered)
 			}
 			later := start.Add(10 * time.Second)
-			v.Heard(later, "other", placer.Flight{ID: 99, Worker: "e-2", Read: 2000, Hold: 2000, Left: 9 * time.Second})
+			v.Receive(later, "other", placer.Flight{ID: 99, Worker: "e-2", Prefill: 2000, Hold: 2000, Left: 9 * time.Second})
 			c, refusal := place(later, fresh)
 			Expect(refusal).To(BeNil())
 			return c.Worker.Name
@@ -362,15 +362,15 @@
 		read := func(names ...string) {
 			for id := range uint64(40) {
 				for _, name := range names {
-					f := placer.Flight{ID: 100 + 2*id + uint64(len(name)), Worker: name, Read: 5000, Hold: 5000, Left: 9 * time.Second}
-					v.Heard(now, "other", f)
+					f := placer.Flight{ID: 100 + 2*id + uint64(len(name)), Worker: name, Prefill: 5000, Hold: 5000, Left: 9 * time.Second}
+					v.Receive(now, "other", f)
 					now = now.Add(60 * time.Millisecond)
 					v.BegunAfter(now, f.ID, 120*time.Millisecond)
 					v.Ended(now, f.ID, placer.Answered)
 				}
 			}
 		}
-		long := placer.Ask{Service: "lm", Prompt: 800, Output: 400, Expected: 400, Left: 8 * time.Second, Target: time.Second}
+		long := placer.Request{Service: "lm", Prompt: 800, Output: 400, Expected: 400, Left: 8 * time.Second, Target: time.Second}
 		short, unsaid := long, long
 		short.Expected, unsaid.Expected = 40, 0
 		read("e-1")
@@ -380,14 +380,14 @@
 		read("e-1", "e-2")
 		_, refusal = place(now, long)
 		Expect(refusal).NotTo(BeNil())
-		Expect(refusal.Why).To(Equal("length"))
-		Expect(refusal.After).To(BeNumerically("<=", long.Left/3))
+		Expect(refusal.Reason).To(Equal("length"))
+		Expect(refusal.RetryAfter).To(BeNumerically("<=", long.Left/3))
 		urgent, less := long, long
 		less.Expected, less.Tier = 0, 1
-		for _, a := range []placer.Ask{short, unsaid, less, urgent} { // once a less urgent one came
+		for _, a := range []placer.Request{short, unsaid, less, urgent} { // once a less urgent one came
 			c, refusal = place(now, a)
 			Expect(refusal).To(BeNil())
-			v.Ended(now, c.Flight.ID, placer.Dropped)
+			v.Ended(now, c.Flight.ID, placer.Canceled)
 		}
 		now = now.Add(11 * time.Second) // no less urgent one came for long
 		read("e-1", "e-2")
@@ -416,15 +416,15 @@
 	// never seems idle again, and nothing more is learned of how fast it reads.
 	It("counts nothing at a worker that was sent to the process before it", func() {
 		workers := engines("e-1")
-		workers[0].Born = "1"
+		workers[0].Instance = "1"
 		v.SetWorkers(start, workers)
 		old, _ := place(start, plan(7))
-		workers[0].Born = "2"
+		workers[0].Instance = "2"
 		v.SetWorkers(start, workers)
 		v.Begun(start.Add(time.Second), old.Flight.ID)
-		Expect(v.Beliefs(start.Add(time.Second))[0].Reading).To(BeZero())
+		Expect(v.WorkerStates(start.Add(time.Second))[0].Reading).To(BeZero())
 		v.Ended(start.Add(time.Second), old.Flight.ID, placer.Broken)
-		Expect(v.Beliefs(start.Add(time.Second))[0].Avoided).To(BeZero())
+		Expect(v.WorkerStates(start.Add(time.Second))[0].Avoided).To(BeZero())
 	})
 
 	// The word of a stream's end is lost, and the view forgets the stream after its time.
@@ -433,7 +433,7 @@
 	It("learns nothing of a stream whose end was not heard of", func() {
 		v.SetWorkers(start, engines("e-1"))
 		now := start
-		ask := placer.Ask{Service: "lm", Prompt: 800, Output: 60, Expected: 60, Left: 8 * time.Second, Target: time.Second}
+		ask := placer.Request{Service: "lm", Prompt: 800, Output: 60, Expected: 60, Left: 8 * time.Second, Target: time.Second}
 		for range 20 {
 			c, refusal := place(now, ask)
 			Expect(refusal).To(BeNil())
--- a/placer/plain.go
+++ b/placer/plain.go
@@ -35,7 +35,7 @@
 // The worker answers in order: of callers that are as urgent as one another, those with
 // the longer target would keep the queue beyond what the others can bear, and they alone
 // would be served. So the tightest target counts for all, and for the less urgent.
-func (v *View) plainMost(a Ask) float64 {
+func (v *View) plainMost(a Request) float64 {
 	return math.Max(plainShare*inMilliseconds(v.demands.tightest(a)), plainRounds*inMilliseconds(v.paceOf(a.Service)))
 }
 
--- a/placer/plain_test.go
+++ b/placer/plain_test.go
@@ -58,7 +58,7 @@
 }
 
 // serve plays a load on a plain service before eight hosts, each with a view of its own.
-func (c plainLoad) serve(seed uint64, length time.Duration, a placer.Ask) plainOutcome {
+func (c plainLoad) serve(seed uint64, length time.Duration, a placer.Request) plainOutcome {
 	const hosts = 8
 	r := rand.New(rand.NewPCG(seed, 2))
 	all, workers := map[string]*plainWorker{}, []placer.Worker{}
@@ -124,14 +124,14 @@
 			choice, refusal := views[j.host].Place(start.Add(now), j.id, ask)
 			if refusal != nil {
 				// A caller comes back once, if that is within a third of its time.
-				if !j.refused && refusal.After <= ask.Left/3 {
-					do(now+refusal.After, try)
+				if !j.refused && refusal.RetryAfter <= ask.Left/3 {
+					do(now+refusal.RetryAfter, try)
 				}
 				out.refused++
 				j.refused = true
 				return
 			}
-			tell(now+c.late.sent, j.host, func(v *placer.View, at time.Time) { v.Heard(at, fmt.Sprint(j.host), choice.Flight) })
+			tell(now+c.late.sent, j.host, func(v *placer.View, at time.Time) { v.Receive(at, fmt.Sprint(j.host), choice.Flight) })
 			j.predicted, j.worker, j.at = choice.Wait, all[choice.Worker.Name], now
 			if j.worker.running < c.slots {
 				begin(now, j)
@@ -159,7 +159,7 @@
 		length = 15 * time.Second
 	)
 	busy := plainLoad{workers: 4, slots: 6, work: 60 * time.Millisecond, rate: 0.97 * most, late: lateness{3 * time.Millisecond, 50 * time.Millisecond}}
-	hold := placer.Ask{Service: "app", Left: time.Second, Target: 300 * time.Millisecond}
+	hold := placer.Request{Service: "app", Left: time.Second, Target: 300 * time.Millisecond}
 
 	It("is expected to take what it takes, and refuses next to nobody for good", func() {
 		for seed := range uint64(3) {
@@ -196,7 +196,7 @@
 			now, id, r := start, uint64(0), rand.New(rand.NewPCG(501, 2))
 			var under []placer.Flight
 			for round := range 200 {
-				callers := []placer.Ask{loose, tight}
+				callers := []placer.Request{loose, tight}
 				r.Shuffle(len(callers), func(i, j int) { callers[i], callers[j] = callers[j], callers[i] })
 				for _, a := range callers {
 					id++
@@ -221,7 +221,7 @@
 	// becomes infinite, and the host refuses all callers of the service for good.
 	It("learns nothing of requests that were sent before it knew their worker", func() {
 		v := placer.New("a")
-		v.Heard(start, "other", placer.Flight{ID: 1, Worker: "d-1", Left: time.Second})
+		v.Receive(start, "other", placer.Flight{ID: 1, Worker: "d-1", Left: time.Second})
 		v.SetWorkers(start, desks("d-1"))
 		v.BegunAfter(start, 1, 60*time.Millisecond)
 		v.Ended(start, 1, placer.Answered)
--- a/placer/play_test.go
+++ b/placer/play_test.go
@@ -129,7 +129,7 @@
 	}
 	d.arrive(l.plans, length, d.plan)
 	d.arrive(l.chats, length, d.chat)
-	d.arrive(l.reviews, length, func() placer.Ask { return l.review(d.r) })
+	d.arrive(l.reviews, length, func() placer.Request { return l.review(d.r) })
 	for _, s := range d.streams {
 		d.urgency(s)
 	}
@@ -184,7 +184,7 @@
 }
 
 // arrive has requests come at random, so many a second.
-func (d *day) arrive(rate float64, length time.Duration, ask func() placer.Ask) {
+func (d *day) arrive(rate float64, length time.Duration, ask func() placer.Request) {
 	if rate == 0 {
 		return
 	}
@@ -245,7 +245,7 @@
 }
 
 // plan is a long prompt of two shared parts and one of its own.
-func (d *day) plan() placer.Ask {
+func (d *day) plan() placer.Request {
 	second := uint64(1000 + d.r.IntN(len(d.sizes)))
 	a := plan(second)
 	a.Parts = []placer.Part{{Key: 1 + second%4, Tokens: 2000 + 300*int(second%4)}, {Key: second, Tokens: d.sizes[second-1000]}}
@@ -255,10 +255,10 @@
 }
 
 // chat is a short prompt with a long answer.
-func (d *day) chat() placer.Ask {
-	return placer.Ask{
+func (d *day) chat() placer.Request {
+	return placer.Request{
 		Service: "lm", Prompt: 200 + skewed(d.r, 628, 1, 3310), Output: engineEvent * skewed(d.r, 73, 0.7, 195), Left: 15 * time.Second,
-		Patience: 2 * time.Second, Target: 300 * time.Millisecond, Gap: d.load.chatGap, Parts: []placer.Part{{Key: uint64(5000 + d.r.IntN(20)), Tokens: 120}},
+		FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond, Gap: d.load.chatGap, Parts: []placer.Part{{Key: uint64(5000 + d.r.IntN(20)), Tokens: 120}},
 	}
 }
 
@@ -272,7 +272,7 @@
 	}
 	for _, s := range d.streams {
 		ok := s.finished && s.first-s.at <= s.ask.Target && s.pause <= s.ask.Gap
-		late := !ok && s.finished && s.first-s.at <= s.ask.Patience
+		late := !ok && s.finished && s.first-s.at <= s.ask.FirstEventTimeout
 		if s.refused > 0 {
 			o.refused++
 		}
@@ -291,10 +291,10 @@
 
 // review is a prompt of about 17,000 tokens, of which an engine may keep 13,000. Where
 // engines forget, what it has of its own takes up room as well.
-func (l load) review(r *rand.Rand) placer.Ask {
+func (l load) review(r *rand.Rand) placer.Request {
 	shared := uint64(9000 + r.IntN(87))
-	a := placer.Ask{
-		Service: "lm", Output: engineEvent * skewed(r, 24, 1, 96), Left: 8 * time.Second, Patience: 6400 * time.Millisecond, Rank: 2,
+	a := placer.Request{
+		Service: "lm", Output: engineEvent * skewed(r, 24, 1, 96), Left: 8 * time.Second, FirstEventTimeout: 6400 * time.Millisecond, Rank: 2,
 		Target: 1500 * time.Millisecond, Gap: 800 * time.Millisecond, Parts: []placer.Part{{Key: shared, Tokens: 13_300}},
 	}
 	own := skewed(r, 3720, 1.1, 53_200)
@@ -309,7 +309,7 @@
 }
 
 // guessed is the output that a caller expects: right in the median, often far off.
-func guessed(a placer.Ask) int {
+func guessed(a placer.Request) int {
 	r := rand.New(rand.NewPCG(uint64(a.Prompt), uint64(a.Output)))
 	return max(int(float64(a.Output)*math.Exp(0.5*r.NormFloat64())), 1)
 }
--- a/placer/protecting.go
+++ b/placer/protecting.go
@@ -30,9 +30,9 @@
 // are there, the more are refused the less is kept. The route decides, not the
 // organisation: the long prompts of an urgent organisation would keep out the short ones
 // of all others.
-func (v *View) protect(now time.Time, options []option, a Ask) protection {
+func (v *View) protect(now time.Time, options []option, a Request) protection {
 	var p protection
-	if len(options) == 0 || options[0].Memory == 0 {
+	if len(options) == 0 || options[0].CacheTokens == 0 {
 		return p
 	}
 	hold := 0
@@ -98,7 +98,7 @@
 
 // hasSlot says that an engine has a slot besides those that are kept, or left to others.
 func (o *option) hasSlot() bool {
-	return o.Memory == 0 || len(o.flights)+max(o.kept, o.margin) < o.Slots
+	return o.CacheTokens == 0 || len(o.flights)+max(o.kept, o.margin) < o.Slots
 }
 
 // wanted is the slots that more urgent routes will want besides those that they have.
@@ -112,17 +112,17 @@
 
 // offer is a request as what is asked for. What it would have to read is what the engine
 // that comes nearest would.
-func (a Ask) offer(o *option) Offer {
-	x := Offer{Service: a.Service, Tier: a.Tier, Count: 1, Output: a.Output}
-	if o != nil && o.Memory > 0 {
-		x.Read = milliseconds(o.own)
+func (a Request) offer(o *option) OfferedLoad {
+	x := OfferedLoad{Service: a.Service, Tier: a.Tier, Count: 1, Output: a.Output}
+	if o != nil && o.CacheTokens > 0 {
+		x.Prefill = milliseconds(o.own)
 	}
 	return x
 }
 
 // give takes that a flight was sent to an engine.
 func (v *View) give(now time.Time, w *worker, f *flight) {
-	if w.Memory == 0 {
+	if w.CacheTokens == 0 {
 		return
 	}
 	v.offers.of(w.Service, f.Tier).give(now, f.unread)
@@ -132,14 +132,14 @@
 // tokenOf is the milliseconds that a stream's token takes at the engines of a worker's
 // service, by what they are given.
 func (v *View) tokenOf(now time.Time, w *worker) float64 {
-	reading := v.offers.given(now, w.Service) / float64(max(v.Workers(w.Service), 1))
+	reading := v.offers.given(now, w.Service) / float64(max(v.WorkerCount(w.Service), 1))
 	return w.fit.token(float64(w.hold), reading/1000)
 }
 
 // learnLength takes how many tokens a stream that was whole had: its time, in parts of what
 // a token took as it was sent and as it ended.
 func (v *View) learnLength(now time.Time, w *worker, f *flight, o Outcome) {
-	if w.Memory == 0 || o != Answered || f.Output <= 0 || !f.begun {
+	if w.CacheTokens == 0 || o != Answered || f.Output <= 0 || !f.begun {
 		return
 	}
 	took := inMilliseconds(now.Sub(f.at) - f.took)
--- a/placer/refusing.go
+++ b/placer/refusing.go
@@ -24,11 +24,11 @@
 // alone, so that long prompts are not refused for the time that they take to read; and
 // on what is as urgent or more, as to refuse a request for a less urgent one that is
 // being read helps nobody.
-func (v *View) refuse(o *option, a Ask) *Refusal {
+func (v *View) refuse(o *option, a Request) *Refusal {
 	wait := milliseconds(o.wait)
 	bound := a.Left
-	if a.Patience > 0 {
-		bound = min(bound, a.Patience)
+	if a.FirstEventTimeout > 0 {
+		bound = min(bound, a.FirstEventTimeout)
 	}
 	room := v.bound(o, a)
 	switch {
@@ -36,9 +36,9 @@
 		// An engine whose slots are taken runs one request more only in the place of
 		// another, which it then reads in again.
 		return refusal("slots", a.Target/2)
-	case o.Memory > 0 && v.guard.closed():
+	case o.CacheTokens > 0 && v.guard.closed():
 		return refusal("slots", max(a.Target/2, milliseconds(v.guard.held)))
-	case o.Memory == 0 && a.Target > 0 && o.wait > room:
+	case o.CacheTokens == 0 && a.Target > 0 && o.wait > room:
 		// Failure: more comes than the service can do, its queue grows to what callers
 		// wait for at most, and all answers are late. With a short queue as many are
 		// answered, in time.
@@ -59,5 +59,5 @@
 
 // refusal tells a caller to stay away for a time, and why.
 func refusal(why string, after time.Duration) *Refusal {
-	return &Refusal{After: max(after, afterLeast), Why: why}
+	return &Refusal{RetryAfter: max(after, afterLeast), Reason: why}
 }
--- a/placer/returning.go
+++ b/placer/returning.go
@@ -21,7 +21,7 @@
 // that were refused before it have been read. Failure: callers that were refused
 // together come back together, and all but the first are refused again. The less urgent
 // do not make the more urgent wait.
-func (v *View) book(now time.Time, a Ask, options []option, after time.Duration) time.Duration {
+func (v *View) book(now time.Time, a Request, options []option, after time.Duration) time.Duration {
 	own := 0.0
 	for _, o := range options {
 		own += o.own / float64(len(options)*len(options))
--- a/placer/running.go
+++ b/placer/running.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Running is a flight that a host had under way before another one started, or began to
+// RunningFlight is a flight that a host had under way before another one started, or began to
 // listen.
-type Running struct {
+type RunningFlight struct {
 	Flight
 	Host  string // that sends it; "" is this one
 	Begun bool   // its first event was seen
 }
 
-// Running is the flights that this host has under way, and where others is set those of
+// RunningFlights is the flights that this host has under way, and where others is set those of
 // other hosts, too. Parts of prompts are left out: they are most of what would be told.
-func (v *View) Running(now time.Time, others bool) []Running {
-	var out []Running
+func (v *View) RunningFlights(now time.Time, others bool) []RunningFlight {
+	var out []RunningFlight
 	for _, x := range v.flights {
 		if x.from != "" && !others {
 			continue
 		}
 		f := x.Flight
 		f.Parts, f.Left = nil, max(x.Left-now.Sub(x.at), 0)
-		out = append(out, Running{Flight: f, Host: x.from, Begun: x.begun})
+		out = append(out, RunningFlight{Flight: f, Host: x.from, Begun: x.begun})
 	}
 	return out
 }
 
-// HeardRunning takes a flight that another host has had under way. Failure: a host that
+// ReceiveRunning takes a flight that another host has had under way. Failure: a host that
 // starts knows of nothing that is at the engines. It takes them for empty, and fills them
 // beyond their slots; streams are taken off for what it sends. Nothing is learned from it,
 // as it was not asked for now.
-func (v *View) HeardRunning(now time.Time, from string, r Running) {
+func (v *View) ReceiveRunning(now time.Time, from string, r RunningFlight) {
 	f := r.Flight
 	if r.Begun {
-		f.Read = 0
+		f.Prefill = 0
 	}
 	x := v.hear(now, from, f)
 	if x == nil || !r.Begun {
--- a/placer/running_test.go
+++ b/placer/running_test.go
@@ -10,7 +10,7 @@
 )
 
 var _ = Describe("What is under way", func() {
-	chat := placer.Ask{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Patience: 2 * time.Second, Target: 300 * time.Millisecond}
+	chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond}
 
 	// Guards against a host that starts, takes all engines for empty and fills them beyond
 	// their slots.
@@ -26,10 +26,10 @@
 			}
 		}
 		later := start.Add(time.Second)
-		for _, r := range old.Running(later, false) {
-			fresh.HeardRunning(later, "old", r)
+		for _, r := range old.RunningFlights(later, false) {
+			fresh.ReceiveRunning(later, "old", r)
 		}
-		Expect(fresh.Beliefs(later)[0].Flights + fresh.Beliefs(later)[1].Flights).To(Equal(12))
+		Expect(fresh.WorkerStates(later)[0].Flights + fresh.WorkerStates(later)[1].Flights).To(Equal(12))
 		long := plan(7)
 		long.Tier, long.Rank, long.Target = 1, 1, time.Millisecond
 		c, refusal := fresh.Place(later, 99, long)
@@ -38,6 +38,6 @@
 		for id := range uint64(12) {
 			fresh.Ended(later, id, placer.Answered)
 		}
-		Expect(fresh.Beliefs(later)[0].Flights + fresh.Beliefs(later)[1].Flights).To(BeZero())
+		Expect(fresh.WorkerStates(later)[0].Flights + fresh.WorkerStates(later)[1].Flights).To(BeZero())
 	})
 })
--- a/placer/sharing.go
+++ b/placer/sharing.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Share tells the view that so many hosts decide by views of their own, and which of them
+// SetDeciders tells the view that so many hosts decide by views of their own, and which of them
 // this one is, from 0; -1 where it is none of them. 0 hosts share nothing.
-func (v *View) Share(hosts, self int) {
+func (v *View) SetDeciders(hosts, self int) {
 	v.sharers, v.self = hosts, self
 }
 
--- a/placer/sharing_test.go
+++ b/placer/sharing_test.go
@@ -22,11 +22,11 @@
 		var views []*placer.View
 		for i := range hosts {
 			v := placer.New("a")
-			v.Share(hosts, i)
+			v.SetDeciders(hosts, i)
 			v.SetWorkers(start, workers)
 			for id := range uint64(len(names) * (slots - 1)) {
 				f := placer.Flight{ID: 100 + id, Worker: names[id%4], Hold: 800, Output: 300, Left: 9 * time.Second}
-				v.Heard(start, "other", f)
+				v.Receive(start, "other", f)
 				v.Begun(start, f.ID)
 			}
 			views = append(views, v)
@@ -35,7 +35,7 @@
 		placed := 0
 		for i, v := range views {
 			for id := range uint64(8) {
-				chat := placer.Ask{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, Patience: 2 * time.Second, Target: 300 * time.Millisecond}
+				chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond}
 				if c, refusal := v.Place(start, 1000*uint64(i+1)+id, chat); refusal == nil {
 					taken[c.Worker.Name]++
 					placed++
--- a/placer/suspecting.go
+++ b/placer/suspecting.go
@@ -9,14 +9,14 @@
 // suspect takes what a flight's end says of the request.
 func (v *View) suspect(now time.Time, f *flight, o Outcome) {
 	switch o {
-	case Ended:
-		v.suspects.Ended(now, f.Fingerprint, f.Worker, f.sentBy())
+	case Disconnected:
+		v.suspects.WorkerCrashed(now, f.Fingerprint, f.Worker, f.sentBy())
 	case Answered, Errored:
 		v.suspects.Answered(f.Fingerprint)
-		v.suspects.Alive(now, f.Worker, now.Add(-quarantiner.WordMost))
-	case Refused, Misled:
+		v.suspects.Alive(now, f.Worker, now.Add(-quarantiner.MaxUpdateDelay))
+	case Refused, WrongWorker:
 		v.suspects.Alive(now, f.Worker, f.answeredAt(0))
-	case Broken, Dropped:
+	case Broken, Canceled:
 	}
 }
 
@@ -26,7 +26,7 @@
 	if f.from == "" {
 		return f.at
 	}
-	return f.at.Add(-quarantiner.WordUsual)
+	return f.at.Add(-quarantiner.UsualUpdateDelay)
 }
 
 // answeredAt is when the worker gave the flight's first event at the earliest: what another
@@ -35,13 +35,13 @@
 	if f.from == "" {
 		return f.at.Add(took)
 	}
-	return f.at.Add(took - quarantiner.WordMost)
+	return f.at.Add(took - quarantiner.MaxUpdateDelay)
 }
 
 // beside is the worker at which one like a suspected request is; "" where none is, or
 // where this one was there. Failure: copies of a request that ends workers come faster
 // than they end them, and each takes one more with it. Together they take one.
-func (v *View) beside(a Ask) string {
+func (v *View) beside(a Request) string {
 	if !v.suspects.Suspected(a.Fingerprint) {
 		return ""
 	}
@@ -54,5 +54,5 @@
 	return worker
 }
 
-// Suspects is what the view knows of requests that ended workers.
-func (v *View) Suspects() *quarantiner.Book { return &v.suspects }
+// Quarantine is what the view knows of requests that ended workers.
+func (v *View) Quarantine() *quarantiner.Tracker { return &v.suspects }
--- a/placer/suspecting_test.go
+++ b/placer/suspecting_test.go
@@ -24,7 +24,7 @@
 	pass := func() time.Time { now = now.Add(50 * time.Millisecond); return now }
 	place := func(f quarantiner.Fingerprint) (placer.Choice, *placer.Refusal) {
 		nextID++
-		return v.Place(pass(), nextID, placer.Ask{Service: "lm", Prompt: 500, Output: 50, Left: 5 * time.Second, Target: time.Second, Fingerprint: f})
+		return v.Place(pass(), nextID, placer.Request{Service: "lm", Prompt: 500, Output: 50, Left: 5 * time.Second, Target: time.Second, Fingerprint: f})
 	}
 	send := func(f quarantiner.Fingerprint) placer.Choice {
 		c, refused := place(f)
@@ -35,7 +35,7 @@
 	// Guards against copies that come faster than they end workers ending one each.
 	It("goes where one like it is, and takes one worker at a time", func() {
 		first := send(bad)
-		v.Ended(pass(), first.Flight.ID, placer.Ended)
+		v.Ended(pass(), first.Flight.ID, placer.Disconnected)
 		second, third := send(bad), send(bad)
 		Expect(second.Worker.Name).To(Equal(third.Worker.Name))
 		Expect(send(bad + 1).Worker.Name).NotTo(Equal(second.Worker.Name))
@@ -43,13 +43,13 @@
 
 	It("is refused after the third, with when to come back, and others are not", func() {
 		for range 3 {
-			v.Ended(pass(), send(bad).Flight.ID, placer.Ended)
+			v.Ended(pass(), send(bad).Flight.ID, placer.Disconnected)
 		}
-		Expect(v.Suspects().Caught()).To(HaveLen(1))
+		Expect(v.Quarantine().DrainQuarantined()).To(HaveLen(1))
 		_, refused := place(bad)
 		Expect(refused).NotTo(BeNil())
-		Expect(refused.Why).To(Equal("quarantine"))
-		Expect(refused.After).To(BeNumerically(">", 9*time.Minute))
+		Expect(refused.Reason).To(Equal("quarantine"))
+		Expect(refused.RetryAfter).To(BeNumerically(">", 9*time.Minute))
 		send(bad + 1)
 	})
 
@@ -59,11 +59,11 @@
 		other.SetWorkers(now, engines("e-1", "e-2", "e-3", "e-4", "e-5", "e-6"))
 		for range 3 {
 			c := send(bad)
-			other.Heard(pass(), "h", c.Flight)
-			v.Ended(pass(), c.Flight.ID, placer.Ended)
-			other.Ended(now, c.Flight.ID, placer.Ended)
+			other.Receive(pass(), "h", c.Flight)
+			v.Ended(pass(), c.Flight.ID, placer.Disconnected)
+			other.Ended(now, c.Flight.ID, placer.Disconnected)
 		}
-		_, refused := other.Place(now, 99, placer.Ask{Service: "lm", Prompt: 500, Left: 5 * time.Second, Fingerprint: bad})
+		_, refused := other.Place(now, 99, placer.Request{Service: "lm", Prompt: 500, Left: 5 * time.Second, Fingerprint: bad})
 		Expect(refused).NotTo(BeNil())
 	})
 
@@ -78,18 +78,18 @@
 				}
 			}
 			nextID++
-			beside, refused := v.Place(pass(), nextID, placer.Ask{Service: "lm", Prompt: 500, Left: 5 * time.Second, Exclude: others})
+			beside, refused := v.Place(pass(), nextID, placer.Request{Service: "lm", Prompt: 500, Left: 5 * time.Second, Exclude: others})
 			Expect(refused).To(BeNil())
-			v.Ended(pass(), c.Flight.ID, placer.Ended)
+			v.Ended(pass(), c.Flight.ID, placer.Disconnected)
 			pass()
 			v.Begun(pass(), beside.Flight.ID)
-			v.Ended(now, beside.Flight.ID, placer.Dropped)
+			v.Ended(now, beside.Flight.ID, placer.Canceled)
 		}
 		for range 9 {
-			v.Ended(pass(), send(bad).Flight.ID, placer.Ended)
+			v.Ended(pass(), send(bad).Flight.ID, placer.Disconnected)
 			v.Ended(pass(), send(bad).Flight.ID, placer.Errored)
 		}
-		Expect(v.Suspects().Caught()).To(BeEmpty())
+		Expect(v.Quarantine().DrainQuarantined()).To(BeEmpty())
 	})
 
 	// Guards against word that comes late taking a mark off, or adding one.
@@ -98,27 +98,27 @@
 			c := send(bad)
 			nextID++
 			beside := placer.Flight{ID: nextID, Worker: c.Worker.Name, Left: time.Second}
-			v.Ended(pass(), c.Flight.ID, placer.Ended)
-			v.Heard(pass(), "h", beside) // it was answered before the end
+			v.Ended(pass(), c.Flight.ID, placer.Disconnected)
+			v.Receive(pass(), "h", beside) // it was answered before the end
 			v.BegunAfter(now, beside.ID, 200*time.Millisecond)
 			v.Ended(now, beside.ID, placer.Answered)
 		}
-		Expect(v.Suspects().Caught()).To(HaveLen(1))
+		Expect(v.Quarantine().DrainQuarantined()).To(HaveLen(1))
 		for i := range 3 { // one moment, of which this view hears one by one
 			id := uint64(1000 + i)
-			v.Heard(now, "h", placer.Flight{ID: id, Worker: []string{"e-4", "e-5", "e-6"}[i], Left: time.Second, Fingerprint: bad + 1})
+			v.Receive(now, "h", placer.Flight{ID: id, Worker: []string{"e-4", "e-5", "e-6"}[i], Left: time.Second, Fingerprint: bad + 1})
 			now = now.Add(10 * time.Millisecond)
-			v.Ended(now, id, placer.Ended)
+			v.Ended(now, id, placer.Disconnected)
 		}
-		Expect(v.Suspects().Caught()).To(BeEmpty())
+		Expect(v.Quarantine().DrainQuarantined()).To(BeEmpty())
 	})
 
 	It("goes to another worker than it had, as any other", func() {
 		c := send(bad)
-		v.Ended(pass(), c.Flight.ID, placer.Ended)
+		v.Ended(pass(), c.Flight.ID, placer.Disconnected)
 		d := send(bad)
 		nextID++
-		e, refused := v.Place(pass(), nextID, placer.Ask{
+		e, refused := v.Place(pass(), nextID, placer.Request{
 			Service: "lm", Prompt: 500, Output: 50, Left: 5 * time.Second, Target: time.Second, Fingerprint: bad, Exclude: []string{c.Worker.Name, d.Worker.Name},
 		})
 		Expect(refused).To(BeNil())
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -38,17 +38,17 @@
 	w.flights = append(w.flights, f)
 	w.reading++
 	w.hold += f.Hold
-	if w.Memory == 0 {
+	if w.CacheTokens == 0 {
 		return
 	}
-	f.unread = w.readTime(f.Read, f.Hold)
+	f.unread = w.readTime(f.Prefill, f.Hold)
 	w.read, w.readAt = w.readLately(now)+f.unread, now
 	w.line.add(now, f)
 	w.parts.add(f, w.room(w.hold))
 }
 
 // room is the tokens that the engine has for parts that no request uses.
-func (w *worker) room(hold int) int { return max(w.Memory-hold, w.Memory/4) }
+func (w *worker) room(hold int) int { return max(w.CacheTokens-hold, w.CacheTokens/4) }
 
 // crowd notes that what the worker reads is not read alone: its time tells nothing.
 func (w *worker) crowd() {
@@ -62,7 +62,7 @@
 // began takes a flight's first event, which tells how fast engines read, and this one.
 func (w *worker) began(now time.Time, f *flight, took time.Duration) {
 	w.reading--
-	if w.Memory == 0 {
+	if w.CacheTokens == 0 {
 		return
 	}
 	if f.alone && f.Fetch == 0 && took > 0 {
@@ -76,8 +76,8 @@
 
 // learn takes how long the worker took to the first event of what it read alone.
 func (w *worker) learn(f *flight, took float64) {
-	w.fit.learn(f.Read, f.Hold, math.Max(took-w.decoding(f.Read), 1))
-	expected := w.fit.predict(termsOf(f.Read, f.Hold)) + w.decoding(f.Read)
+	w.fit.learn(f.Prefill, f.Hold, math.Max(took-w.decoding(f.Prefill), 1))
+	expected := w.fit.predict(termsOf(f.Prefill, f.Hold)) + w.decoding(f.Prefill)
 	seen := math.Min(math.Max(took/expected, slownessLeast), slownessMost)
 	w.slowness += paceWeight * (seen - w.slowness)
 }
@@ -128,7 +128,7 @@
 // stretch is the longest pause that reading can put between two events of a
 // stream, in milliseconds: each of an event's tokens waits for a chunk.
 func (w *worker) stretch() float64 {
-	return float64(max(w.Event, 1)) * w.readTime(chunk, chunk)
+	return float64(max(w.EventTokens, 1)) * w.readTime(chunk, chunk)
 }
 
 // judge takes how a flight ended. Trouble fades by itself, so that a worker that
@@ -136,18 +136,18 @@
 func (w *worker) judge(now time.Time, o Outcome) {
 	add := 0.0
 	switch o {
-	case Broken, Ended:
+	case Broken, Disconnected:
 		add = brokenCost
 	case Refused:
 		add = refusedCost
 	case Errored:
 		add = erroredCost
-	case Misled:
+	case WrongWorker:
 		add = misledCost
 	case Answered:
 		w.trouble, w.troubled = w.avoided(now)/2, now
 		return
-	case Dropped:
+	case Canceled:
 		return
 	}
 	w.trouble, w.troubled = math.Min(w.avoided(now)+add, troubleMost), now
--- a/quarantiner/bench_test.go
+++ b/quarantiner/bench_test.go
@@ -12,33 +12,33 @@
 func BenchmarkOf(b *testing.B) {
 	body := make([]byte, 18_000)
 	for range b.N {
-		_ = quarantiner.Of("organisation", "POST", "/v1/plans/17", body)
+		_ = quarantiner.FingerprintOf("organisation", "POST", "/v1/plans/17", body)
 	}
 }
 
 // BenchmarkEnded is a worker's end with one of its requests, with as many marks as a crash of
 // thirty workers with fifty requests each leaves, and one request held back.
 func BenchmarkEnded(b *testing.B) {
-	var book quarantiner.Book
+	var book quarantiner.Tracker
 	now := time.Unix(1000, 0)
 	for i := range 3 {
 		now = now.Add(time.Second)
-		book.Ended(now, 1, fmt.Sprint("w-", i), now.Add(-time.Millisecond))
+		book.WorkerCrashed(now, 1, fmt.Sprint("w-", i), now.Add(-time.Millisecond))
 	}
 	for i := range 1500 {
-		book.Ended(now, quarantiner.Fingerprint(2+i), fmt.Sprint("x-", i/50), now.Add(-time.Millisecond))
+		book.WorkerCrashed(now, quarantiner.Fingerprint(2+i), fmt.Sprint("x-", i/50), now.Add(-time.Millisecond))
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		book.Ended(now, quarantiner.Fingerprint(2+i%1500), "x-31", now.Add(-time.Second))
+		book.WorkerCrashed(now, quarantiner.Fingerprint(2+i%1500), "x-31", now.Add(-time.Second))
 	}
 }
 
 // BenchmarkHeld is the look at each request, with nothing held back.
 func BenchmarkHeld(b *testing.B) {
-	var book quarantiner.Book
+	var book quarantiner.Tracker
 	now := time.Unix(1000, 0)
 	for range b.N {
-		_, _ = book.Held(now, 7)
+		_, _ = book.Quarantined(now, 7)
 	}
 }
--- a/quarantiner/fingerprint.go
+++ b/quarantiner/fingerprint.go
@@ -13,8 +13,8 @@
 // request comes, are no part of it. 0 stands for a request that is not known.
 type Fingerprint uint64
 
-// Of is the fingerprint of a request.
-func Of(caller, method, path string, body []byte) Fingerprint {
+// FingerprintOf is the fingerprint of a request.
+func FingerprintOf(caller, method, path string, body []byte) Fingerprint {
 	h := xxhash.New()
 	for _, text := range []string{caller, method, path} {
 		_, _ = h.WriteString(text + "\x00") // a hash takes everything
--- a/quarantiner/fingerprint_test.go
+++ b/quarantiner/fingerprint_test.go
@@ -33,8 +33,8 @@
 			{"a", "POST", "/", "pb"},
 			{"", "aPOST", "/p", "b"},
 		} {
-			f := quarantiner.Of(x[0], x[1], x[2], []byte(x[3]))
-			Expect(f).To(Equal(quarantiner.Of(x[0], x[1], x[2], []byte(x[3]))))
+			f := quarantiner.FingerprintOf(x[0], x[1], x[2], []byte(x[3]))
+			Expect(f).To(Equal(quarantiner.FingerprintOf(x[0], x[1], x[2], []byte(x[3]))))
 			Expect(all).NotTo(HaveKey(f))
 			text, err := f.MarshalText()
 			Expect(err).NotTo(HaveOccurred())
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -39,11 +39,11 @@
 )
 
 const (
-	// WordMost is how late word of an answer may come from another host, over a link that
+	// MaxUpdateDelay is how late word of an answer may come from another host, over a link that
 	// loses packets: a worker is known to have been there by so much earlier.
-	WordMost = time.Second
-	// WordUsual is how late word of what another host sends comes as a rule.
-	WordUsual = 50 * time.Millisecond
+	MaxUpdateDelay = time.Second
+	// UsualUpdateDelay is how late word of what another host sends comes as a rule.
+	UsualUpdateDelay = 50 * time.Millisecond
 )
 
 // mark is the end of a worker that had a request.
@@ -66,7 +66,7 @@
 // explains says that a mark is of an end that this record has, too. A worker may come back
 // under its name, and end again.
 func (r *record) explains(m mark) bool {
-	return slices.ContainsFunc(r.marks, func(x mark) bool { return x.worker == m.worker && m.at.Sub(x.at).Abs() < WordMost })
+	return slices.ContainsFunc(r.marks, func(x mark) bool { return x.worker == m.worker && m.at.Sub(x.at).Abs() < MaxUpdateDelay })
 }
 
 // last is when the last mark was made.
@@ -96,32 +96,32 @@
 // empty says that there is nothing in the record.
 func (r *record) empty() bool { return len(r.marks) == 0 && r.span == 0 }
 
-// Held is a request that is held back.
-type Held struct {
+// Entry is a request that is held back.
+type Entry struct {
 	Fingerprint Fingerprint
-	For         time.Duration // from now on
-	Span        time.Duration // in all
+	Remaining   time.Duration // from now on
+	Duration    time.Duration // in all
 	Workers     []string      // that it ended, the first ones
 }
 
-// Book is what one host knows of requests that ended workers. The zero Book is empty.
-type Book struct {
-	// AliveWithin is how soon after its end an answer of a worker shows that it did not end;
+// Tracker is what one host knows of requests that ended workers. The zero Tracker is empty.
+type Tracker struct {
+	// MinRestartTime is how soon after its end an answer of a worker shows that it did not end;
 	// 0 is two seconds. A process that ended must take longer to come back, if it comes back
 	// under the same name.
-	AliveWithin time.Duration
-	// Renamed says that a worker comes back under a new name, or not so soon: one that is
+	MinRestartTime time.Duration
+	// RenamedOnRestart says that a worker comes back under a new name, or not so soon: one that is
 	// there again did not end.
-	Renamed bool
+	RenamedOnRestart bool
 
 	records map[Fingerprint]*record
 	marked  time.Time     // when the last mark was made
-	caught  []Held        // held back since it was last asked
+	caught  []Entry       // held back since it was last asked
 	freed   []Fingerprint // let go since it was last asked
 }
 
-// Ended takes that a worker ended with a request that was sent to it at a time.
-func (b *Book) Ended(now time.Time, f Fingerprint, worker string, sent time.Time) {
+// WorkerCrashed takes that a worker ended with a request that was sent to it at a time.
+func (b *Tracker) WorkerCrashed(now time.Time, f Fingerprint, worker string, sent time.Time) {
 	r := b.records[f]
 	switch {
 	case f == 0:
@@ -151,9 +151,9 @@
 
 // again says that a worker ended under a request that has just had a mark of it: it was
 // there, so that what ended then was a connection.
-func (b *Book) again(now time.Time, r *record, worker string) bool {
+func (b *Tracker) again(now time.Time, r *record, worker string) bool {
 	i := slices.IndexFunc(r.marks, func(m mark) bool { return m.worker == worker })
-	if !b.Renamed || i < 0 || now.Sub(r.marks[i].at) >= b.within() {
+	if !b.RenamedOnRestart || i < 0 || now.Sub(r.marks[i].at) >= b.within() {
 		return false
 	}
 	r.marks[i].at = now
@@ -161,17 +161,17 @@
 }
 
 // within is how soon after its end an answer shows that a worker did not end.
-func (b *Book) within() time.Duration { return cmp.Or(b.AliveWithin, aliveWithin) }
+func (b *Tracker) within() time.Duration { return cmp.Or(b.MinRestartTime, aliveWithin) }
 
-// Caught is the requests that are held back by what was told since Caught was last asked.
-func (b *Book) Caught() []Held {
+// DrainQuarantined is the requests that are held back by what was told since DrainQuarantined was last asked.
+func (b *Tracker) DrainQuarantined() []Entry {
 	caught := b.caught
 	b.caught = nil
 	return caught
 }
 
-// Freed is the requests whose time was over since Freed was last asked.
-func (b *Book) Freed() []Fingerprint {
+// DrainReleased is the requests whose time was over since DrainReleased was last asked.
+func (b *Tracker) DrainReleased() []Fingerprint {
 	freed := b.freed
 	b.freed = nil
 	return freed
@@ -186,7 +186,7 @@
 }
 
 // explained says that a request that is held back ended the worker in that moment.
-func (b *Book) explained(m mark) bool {
+func (b *Tracker) explained(m mark) bool {
 	for _, r := range b.records {
 		if r.held(m.at) && r.explains(m) {
 			return true
@@ -196,7 +196,7 @@
 }
 
 // clear takes the marks off others that a request held back explains.
-func (b *Book) clear(now time.Time, by *record) {
+func (b *Tracker) clear(now time.Time, by *record) {
 	for f, r := range b.records {
 		if r == by || r.held(now) {
 			continue
@@ -209,7 +209,7 @@
 }
 
 // add begins a record; where there are too many, some go.
-func (b *Book) add(f Fingerprint) *record {
+func (b *Tracker) add(f Fingerprint) *record {
 	if b.records == nil {
 		b.records = map[Fingerprint]*record{}
 	}
@@ -222,7 +222,7 @@
 }
 
 // shrink drops a quarter of the records: the oldest, of those not held back first.
-func (b *Book) shrink() {
+func (b *Tracker) shrink() {
 	all := slices.SortedFunc(maps.Keys(b.records), func(x, y Fingerprint) int {
 		return cmp.Or(b.records[x].until.Compare(b.records[y].until), b.records[x].last().Compare(b.records[y].last()))
 	})
@@ -233,11 +233,11 @@
 
 // Answered takes that a worker answered a request, whatever it said: it runs, and the
 // worker goes on.
-func (b *Book) Answered(f Fingerprint) { delete(b.records, f) }
+func (b *Tracker) Answered(f Fingerprint) { delete(b.records, f) }
 
 // Alive takes that a worker was there at a time. What ended before that was a connection,
 // not the worker. It returns true where that takes a mark off.
-func (b *Book) Alive(now time.Time, worker string, at time.Time) bool {
+func (b *Tracker) Alive(now time.Time, worker string, at time.Time) bool {
 	within := b.within()
 	if now.Sub(b.marked) >= within {
 		return false // no mark is young enough
@@ -246,7 +246,7 @@
 	for f, r := range b.records {
 		before := len(r.marks)
 		r.marks = slices.DeleteFunc(r.marks, func(m mark) bool {
-			return m.worker == worker && at.Sub(m.at) > WordUsual && now.Sub(m.at) < within
+			return m.worker == worker && at.Sub(m.at) > UsualUpdateDelay && now.Sub(m.at) < within
 		})
 		some = some || len(r.marks) < before
 		if len(r.marks) < r.need && r.held(now) {
@@ -260,10 +260,10 @@
 }
 
 // Suspected says that a request has a mark.
-func (b *Book) Suspected(f Fingerprint) bool { return b.records[f] != nil }
+func (b *Tracker) Suspected(f Fingerprint) bool { return b.records[f] != nil }
 
-// Held says whether a request is held back, and for how long.
-func (b *Book) Held(now time.Time, f Fingerprint) (time.Duration, bool) {
+// Quarantined says whether a request is held back, and for how long.
+func (b *Tracker) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
 	r := b.records[f]
 	if r == nil || !r.held(now) {
 		return 0, false
@@ -272,19 +272,19 @@
 }
 
 // List is the requests that are held back, by their fingerprints.
-func (b *Book) List(now time.Time) []Held {
-	var out []Held
+func (b *Tracker) List(now time.Time) []Entry {
+	var out []Entry
 	for f, r := range b.records {
 		if r.held(now) {
 			out = append(out, r.as(now, f))
 		}
 	}
-	slices.SortFunc(out, func(x, y Held) int { return cmp.Compare(x.Fingerprint, y.Fingerprint) })
+	slices.SortFunc(out, func(x, y Entry) int { return cmp.Compare(x.Fingerprint, y.Fingerprint) })
 	return out
 }
 
-func (r *record) as(now time.Time, f Fingerprint) Held {
-	return Held{Fingerprint: f, For: r.until.Sub(now), Span: r.span, Workers: r.workers()}
+func (r *record) as(now time.Time, f Fingerprint) Entry {
+	return Entry{Fingerprint: f, Remaining: r.until.Sub(now), Duration: r.span, Workers: r.workers()}
 }
 
 func (r *record) workers() []string {
@@ -295,10 +295,10 @@
 	return out
 }
 
-// Take takes a request that another host holds back. It returns true where this one did
+// Receive takes a request that another host holds back. It returns true where this one did
 // not.
-func (b *Book) Take(now time.Time, h Held) bool {
-	if h.Fingerprint == 0 || h.For <= 0 {
+func (b *Tracker) Receive(now time.Time, h Entry) bool {
+	if h.Fingerprint == 0 || h.Remaining <= 0 {
 		return false
 	}
 	r := b.records[h.Fingerprint]
@@ -312,15 +312,15 @@
 	for _, worker := range h.Workers {
 		r.marks = append(r.marks, mark{worker, now})
 	}
-	r.span = min(h.Span, heldMost)
-	r.hold(now, min(h.For, heldMost))
+	r.span = min(h.Duration, heldMost)
+	r.hold(now, min(h.Remaining, heldMost))
 	b.clear(now, r)
 	return true
 }
 
 // Sweep lets go those whose time is over, on probation: one more end, and they are held
 // back again, for longer. It forgets marks that are old.
-func (b *Book) Sweep(now time.Time) {
+func (b *Tracker) Sweep(now time.Time) {
 	for f, r := range b.records {
 		switch {
 		case r.held(now):
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -16,21 +16,21 @@
 		sound = quarantiner.Fingerprint(8)
 	)
 	var (
-		b   *quarantiner.Book
+		b   *quarantiner.Tracker
 		now time.Time
 	)
-	BeforeEach(func() { b, now = &quarantiner.Book{}, time.Unix(1000, 0) })
+	BeforeEach(func() { b, now = &quarantiner.Tracker{}, time.Unix(1000, 0) })
 	pass := func(d time.Duration) time.Time { now = now.Add(d); return now }
 	// ends has a worker end with requests that were sent to it just before.
 	ends := func(worker string, fs ...quarantiner.Fingerprint) {
 		sent := pass(100 * time.Millisecond)
 		pass(50 * time.Millisecond)
 		for _, f := range fs {
-			b.Ended(now, f, worker, sent)
+			b.WorkerCrashed(now, f, worker, sent)
 		}
 	}
 	held := func(f quarantiner.Fingerprint) bool {
-		_, ok := b.Held(now, f)
+		_, ok := b.Quarantined(now, f)
 		return ok
 	}
 
@@ -39,12 +39,12 @@
 			Expect(held(bad)).To(BeFalse())
 			ends(fmt.Sprint("w-", i), bad)
 		}
-		left, ok := b.Held(now, bad)
+		left, ok := b.Quarantined(now, bad)
 		Expect(ok).To(BeTrue())
 		Expect(left).To(Equal(10 * time.Minute))
-		Expect(b.Caught()).To(Equal(b.List(now)))
-		Expect(b.Caught()).To(BeEmpty())
-		Expect(b.List(now)).To(Equal([]quarantiner.Held{{Fingerprint: bad, For: left, Span: left, Workers: []string{"w-0", "w-1", "w-2"}}}))
+		Expect(b.DrainQuarantined()).To(Equal(b.List(now)))
+		Expect(b.DrainQuarantined()).To(BeEmpty())
+		Expect(b.List(now)).To(Equal([]quarantiner.Entry{{Fingerprint: bad, Remaining: left, Duration: left, Workers: []string{"w-0", "w-1", "w-2"}}}))
 	})
 
 	// Guards against requests being held back that were under way as all workers lost power.
@@ -52,7 +52,7 @@
 		sent := now
 		pass(time.Second)
 		for i := range 9 {
-			b.Ended(pass(time.Millisecond), bad, fmt.Sprint("w-", i), sent)
+			b.WorkerCrashed(pass(time.Millisecond), bad, fmt.Sprint("w-", i), sent)
 		}
 		Expect(held(bad)).To(BeFalse())
 	})
@@ -107,7 +107,7 @@
 
 	// Guards against two workers that break off their answers having a sound request held back.
 	It("takes a worker that is there again at once for one that did not end", func() {
-		b.Renamed = true
+		b.RenamedOnRestart = true
 		for range 9 {
 			ends("w-0", bad)
 			ends("w-1", bad)
@@ -136,12 +136,12 @@
 			ends(fmt.Sprint("w-", i), bad)
 		}
 		b.Sweep(pass(9 * time.Minute))
-		Expect(b.Freed()).To(BeEmpty())
+		Expect(b.DrainReleased()).To(BeEmpty())
 		b.Sweep(pass(time.Minute))
-		Expect(b.Freed()).To(Equal([]quarantiner.Fingerprint{bad}))
+		Expect(b.DrainReleased()).To(Equal([]quarantiner.Fingerprint{bad}))
 		Expect(held(bad)).To(BeFalse())
 		ends("w-3", bad)
-		left, _ := b.Held(now, bad)
+		left, _ := b.Quarantined(now, bad)
 		Expect(left).To(Equal(20 * time.Minute))
 	})
 
@@ -157,10 +157,10 @@
 		for i := range 3 {
 			ends(fmt.Sprint("w-", i), bad)
 		}
-		other := &quarantiner.Book{}
+		other := &quarantiner.Tracker{}
 		for _, h := range b.List(now) {
-			Expect(other.Take(now, h)).To(BeTrue())
-			Expect(other.Take(now, h)).To(BeFalse())
+			Expect(other.Receive(now, h)).To(BeTrue())
+			Expect(other.Receive(now, h)).To(BeFalse())
 		}
 		Expect(other.List(now)).To(Equal(b.List(now)))
 	})
@@ -170,7 +170,7 @@
 			ends(fmt.Sprint("w-", i), bad)
 		}
 		for i := range 10000 {
-			b.Ended(pass(time.Millisecond), quarantiner.Fingerprint(100+i), fmt.Sprint("x-", i), now)
+			b.WorkerCrashed(pass(time.Millisecond), quarantiner.Fingerprint(100+i), fmt.Sprint("x-", i), now)
 		}
 		Expect(held(bad)).To(BeTrue())
 		Expect(b.Suspected(100)).To(BeFalse())
--- a/router/port.go
+++ b/router/port.go
@@ -110,7 +110,7 @@
 type Placer interface {
 	// Place picks a worker. Its error is a Refused, or that of ctx. Again says that
 	// the request was sent to a worker before.
-	Place(ctx context.Context, a placer.Ask, again bool) (Place, error)
+	Place(ctx context.Context, a placer.Request, again bool) (Place, error)
 	// Begun tells that the first event of a stream, or a whole answer, has come, so long
 	// after the request was sent.
 	Begun(p Place, took time.Duration)
--- a/router/router.go
+++ b/router/router.go
@@ -73,7 +73,7 @@
 	header       http.Header
 	body         []byte
 	fingerprint  quarantiner.Fingerprint // of what it asks for, whatever its id
-	ask          placer.Ask
+	ask          placer.Request
 }
 
 // ServeHTTP implements http.Handler.
@@ -197,7 +197,7 @@
 	if f := r.readBody(q, w, req); f != nil {
 		return f
 	}
-	q.fingerprint = quarantiner.Of(q.organisation, q.method, q.uri, q.body)
+	q.fingerprint = quarantiner.FingerprintOf(q.organisation, q.method, q.uri, q.body)
 	q.service = q.target.service(rand.Float64())
 	q.ask = r.ask(q)
 	return nil
@@ -274,8 +274,8 @@
 }
 
 // ask is the request as its placer sees it.
-func (r *Router) ask(q *request) placer.Ask {
-	a := placer.Ask{
+func (r *Router) ask(q *request) placer.Request {
+	a := placer.Request{
 		Service: q.service, Prompt: q.Prompt, Output: q.Output, Rank: q.rank, Tier: q.Tier,
 		Target: q.First.Std(), Fingerprint: q.fingerprint,
 	}
@@ -286,7 +286,7 @@
 		a.Expected = a.Output // how much of it a resumed stream lacks is not known
 	}
 	if q.Stream {
-		a.Patience, a.Gap = patience(q.target), q.Gap.Std()
+		a.FirstEventTimeout, a.Gap = patience(q.target), q.Gap.Std()
 	}
 	h := xxhash.New()
 	_, _ = h.WriteString(q.Model) // a hash takes everything
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -60,11 +60,11 @@
 	workers  []placer.Worker
 	pause    time.Duration
 	budget   int // of repeats
-	asks     []placer.Ask
+	asks     []placer.Request
 	outcomes []placer.Outcome
 }
 
-func (p *listPlacer) Place(_ context.Context, a placer.Ask, again bool) (router.Place, error) {
+func (p *listPlacer) Place(_ context.Context, a placer.Request, again bool) (router.Place, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.asks = append(p.asks, a)
@@ -308,7 +308,7 @@
 		defer leave()
 		_, _, err := call(ctx, "/a/x", "s")
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		Eventually(place.ended, time.Second).Should(Equal([]placer.Outcome{placer.Dropped}))
+		Eventually(place.ended, time.Second).Should(Equal([]placer.Outcome{placer.Canceled}))
 		Expect(seen).To(BeEmpty())
 	})
 
--- a/router/trip.go
+++ b/router/trip.go
@@ -79,7 +79,7 @@
 			return t.unplaced(caller, err)
 		}
 		if !wait(ctx, place.Pause) {
-			t.router.Placer.Ended(place, placer.Dropped)
+			t.router.Placer.Ended(place, placer.Canceled)
 			return t.timedOut(caller)
 		}
 		t.sends++
@@ -202,15 +202,15 @@
 	case err == nil:
 		return placer.Answered
 	case caller.Err() != nil, errors.Is(err, errCaller):
-		return placer.Dropped
+		return placer.Canceled
 	case errors.Is(err, errMisled):
-		return placer.Misled
+		return placer.WrongWorker
 	case errors.Is(err, errNotRun):
 		return placer.Refused
 	case errors.Is(err, errFailed):
 		return placer.Errored
 	case errors.Is(err, connector.ErrEnded):
-		return placer.Ended
+		return placer.Disconnected
 	}
 	return placer.Broken
 }
@@ -249,7 +249,7 @@
 	header := t.q.header.Clone()
 	t.router.Dialect.Write(header, Order{
 		Worker: p.Worker.Name, Left: t.q.left(time.Now()), Organisation: t.q.organisation,
-		Engine: p.Worker.Memory > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), After: t.last, Source: p.Source,
+		Engine: p.Worker.CacheTokens > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), After: t.last, Source: p.Source,
 	})
 	answer, err := t.router.Pool.Do(ctx, p.Worker.Address, connector.Call{
 		Method: t.q.method, Target: t.q.uri, Host: t.q.host, Header: header, Body: t.q.body,
--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -10,14 +10,14 @@
 // Beliefs is what a host that serves host routes believes, for operators. Ages are of
 // the moment that it was asked.
 type Beliefs struct {
-	Listed   time.Duration   `json:"listed"`   // age of the last word of the workers' entries; -1ns where none came
-	Era      uint64          `json:"era"`      // of the store that it brought
-	Revision uint64          `json:"revision"` // in that era
-	Calls    bool            `json:"calls"`    // the host watches the store itself
-	ForAll   bool            `json:"for_all"`  // and for the others
-	Decides  bool            `json:"decides"`  // it picks workers by its own view, not by another's
-	Sharing  int             `json:"sharing"`  // hosts that the budget of repeats is shared between
-	Workers  []placer.Belief `json:"workers"`
+	Listed   time.Duration        `json:"listed"`   // age of the last word of the workers' entries; -1ns where none came
+	Era      uint64               `json:"era"`      // of the store that it brought
+	Revision uint64               `json:"revision"` // in that era
+	Calls    bool                 `json:"calls"`    // the host watches the store itself
+	ForAll   bool                 `json:"for_all"`  // and for the others
+	Decides  bool                 `json:"decides"`  // it picks workers by its own view, not by another's
+	Sharing  int                  `json:"sharing"`  // hosts that the budget of repeats is shared between
+	Workers  []placer.WorkerState `json:"workers"`
 
 	Quarantine []Quarantined `json:"quarantine"` // requests that are held back
 }
@@ -34,7 +34,7 @@
 func (p *choosing) believe(now time.Time) Beliefs {
 	after, _, _ := p.relay.Next(now)
 	b := Beliefs{
-		Listed: -1, Era: after.Era(), Revision: after.Revision(), Calls: p.calls.Load(), ForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), Sharing: p.hosts, Workers: p.view.Beliefs(now),
+		Listed: -1, Era: after.Era(), Revision: after.Revision(), Calls: p.calls.Load(), ForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), Sharing: p.hosts, Workers: p.view.WorkerStates(now),
 	}
 	b.Quarantine = p.quarantine.state(now)
 	if !p.listed.IsZero() {
--- a/runner/catching_test.go
+++ b/runner/catching_test.go
@@ -16,7 +16,7 @@
 // Guards against a host that starts, or begins to decide, knowing nothing of what is at workers.
 var _ = Describe("A host that has just started", func() {
 	workers := []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}}
-	quote := placer.Ask{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
+	quote := placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
 	roster := func(hosts ...int) registrar.Roster {
 		var records []registrar.Record
 		for _, i := range hosts {
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -61,7 +61,7 @@
 
 // workerAsked is a request that wants a worker.
 type workerAsked struct {
-	ask   placer.Ask
+	ask   placer.Request
 	again bool
 	reply chan<- workerReply
 }
@@ -91,7 +91,7 @@
 		view:   placer.New(zone), windows: map[string]*retrier.Window{}, hosts: hostsLeast,
 		relay: relayer.New(self, entriesList),
 	}
-	c.quarantine = newQuarantining(self, s, store, c.view.Suspects(), log)
+	c.quarantine = newQuarantining(self, s, store, c.view.Quarantine(), log)
 	c.quarantine.store.tell = func(e quarantineStored) { c.post(e) }
 	return c
 }
@@ -199,7 +199,7 @@
 }
 
 // decide picks a worker by this host's view.
-func (p *choosing) decide(now time.Time, a placer.Ask) workerReply {
+func (p *choosing) decide(now time.Time, a placer.Request) workerReply {
 	choice, refusal := p.view.Place(now, rand.Uint64(), a)
 	if refusal != nil {
 		p.tellWithin(now, p.within(restWithin, restToDeciders))
@@ -207,7 +207,7 @@
 	}
 	p.tellSent(now, p.self, choice.Flight)
 	return workerReply{place: router.Place{
-		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, Wait: choice.Wait, Pause: choice.Pause, Source: choice.Source, Read: choice.Flight.Read, Filling: choice.Filling, Age: now.Sub(p.listed), Limit: p.view.Rate(choice.Worker.Name),
+		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, Wait: choice.Wait, Pause: choice.Delay, Source: choice.Source, Read: choice.Flight.Prefill, Filling: choice.Filling, Age: now.Sub(p.listed), Limit: p.view.RateLimit(choice.Worker.Name),
 	}}
 }
 
@@ -215,7 +215,7 @@
 func (p *choosing) enroll(now time.Time, r registrar.Roster) {
 	for _, h := range p.roster.Hosts() {
 		if _, ok := r.Find(h.Name); !ok {
-			p.view.Lost(now, h.Name)
+			p.view.HostLost(now, h.Name)
 		}
 	}
 	before, listened := p.roster, p.deciding.listeners
@@ -224,7 +224,7 @@
 	p.deciding.enroll(r)
 	p.catchUp(now, before, listened)
 	p.quarantine.enroll(now, r)
-	p.view.Share(len(p.deciding.deciders), p.deciding.place(p.self))
+	p.view.SetDeciders(len(p.deciding.deciders), p.deciding.place(p.self))
 	p.hosts = max(p.hosts, len(r.Hosts()))
 }
 
@@ -233,11 +233,11 @@
 	var workers []placer.Worker
 	for _, e := range p.directory.Present() {
 		w := placer.Worker{
-			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, Cold: e.Cold, Born: e.Born,
+			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, ColdFor: e.Cold, Instance: e.Born,
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
-			w.Memory, w.Event, w.Token, w.Link = s.Memory, s.Event, s.Token, s.Link
+			w.CacheTokens, w.EventTokens, w.TokenBytes, w.LinkMbps = s.Memory, s.Event, s.Token, s.Link
 		}
 		workers = append(workers, w)
 	}
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -11,7 +11,7 @@
 var _ router.Placer = (*choosing)(nil)
 
 // Place implements router.Placer.
-func (p *choosing) Place(ctx context.Context, a placer.Ask, again bool) (router.Place, error) {
+func (p *choosing) Place(ctx context.Context, a placer.Request, again bool) (router.Place, error) {
 	reply := make(chan workerReply, 1)
 	if !p.post(workerAsked{ask: a, again: again, reply: reply}) {
 		return router.Place{}, router.Refused{Why: "host_stopping", After: time.Second}
@@ -36,7 +36,7 @@
 	select {
 	case r := <-reply:
 		if r.refused == nil {
-			p.Ended(r.place, placer.Dropped)
+			p.Ended(r.place, placer.Canceled)
 		}
 	case <-p.ended:
 	}
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -200,12 +200,12 @@
 	answer := messenger.Sought{ID: s.ID}
 	choice, refusal := p.view.PlaceFor(now, e.from, rand.Uint64(), askOf(s))
 	if refusal != nil {
-		answer.Why, answer.After, answer.Basis = refusal.Why, refusal.After, basisTo(choice.Basis)
+		answer.Why, answer.After, answer.Basis = refusal.Reason, refusal.RetryAfter, basisTo(choice.Basis)
 		p.tellWithin(now, p.within(restWithin, restToDeciders))
 	} else {
 		answer.Flight, answer.Worker, answer.Wait = choice.Flight.ID, choice.Worker.Name, choice.Wait
-		answer.Pause, answer.Read, answer.Source, answer.Filling = choice.Pause, choice.Flight.Read, choice.Source, choice.Filling
-		answer.Limit = p.view.Rate(choice.Worker.Name)
+		answer.Pause, answer.Read, answer.Source, answer.Filling = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
+		answer.Limit = p.view.RateLimit(choice.Worker.Name)
 		p.tellSent(now, e.from, choice.Flight)
 	}
 	if err := p.sender.Send(s.Reply, answer); err != nil {
@@ -225,14 +225,14 @@
 	w, there := p.view.Worker(s.Worker)
 	switch {
 	case s.Flight == 0 && waiting:
-		x.asked.reply <- refusedBy(e.from, placer.Refusal{Why: s.Why, After: s.After}, basisOf(s.Basis))
+		x.asked.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Why, RetryAfter: s.After}, basisOf(s.Basis))
 	case s.Flight == 0:
 	case waiting && there:
 		x.asked.reply <- workerReply{place: router.Place{
 			ID: s.Flight, Service: x.asked.ask.Service, Worker: w, Wait: s.Wait, Pause: s.Pause, Source: s.Source, Read: s.Read, Filling: s.Filling, Age: now.Sub(p.listed), By: e.from, Limit: s.Limit,
 		}}
 	default:
-		p.tellEnded(now, sendEnded{id: s.Flight, outcome: placer.Dropped})
+		p.tellEnded(now, sendEnded{id: s.Flight, outcome: placer.Canceled})
 		if waiting {
 			x.asked.reply <- p.decide(now, x.asked.ask)
 		}
@@ -242,7 +242,7 @@
 // refusedBy is the reply to a request that a view refused. Callers that were refused
 // together must not come back together.
 func refusedBy(host string, r placer.Refusal, b placer.Basis) workerReply {
-	return workerReply{refused: &router.Refused{Why: r.Why, After: retrier.Jitter(r.After, rand.Float64()), By: host, Basis: b}}
+	return workerReply{refused: &router.Refused{Why: r.Reason, After: retrier.Jitter(r.RetryAfter, rand.Float64()), By: host, Basis: b}}
 }
 
 // basisOf is what another host refused a request by; one of an older version does not say.
@@ -258,20 +258,20 @@
 	return &m
 }
 
-func seekOf(id uint64, self registrar.Record, a placer.Ask) messenger.Seek {
+func seekOf(id uint64, self registrar.Record, a placer.Request) messenger.Seek {
 	s := messenger.Seek{
 		ID: id, Reply: self.Control, Zone: self.Zone, Service: a.Service, Prompt: a.Prompt, Output: a.Output, Rank: a.Rank,
-		Left: a.Left, Patience: a.Patience, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
+		Left: a.Left, Patience: a.FirstEventTimeout, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
 		Fingerprint: uint64(a.Fingerprint),
 	}
 	s.Keys, s.Tokens = keysOf(a.Parts)
 	return s
 }
 
-func askOf(s messenger.Seek) placer.Ask {
-	return placer.Ask{
+func askOf(s messenger.Seek) placer.Request {
+	return placer.Request{
 		Service: s.Service, Zone: s.Zone, Parts: partsOf(s.Keys, s.Tokens), Prompt: s.Prompt, Output: s.Output, Rank: s.Rank,
-		Left: s.Left, Patience: s.Patience, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
+		Left: s.Left, FirstEventTimeout: s.Patience, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -27,7 +27,7 @@
 		roster  registrar.Roster
 		names   []string // the deciders, then the other hosts
 		out     []sent
-		quote   = placer.Ask{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
+		quote   = placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
 		workers = []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}, {Name: "d-2", Service: "desk", Zone: "z", Slots: 8}}
 	)
 	choosing := func(name string, r registrar.Roster) runner.Choosing {
@@ -130,7 +130,7 @@
 		Expect(out).To(HaveLen(5), "the deciders and two that come after them")
 		for _, x := range out {
 			Expect(names[:5]).To(ContainElement(x.to))
-			Expect(x.m.(messenger.Shared).Ended).To(Equal([]messenger.Ending{{ID: 7, Outcome: int(placer.Dropped)}}))
+			Expect(x.m.(messenger.Shared).Ended).To(Equal([]messenger.Ending{{ID: 7, Outcome: int(placer.Canceled)}}))
 		}
 	})
 
@@ -188,9 +188,9 @@
 	// it is judged as if it had said nothing.
 	It("hands on all that a request says", func() {
 		c := choosing(names[10], roster)
-		ask := placer.Ask{
+		ask := placer.Request{
 			Service: "desk", Zone: "z", Parts: []placer.Part{{Key: 1, Tokens: 20}, {Key: 2, Tokens: 30}}, Prompt: 60, Output: 70, Expected: 65,
-			Rank: 4, Tier: 2, Left: time.Second, Patience: 900 * time.Millisecond, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond,
+			Rank: 4, Tier: 2, Left: time.Second, FirstEventTimeout: 900 * time.Millisecond, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond,
 			Exclude: []string{"d-1"},
 		}
 		c.Ask(now, ask)
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -151,7 +151,7 @@
 func (x Choosing) Enroll(now time.Time, r registrar.Roster) { x.c.take(now, rosterChanged{roster: r}) }
 
 // Ask asks for a worker; the result comes at once or later.
-func (x Choosing) Ask(now time.Time, a placer.Ask) <-chan string {
+func (x Choosing) Ask(now time.Time, a placer.Request) <-chan string {
 	reply, out := make(chan workerReply, 1), make(chan string, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	go func() {
@@ -165,7 +165,7 @@
 }
 
 // Place asks for a worker and returns what came at once; false where nothing did.
-func (x Choosing) Place(now time.Time, a placer.Ask) (router.Place, bool) {
+func (x Choosing) Place(now time.Time, a placer.Request) (router.Place, bool) {
 	reply := make(chan workerReply, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	select {
@@ -205,14 +205,14 @@
 func (x Choosing) Patience() time.Duration { return x.c.deciding.within() }
 
 // AskOf is the request that a question of another host is about.
-func AskOf(s messenger.Seek) placer.Ask { return askOf(s) }
+func AskOf(s messenger.Seek) placer.Request { return askOf(s) }
 
 // Tell tells the others what happened since it last did.
 func (x Choosing) Tell() { x.c.tell() }
 
 // Flights is the requests that the host counts at a worker.
 func (x Choosing) Flights(now time.Time, worker string) int {
-	for _, b := range x.c.view.Beliefs(now) {
+	for _, b := range x.c.view.WorkerStates(now) {
 		if b.Worker == worker {
 			return b.Flights
 		}
@@ -234,7 +234,7 @@
 
 // Sweep lets it make the call that is due, and returns what was read, and the errors; false
 // where none was due.
-func (s QuarantineStore) Sweep(now time.Time, owns bool, held []quarantiner.Held) (read []quarantiner.Held, bad, err error, due bool) {
+func (s QuarantineStore) Sweep(now time.Time, owns bool, held []quarantiner.Entry) (read []quarantiner.Entry, bad, err error, due bool) {
 	s.q.sweep(now, owns, held)
 	select {
 	case job := <-s.q.jobs:
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -22,7 +22,7 @@
 
 // keepQuarantine has the host count which calls end workers.
 func (c *control) keepQuarantine(s sender, store storer.Store, r prometheus.Registerer) {
-	c.quarantine = newQuarantining(c.self, s, store, &quarantiner.Book{AliveWithin: restartLeast}, c.log)
+	c.quarantine = newQuarantining(c.self, s, store, &quarantiner.Tracker{MinRestartTime: restartLeast}, c.log)
 	c.quarantine.store.tell = func(e quarantineStored) { c.post(e) }
 	c.quarantine.register(r)
 	c.quarantine.due = time.Now()
@@ -63,7 +63,7 @@
 	f := quarantiner.Fingerprint(m.Fingerprint)
 	switch m.What {
 	case messenger.MarkEnded:
-		q.book.Ended(now, f, m.Worker, now.Add(-m.Took))
+		q.book.WorkerCrashed(now, f, m.Worker, now.Add(-m.Took))
 	case messenger.MarkAnswered:
 		q.book.Answered(f)
 	case messenger.MarkAlive:
--- a/runner/naming.go
+++ b/runner/naming.go
@@ -19,11 +19,11 @@
 // name takes a worker's limit, and has the others told where it is new: it is for all hosts
 // together.
 func (p *choosing) name(now time.Time, e limitNamed) {
-	was := p.view.Rate(e.worker)
-	if !p.view.Named(now, e.worker, e.rate, e.known) {
+	was := p.view.RateLimit(e.worker)
+	if !p.view.UpdateLimit(now, e.worker, e.rate, e.known) {
 		return
 	}
-	rate := p.view.Rate(e.worker)
+	rate := p.view.RateLimit(e.worker)
 	if rate != was {
 		p.log.Info("limit", zap.String("worker", e.worker), zap.Float64("was", was), zap.Float64("rate", rate))
 	}
@@ -34,15 +34,15 @@
 // hearLimits takes what workers named to other hosts.
 func (p *choosing) hearLimits(now time.Time, from string, limits []messenger.Limit) {
 	for _, l := range limits {
-		if was := p.view.Rate(l.Worker); was != l.Rate {
+		if was := p.view.RateLimit(l.Worker); was != l.Rate {
 			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", was), zap.Float64("rate", l.Rate), zap.String("by", from))
 		}
-		p.view.HeardNamed(now, placer.Named{Worker: l.Worker, Rate: l.Rate})
+		p.view.ReceiveLimit(now, placer.WorkerLimit{Worker: l.Worker, Rate: l.Rate})
 	}
 }
 
 // limitsOf is all limits that this host knows of.
-func limitsOf(list []placer.Named) []messenger.Limit {
+func limitsOf(list []placer.WorkerLimit) []messenger.Limit {
 	var out []messenger.Limit
 	for _, n := range list {
 		out = append(out, messenger.Limit{Worker: n.Worker, Rate: n.Rate})
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -28,7 +28,7 @@
 	self   string
 	sender sender
 	log    *zap.Logger
-	book   *quarantiner.Book
+	book   *quarantiner.Tracker
 	store  *quarantineStore
 	roster registrar.Roster
 	count  atomic.Int64 // requests that are held back
@@ -37,20 +37,20 @@
 	due  time.Time                                             // when the next sweep is, where nothing else has it swept
 }
 
-func newQuarantining(self string, s sender, store storer.Store, b *quarantiner.Book, log *zap.Logger) *quarantining {
+func newQuarantining(self string, s sender, store storer.Store, b *quarantiner.Tracker, log *zap.Logger) *quarantining {
 	return &quarantining{self: self, sender: s, log: log, book: b, store: newQuarantineStore(store)}
 }
 
 // quarantineHeard is what another host holds back.
 type quarantineHeard struct {
 	from string
-	held []quarantiner.Held
+	held []quarantiner.Entry
 }
 
 // notice logs what is held back from now on, and tells all hosts: few may decide, or one
 // may have heard less than this one.
 func (q *quarantining) notice(now time.Time) {
-	caught := q.book.Caught()
+	caught := q.book.DrainQuarantined()
 	if len(caught) == 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 // sweep looks whose time is over, and brings the store in step.
 func (q *quarantining) sweep(now time.Time) {
 	q.book.Sweep(now)
-	for _, f := range q.book.Freed() {
+	for _, f := range q.book.DrainReleased() {
 		q.log.Info("quarantine", zap.Stringer("fingerprint", f), zap.String("state", "let go"), zap.String("why", "its time is over"))
 	}
 	q.recount(now)
@@ -90,7 +90,7 @@
 	}
 	var out []Quarantined
 	for _, h := range q.book.List(now) {
-		out = append(out, Quarantined{Fingerprint: h.Fingerprint.String(), For: h.For, Workers: h.Workers})
+		out = append(out, Quarantined{Fingerprint: h.Fingerprint.String(), For: h.Remaining, Workers: h.Workers})
 	}
 	return out
 }
@@ -99,7 +99,7 @@
 func (q *quarantining) recount(now time.Time) {
 	held := map[quarantiner.Fingerprint]time.Time{}
 	for _, h := range q.book.List(now) {
-		held[h.Fingerprint] = now.Add(h.For)
+		held[h.Fingerprint] = now.Add(h.Remaining)
 	}
 	q.count.Store(int64(len(held)))
 	q.held.Store(&held)
@@ -115,9 +115,9 @@
 	return left, left > 0
 }
 
-func (q *quarantining) logHeld(why string, h quarantiner.Held) {
+func (q *quarantining) logHeld(why string, h quarantiner.Entry) {
 	q.log.Warn("quarantine", zap.Stringer("fingerprint", h.Fingerprint), zap.String("state", "held back"), zap.String("why", why),
-		zap.Strings("workers", h.Workers), zap.Duration("for", h.For), zap.Duration("span", h.Span))
+		zap.Strings("workers", h.Workers), zap.Duration("for", h.Remaining), zap.Duration("span", h.Duration))
 }
 
 // hear takes what another host holds back.
@@ -129,10 +129,10 @@
 }
 
 // hold holds back what others do, and returns what this host did not.
-func (q *quarantining) hold(now time.Time, why string, held []quarantiner.Held) []quarantiner.Held {
-	var news []quarantiner.Held
+func (q *quarantining) hold(now time.Time, why string, held []quarantiner.Entry) []quarantiner.Entry {
+	var news []quarantiner.Entry
 	for _, h := range held {
-		if q.book.Take(now, h) {
+		if q.book.Receive(now, h) {
 			q.logHeld(why, h)
 			news = append(news, h)
 		}
@@ -193,10 +193,10 @@
 }
 
 // tell tells hosts what is held back.
-func (q *quarantining) tell(hosts []registrar.Record, held []quarantiner.Held) {
+func (q *quarantining) tell(hosts []registrar.Record, held []quarantiner.Entry) {
 	var m messenger.Quarantine
 	for _, h := range held {
-		m.Held = append(m.Held, messenger.Held{Fingerprint: uint64(h.Fingerprint), For: h.For, Span: h.Span, Workers: h.Workers})
+		m.Held = append(m.Held, messenger.Held{Fingerprint: uint64(h.Fingerprint), For: h.Remaining, Span: h.Duration, Workers: h.Workers})
 	}
 	var addresses []string
 	for _, h := range hosts {
@@ -209,10 +209,10 @@
 	}
 }
 
-func heldOf(m messenger.Quarantine) []quarantiner.Held {
-	var out []quarantiner.Held
+func heldOf(m messenger.Quarantine) []quarantiner.Entry {
+	var out []quarantiner.Entry
 	for _, h := range m.Held {
-		out = append(out, quarantiner.Held{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), For: h.For, Span: h.Span, Workers: h.Workers})
+		out = append(out, quarantiner.Entry{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), Remaining: h.For, Duration: h.Span, Workers: h.Workers})
 	}
 	return out
 }
--- a/runner/quarantining_store.go
+++ b/runner/quarantining_store.go
@@ -40,7 +40,7 @@
 
 // quarantineJob is one call: what to write or remove, or to read all where neither is set.
 type quarantineJob struct {
-	write  *quarantiner.Held
+	write  *quarantiner.Entry
 	remove quarantiner.Fingerprint
 }
 
@@ -48,8 +48,8 @@
 type quarantineStored struct {
 	quarantineJob
 	call string
-	held []quarantiner.Held // that were read
-	bad  error              // of objects that can't be read; they are left out
+	held []quarantiner.Entry // that were read
+	bad  error               // of objects that can't be read; they are left out
 	err  error
 }
 
@@ -58,7 +58,7 @@
 }
 
 // sweep makes the next call that is due, where the host owns the role.
-func (q *quarantineStore) sweep(now time.Time, owns bool, held []quarantiner.Held) {
+func (q *quarantineStore) sweep(now time.Time, owns bool, held []quarantiner.Entry) {
 	switch {
 	case !owns:
 		q.since, q.read, q.ours, q.stored = time.Time{}, false, false, nil
@@ -76,7 +76,7 @@
 }
 
 // next is the first call that brings the store in step; false where it is.
-func (q *quarantineStore) next(held []quarantiner.Held) (quarantineJob, bool) {
+func (q *quarantineStore) next(held []quarantiner.Entry) (quarantineJob, bool) {
 	if !q.read {
 		return quarantineJob{}, true
 	}
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, f := range q.stored {
-		if !slices.ContainsFunc(held, func(h quarantiner.Held) bool { return h.Fingerprint == f }) {
+		if !slices.ContainsFunc(held, func(h quarantiner.Entry) bool { return h.Fingerprint == f }) {
 			return quarantineJob{remove: f}, true
 		}
 	}
@@ -100,7 +100,7 @@
 }
 
 // done takes how a call ended, and returns what is held back by the store's word.
-func (q *quarantineStore) done(now time.Time, e quarantineStored) []quarantiner.Held {
+func (q *quarantineStore) done(now time.Time, e quarantineStored) []quarantiner.Entry {
 	q.busy = false
 	if q.stale {
 		q.stale = false // of before the store came back, or after: not known
@@ -151,7 +151,7 @@
 	switch {
 	case job.write != nil:
 		done.call = "write"
-		value, err := json.Marshal(storedHeld{job.write.Fingerprint, job.write.Span, job.write.Workers})
+		value, err := json.Marshal(storedHeld{job.write.Fingerprint, job.write.Duration, job.write.Workers})
 		if err == nil {
 			_, err = q.store.Put(ctx, quarantinePrefix+job.write.Fingerprint.String(), value, storer.Condition{})
 		}
@@ -169,7 +169,7 @@
 }
 
 // list reads what the store has, and says which objects can't be read.
-func (q *quarantineStore) list(ctx context.Context) (held []quarantiner.Held, bad, err error) {
+func (q *quarantineStore) list(ctx context.Context) (held []quarantiner.Entry, bad, err error) {
 	objects, _, err := q.store.List(ctx, quarantinePrefix)
 	if err != nil {
 		return nil, nil, err
@@ -180,7 +180,7 @@
 			bad = errors.Join(bad, fmt.Errorf("%s: %w", o.Key, err))
 			continue
 		}
-		held = append(held, quarantiner.Held{Fingerprint: h.Fingerprint, For: h.Span, Span: h.Span, Workers: h.Workers})
+		held = append(held, quarantiner.Entry{Fingerprint: h.Fingerprint, Remaining: h.Span, Duration: h.Span, Workers: h.Workers})
 	}
 	return held, bad, nil
 }
--- a/runner/quarantining_test.go
+++ b/runner/quarantining_test.go
@@ -18,7 +18,7 @@
 		q    runner.QuarantineStore
 		now  time.Time
 	)
-	bad := quarantiner.Held{Fingerprint: 7, For: 9 * time.Minute, Span: 10 * time.Minute, Workers: []string{"w-1", "w-2", "w-3"}}
+	bad := quarantiner.Entry{Fingerprint: 7, Remaining: 9 * time.Minute, Duration: 10 * time.Minute, Workers: []string{"w-1", "w-2", "w-3"}}
 	BeforeEach(func() {
 		fake, now = faker.NewPlatform(), time.Unix(1000, 0)
 		store, closeStore := platform.NewStore(serve(fake.Handler()))
@@ -26,12 +26,12 @@
 		q = runner.NewQuarantineStore(store)
 	})
 	// sweep passes a time and returns what was read, and whether a call was made that went well.
-	sweep := func(d time.Duration, owns bool, held ...quarantiner.Held) ([]quarantiner.Held, bool) {
+	sweep := func(d time.Duration, owns bool, held ...quarantiner.Entry) ([]quarantiner.Entry, bool) {
 		now = now.Add(d)
 		read, _, err, due := q.Sweep(now, owns, held)
 		return read, due && err == nil
 	}
-	own := func(held ...quarantiner.Held) []quarantiner.Held {
+	own := func(held ...quarantiner.Entry) []quarantiner.Entry {
 		sweep(0, true, held...)
 		read, ok := sweep(time.Second, true, held...)
 		Expect(ok).To(BeTrue())
@@ -42,7 +42,7 @@
 		_, called := sweep(0, false, bad)
 		Expect(called).To(BeFalse(), "another owns the role")
 		Expect(own(bad)).To(BeEmpty())
-		for _, held := range [][]quarantiner.Held{{bad}, nil} {
+		for _, held := range [][]quarantiner.Entry{{bad}, nil} {
 			_, called = sweep(time.Second, true, held...)
 			Expect(called).To(BeTrue())
 			Expect(fake.Has("quarantine")).To(Equal(len(held) > 0))
@@ -58,7 +58,7 @@
 		sweep(time.Second, false, bad)
 		read := own()
 		Expect(read).To(HaveLen(1))
-		Expect(read[0]).To(Equal(quarantiner.Held{Fingerprint: 7, For: 10 * time.Minute, Span: 10 * time.Minute, Workers: bad.Workers}))
+		Expect(read[0]).To(Equal(quarantiner.Entry{Fingerprint: 7, Remaining: 10 * time.Minute, Duration: 10 * time.Minute, Workers: bad.Workers}))
 	})
 
 	// Guards against an outage of the store losing what came meanwhile.
@@ -80,7 +80,7 @@
 	It("is put right after the store came back from an older copy", func() {
 		own(bad)
 		sweep(time.Second, true, bad)
-		gone := quarantiner.Held{Fingerprint: 8, For: time.Minute, Span: time.Minute}
+		gone := quarantiner.Entry{Fingerprint: 8, Remaining: time.Minute, Duration: time.Minute}
 		fake.Delete("quarantine", bad.Fingerprint.String())
 		fake.Put("quarantine", gone.Fingerprint.String(), map[string]any{"fingerprint": gone.Fingerprint, "span": time.Minute})
 		q.Restore()
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -49,37 +49,37 @@
 func (p *choosing) tellEnded(now time.Time, e sendEnded) {
 	p.shared.Ended = append(p.shared.Ended, messenger.Ending{ID: e.id, Outcome: int(e.outcome)})
 	within := p.within(restWithin, restToDeciders)
-	if e.filling || e.outcome == placer.Ended {
+	if e.filling || e.outcome == placer.Disconnected {
 		within = p.within(sentWithin, sentByDeciders)
 	}
 	p.tellWithin(now, within)
 }
 
 func sendingOf(f placer.Flight) messenger.Sending {
-	s := messenger.Sending{ID: f.ID, Worker: f.Worker, Read: f.Read, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
+	s := messenger.Sending{ID: f.ID, Worker: f.Worker, Read: f.Prefill, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
 	s.Keys, s.Tokens = keysOf(f.Parts)
 	return s
 }
 
 func flightOf(s messenger.Sending) placer.Flight {
 	return placer.Flight{
-		ID: s.ID, Worker: s.Worker, Parts: partsOf(s.Keys, s.Tokens), Read: s.Read, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
+		ID: s.ID, Worker: s.Worker, Parts: partsOf(s.Keys, s.Tokens), Prefill: s.Read, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
 
-func offersOf(list []placer.Offer) []messenger.Offer {
+func offersOf(list []placer.OfferedLoad) []messenger.Offer {
 	var out []messenger.Offer
 	for _, x := range list {
-		out = append(out, messenger.Offer{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Read: x.Read})
+		out = append(out, messenger.Offer{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Read: x.Prefill})
 	}
 	return out
 }
 
-func takenOf(list []messenger.Offer) []placer.Offer {
-	var out []placer.Offer
+func takenOf(list []messenger.Offer) []placer.OfferedLoad {
+	var out []placer.OfferedLoad
 	for _, x := range list {
-		out = append(out, placer.Offer{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Read: x.Read})
+		out = append(out, placer.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Read})
 	}
 	return out
 }
@@ -105,7 +105,7 @@
 func (p *choosing) tell() {
 	p.shareAt = time.Time{}
 	m := p.shared
-	m.Refused = offersOf(p.view.Refused())
+	m.Refused = offersOf(p.view.DrainRefused())
 	p.shared = messenger.Shared{}
 	if len(p.deciding.deciders) == 0 {
 		p.toOthers(m)
@@ -133,7 +133,7 @@
 func (p *choosing) hear(now time.Time, e sharedHeard) {
 	p.hearLimits(now, e.from, e.shared.Limits)
 	for _, s := range e.shared.Sent {
-		p.view.Heard(now, cmp.Or(s.Host, e.from), flightOf(s))
+		p.view.Receive(now, cmp.Or(s.Host, e.from), flightOf(s))
 	}
 	for i, id := range e.shared.Begun {
 		took := time.Duration(0) // a host of an older version does not say
@@ -142,9 +142,9 @@
 		}
 		p.view.BegunAfter(now, id, took)
 	}
-	p.view.Offered(now, takenOf(e.shared.Refused))
+	p.view.ReceiveOffered(now, takenOf(e.shared.Refused))
 	for _, s := range e.shared.Running {
-		p.view.HeardRunning(now, cmp.Or(s.Host, e.from), placer.Running{Flight: flightOf(s), Begun: s.Begun})
+		p.view.ReceiveRunning(now, cmp.Or(s.Host, e.from), placer.RunningFlight{Flight: flightOf(s), Begun: s.Begun})
 	}
 	for _, x := range e.shared.Ended {
 		p.view.Ended(now, x.ID, placer.Outcome(x.Outcome))
--- a/server/request.go
+++ b/server/request.go
@@ -52,7 +52,7 @@
 // Fingerprint is the same for calls that are the same to a backend server; see
 // quarantiner.Fingerprint.
 func Fingerprint(organisation, service, method, path string, body []byte) quarantiner.Fingerprint {
-	return quarantiner.Of(organisation, method, service+" "+path, body)
+	return quarantiner.FingerprintOf(organisation, method, service+" "+path, body)
 }
 
 // ask is the request as its dispatcher sees it, for one place after the other.
