--- a/connector/answer.go
+++ b/connector/answer.go
@@ -25,8 +25,8 @@
 	over    bool
 }
 
-// Kept says that the request went over a connection that had served another.
-func (a *Answer) Kept() bool { return a.conn.kept }
+// Reused says that the request went over a connection that had served another.
+func (a *Answer) Reused() bool { return a.conn.kept }
 
 // Read implements io.Reader. Its error says whether the body was cut: a body that
 // ends with its connection is whole only where the connection was closed in order,
--- a/connector/bound.go
+++ b/connector/bound.go
@@ -9,12 +9,12 @@
 // tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
 const tcpUserTimeout = 0x12
 
-// BoundUnacknowledged is a net.Dialer's Control that has the system break a
+// UserTimeoutControl is a net.Dialer's Control that has the system break a
 // connection whose other end has not acknowledged what was sent for bound. A
 // connection that was forgotten while it lay idle shows so when a request is sent
 // over it; without the bound the system would send it again for a quarter of an
 // hour.
-func BoundUnacknowledged(bound time.Duration) func(network, address string, c syscall.RawConn) error {
+func UserTimeoutControl(bound time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var failed error
 		err := c.Control(func(fd uintptr) {
--- a/connector/conn.go
+++ b/connector/conn.go
@@ -105,11 +105,11 @@
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", ErrLost, context.Cause(ctx))
 	}
-	if errors.Is(err, ErrForeign) {
+	if errors.Is(err, ErrMismatched) {
 		return fmt.Errorf("%w: %w", ErrLost, err)
 	}
-	if Ended(err) {
-		return fmt.Errorf("%w: %w: kept=%t: %v", ErrLost, ErrEnded, c.kept, err)
+	if ClosedByPeer(err) {
+		return fmt.Errorf("%w: %w: kept=%t: %v", ErrLost, ErrClosedByPeer, c.kept, err)
 	}
 	return fmt.Errorf("%w: kept=%t: %v", ErrLost, c.kept, err)
 }
@@ -125,16 +125,16 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if call.Mine == nil || call.Mine(resp.Header) {
+		if call.Matches == nil || call.Matches(resp.Header) {
 			return resp, foreign, nil
 		}
 		foreign = true
 		skipped++
 		if skipped > foreignMost || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, true, ErrForeign
+			return nil, true, ErrMismatched
 		}
 		if _, err := io.CopyN(io.Discard, resp.Body, drainMost); !errors.Is(err, io.EOF) {
-			return nil, true, ErrForeign
+			return nil, true, ErrMismatched
 		}
 	}
 }
--- a/connector/connector.go
+++ b/connector/connector.go
@@ -24,11 +24,11 @@
 	ErrNotSent = errors.New("no connection to the backend server")
 	// ErrLost says that the connection broke or went silent with the request on it.
 	ErrLost = errors.New("the connection broke; the request may have run")
-	// ErrEnded says that the backend server's end of the connection closed under the
+	// ErrClosedByPeer says that the backend server's end of the connection closed under the
 	// request. It comes with ErrLost.
-	ErrEnded = errors.New("the backend server ended it")
-	// ErrForeign says that the backend server's answer belongs to another request.
-	ErrForeign = errors.New("the answer belongs to another request")
+	ErrClosedByPeer = errors.New("the backend server ended it")
+	// ErrMismatched says that the backend server's answer belongs to another request.
+	ErrMismatched = errors.New("the answer belongs to another request")
 )
 
 const (
@@ -55,12 +55,12 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine says whether an answer's header is this request's. An answer that is
+	// Matches says whether an answer's header is this request's. An answer that is
 	// not is skipped: a late one of an earlier request may come first.
-	Mine func(http.Header) bool
-	// Careful asks for a connection that has idled only briefly: for a request
+	Matches func(http.Header) bool
+	// FreshOnly asks for a connection that has idled only briefly: for a request
 	// that must not be repeated, a connection that dies under it loses it.
-	Careful bool
+	FreshOnly bool
 }
 
 // Pool is the connections to all backend servers. It is safe for concurrent use.
@@ -75,14 +75,14 @@
 
 // New returns an empty pool and its clean-up.
 func New() (*Pool, func()) {
-	p := &Pool{idle: map[string][]*conn{}, dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: BoundUnacknowledged(unacknowledged)}}
+	p := &Pool{idle: map[string][]*conn{}, dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: UserTimeoutControl(unacknowledged)}}
 	return p, p.close
 }
 
 // Do sends a request to the backend server at address and returns its answer's
 // head. The caller ends the answer with Close or Finish.
 func (p *Pool) Do(ctx context.Context, address string, call Call) (*Answer, error) {
-	c, err := p.get(ctx, address, call.Careful)
+	c, err := p.get(ctx, address, call.FreshOnly)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrNotSent, err)
 	}
@@ -101,16 +101,16 @@
 	return p.made, p.reused
 }
 
-// Idle says whether a connection to address is kept.
-func (p *Pool) Idle(address string) bool {
+// HasIdle says whether a connection to address is kept.
+func (p *Pool) HasIdle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[address]) > 0
 }
 
-// Forget closes the idle connections to an address: its server has gone or was
+// CloseIdle closes the idle connections to an address: its server has gone or was
 // replaced.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
 	delete(p.idle, address)
@@ -168,8 +168,8 @@
 	p.idle[c.address] = append(list, c)
 }
 
-// Sweep closes the connections that idled too long. It is called now and then.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections that idled too long. It is called now and then.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -88,7 +88,7 @@
 	do := func(ctx context.Context, w *worker, id string) (string, error) {
 		a, err := pool.Do(ctx, w.address, connector.Call{
 			Method: http.MethodPost, Target: "/a%2Fb?" + id, Host: "h.example", Header: http.Header{"X": {"1"}}, Body: []byte("body"),
-			Mine: func(h http.Header) bool { return h.Get("Id") == id },
+			Matches: func(h http.Header) bool { return h.Get("Id") == id },
 		})
 		if err != nil {
 			return "", err
@@ -170,7 +170,7 @@
 			_, err := pool.Do(bounded, w.address, connector.Call{Method: "GET", Target: "/", Host: "h", Header: http.Header{}})
 			cancel()
 			Expect(err).To(MatchError(connector.ErrLost))
-			Expect(errors.Is(err, connector.ErrEnded)).To(Equal(ended), "%q: %v", script, err)
+			Expect(errors.Is(err, connector.ErrClosedByPeer)).To(Equal(ended), "%q: %v", script, err)
 		}
 	})
 
@@ -209,15 +209,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(body)).To(Equal("early"))
 		a.Finish()
-		Expect(pool.Idle(l.Addr().String())).To(BeFalse())
+		Expect(pool.HasIdle(l.Addr().String())).To(BeFalse())
 		Expect(do(bg, w, "1")).To(Equal("one"))
 	})
 
 	It("keeps a connection no longer than the server says", func() {
 		w := newWorker([]string{whole("1", "one", "Keep-Alive: timeout=1\r\n"), whole("2", "two")}, []string{whole("3", "three")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
-		Expect(pool.Idle(w.address)).To(BeTrue())
-		pool.Sweep(time.Now().Add(700 * time.Millisecond))
-		Expect(pool.Idle(w.address)).To(BeFalse())
+		Expect(pool.HasIdle(w.address)).To(BeTrue())
+		pool.CloseExpired(time.Now().Add(700 * time.Millisecond))
+		Expect(pool.HasIdle(w.address)).To(BeFalse())
 	})
 })
--- a/connector/ended.go
+++ b/connector/ended.go
@@ -6,9 +6,9 @@
 	"syscall"
 )
 
-// Ended says that an error of a connection comes of the other end, which has closed or
+// ClosedByPeer says that an error of a connection comes of the other end, which has closed or
 // reset it.
-func Ended(err error) bool {
+func ClosedByPeer(err error) bool {
 	for _, e := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, e) {
 			return true
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// More says that the whole next event is here already.
-func (e *Events) More() bool {
+// Buffered says that the whole next event is here already.
+func (e *Events) Buffered() bool {
 	next, _ := e.r.Peek(e.r.Buffered())
 	return bytes.Contains(next, []byte("\n\n"))
 }
@@ -205,7 +205,7 @@
 		return nil
 	}
 	if !e.answer.owns(id) || (e.id != "" && e.id != id) {
-		return fmt.Errorf("%w: %w: %s", ErrUnknown, ErrCrossed, id)
+		return fmt.Errorf("%w: %w: %s", ErrUnknown, ErrMismatched, id)
 	}
 	e.id = id
 	return nil
@@ -220,18 +220,18 @@
 		a.lane.echoes.Store(true)
 		return true
 	}
-	return !a.lane.echoes.Load() && !strings.Contains(id, RequestMark)
+	return !a.lane.echoes.Load() && !strings.Contains(id, RequestIDPrefix)
 }
 
-// Whole reads what an answer that is not streamed tells: its tokens. It returns
+// Completion reads what an answer that is not streamed tells: its tokens. It returns
 // an error where the body isn't an answer of this request.
-func (a *Answer) Whole(body []byte) (tokens int, err error) {
+func (a *Answer) Completion(body []byte) (tokens int, err error) {
 	var c chunk
 	if err := json.Unmarshal(body, &c); err != nil {
 		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
 	}
 	if c.ID != "" && !a.owns(c.ID) {
-		return 0, fmt.Errorf("%w: %w: %s", ErrUnknown, ErrCrossed, c.ID)
+		return 0, fmt.Errorf("%w: %w: %s", ErrUnknown, ErrMismatched, c.ID)
 	}
 	return c.Usage.Completion, nil
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -25,9 +25,9 @@
 	HeaderResumed  = "X-Resumed"        // the first token of a resumed stream
 )
 
-// RequestMark begins every request's id, so that an id can be told from one that
+// RequestIDPrefix begins every request's id, so that an id can be told from one that
 // an engine made up.
-const RequestMark = "cw-"
+const RequestIDPrefix = "cw-"
 
 // Errors of a call.
 var (
@@ -38,12 +38,12 @@
 	ErrStale = errors.New("fencing number is old")
 	// ErrUnknown says that the call may have run: its first byte may have left.
 	ErrUnknown = errors.New("call may have run")
-	// ErrCrossed says that the answer belongs to another request. It comes with
+	// ErrMismatched says that the answer belongs to another request. It comes with
 	// ErrUnknown.
-	ErrCrossed = errors.New("answer belongs to another request")
-	// ErrEnded says that the backend server's end of the connection closed under the call.
+	ErrMismatched = errors.New("answer belongs to another request")
+	// ErrClosedByPeer says that the backend server's end of the connection closed under the call.
 	// It comes with ErrUnknown.
-	ErrEnded = errors.New("the backend server ended it")
+	ErrClosedByPeer = errors.New("the backend server ended it")
 	// ErrSilent says that a connection went silent for longer than allowed. It
 	// comes with ErrUnknown.
 	ErrSilent = errors.New("connection went silent")
@@ -51,16 +51,16 @@
 
 // Call is one request for a backend server.
 type Call struct {
-	Method  string
-	Path    string // with its query
-	Header  http.Header
-	Body    []byte
-	Request string
-	Fence   uint64
-	Tier    int
-	// First bounds the time to the first byte of the answer; 0 leaves that to
+	Method    string
+	Path      string // with its query
+	Header    http.Header
+	Body      []byte
+	RequestID string
+	Fence     uint64
+	Tier      int
+	// FirstByteTimeout bounds the time to the first byte of the answer; 0 leaves that to
 	// the context. A queueing engine may be slow with it.
-	First time.Duration
+	FirstByteTimeout time.Duration
 }
 
 // Answer is a backend server's answer; the caller closes its body.
@@ -106,9 +106,9 @@
 	fill(req, c)
 	k := f.lanes.get(address, f.silence)
 	sent := time.Now()
-	resp, err := k.send(ctx, req, c.First, cancel)
+	resp, err := k.send(ctx, req, c.FirstByteTimeout, cancel)
 	if err == nil {
-		err = check(resp, c.Request, k)
+		err = check(resp, c.RequestID, k)
 		if errors.Is(err, ErrNotRun) && !errors.Is(err, ErrStale) {
 			f.refused(address)
 		}
@@ -118,15 +118,15 @@
 		return nil, err
 	}
 	body := &watched{body: resp.Body, silence: f.silence, ctx: ctx, cancel: cancel, lane: k}
-	if c.First > 0 {
-		body.first = max(c.First-time.Since(sent), 0)
+	if c.FirstByteTimeout > 0 {
+		body.first = max(c.FirstByteTimeout-time.Since(sent), 0)
 	}
 	body.timer = time.AfterFunc(time.Hour, func() { cancel(ErrSilent) })
 	body.timer.Stop()
 	return &Answer{
 		Status: resp.StatusCode, Header: resp.Header, Body: body, Length: resp.ContentLength,
 		Framed:  resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || resp.ProtoMajor > 1 || resp.Body == http.NoBody,
-		request: c.Request, body: body, lane: k,
+		request: c.RequestID, body: body, lane: k,
 	}, nil
 }
 
@@ -154,7 +154,7 @@
 	case id != "" && id != request:
 		// The connection's answers are out of step: it is closed with the body.
 		k.transport.CloseIdleConnections()
-		err = fmt.Errorf("%w: %w: %s", ErrUnknown, ErrCrossed, id)
+		err = fmt.Errorf("%w: %w: %s", ErrUnknown, ErrMismatched, id)
 	}
 	if err != nil {
 		_ = resp.Body.Close()
@@ -176,7 +176,7 @@
 	for k, v := range c.Header {
 		req.Header[k] = v
 	}
-	req.Header.Set(HeaderRequest, c.Request)
+	req.Header.Set(HeaderRequest, c.RequestID)
 	req.Header.Set(HeaderFence, strconv.FormatUint(c.Fence, 10))
 	req.Header.Set(HeaderPriority, strconv.Itoa(c.Tier))
 }
@@ -193,8 +193,8 @@
 		k.transport.CloseIdleConnections()
 		return fmt.Errorf("%w: %w", ErrUnknown, ErrSilent)
 	}
-	if connector.Ended(err) {
-		return fmt.Errorf("%w: %w: %v", ErrUnknown, ErrEnded, err)
+	if connector.ClosedByPeer(err) {
+		return fmt.Errorf("%w: %w: %v", ErrUnknown, ErrClosedByPeer, err)
 	}
 	return fmt.Errorf("%w: %v", ErrUnknown, err)
 }
--- a/forwarder/forwarder_test.go
+++ b/forwarder/forwarder_test.go
@@ -24,7 +24,7 @@
 	defer engine.Close()
 	f, clean := forwarder.New(time.Second)
 	defer clean()
-	a, err := f.Do(context.Background(), engine.Listener.Addr().String(), forwarder.Call{Method: http.MethodPost, Path: "/", Request: id})
+	a, err := f.Do(context.Background(), engine.Listener.Addr().String(), forwarder.Call{Method: http.MethodPost, Path: "/", RequestID: id})
 	if err != nil {
 		return nil, err
 	}
@@ -78,9 +78,9 @@
 			_, err := read(text)
 			Expect(err).To(MatchError(want))
 		},
-		Entry("another request's id", event("cw-2", "a"), forwarder.ErrCrossed),
-		Entry("another's after its own", event(id, "a")+event("cw-2", "b"), forwarder.ErrCrossed),
-		Entry("a made-up id that changes", event("x", "a")+event("y", "b"), forwarder.ErrCrossed),
+		Entry("another request's id", event("cw-2", "a"), forwarder.ErrMismatched),
+		Entry("another's after its own", event(id, "a")+event("cw-2", "b"), forwarder.ErrMismatched),
+		Entry("a made-up id that changes", event("x", "a")+event("y", "b"), forwarder.ErrMismatched),
 		Entry("an event that was cut", event(id, "a")+`data: {"id":"cw-1","choices":[]}`, io.ErrUnexpectedEOF),
 		Entry("an end mark that was cut", "data: [DON", io.ErrUnexpectedEOF),
 		Entry("what is not JSON", "data: {\n\n", forwarder.ErrEvent),
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	// The system takes the connection, and no more than its buffers hold.
-	_, err = f.Do(ctx, l.Addr().String(), forwarder.Call{Method: http.MethodPost, Path: "/", Body: make([]byte, 32<<20), Request: id})
+	_, err = f.Do(ctx, l.Addr().String(), forwarder.Call{Method: http.MethodPost, Path: "/", Body: make([]byte, 32<<20), RequestID: id})
 	Expect(err).To(MatchError(forwarder.ErrUnknown))
 	Expect(ctx.Err()).NotTo(HaveOccurred(), "long before the call's deadline")
 })
--- a/forwarder/lane.go
+++ b/forwarder/lane.go
@@ -40,7 +40,7 @@
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: bound, Interval: probeEvery, Count: probeMost},
-		Control:         connector.BoundUnacknowledged(bound),
+		Control:         connector.UserTimeoutControl(bound),
 	}
 	t := &http.Transport{
 		DialContext:            dialer.DialContext,
--- a/forwarder/resend_test.go
+++ b/forwarder/resend_test.go
@@ -69,7 +69,7 @@
 			if key != "" {
 				h.Set("Idempotency-Key", key)
 			}
-			a, err := f.Do(context.Background(), l.Addr().String(), forwarder.Call{Method: method, Path: "/holds", Header: h, Body: body, Request: request})
+			a, err := f.Do(context.Background(), l.Addr().String(), forwarder.Call{Method: method, Path: "/holds", Header: h, Body: body, RequestID: request})
 			if err == nil {
 				_ = a.Body.Close()
 			}
--- a/router/delivery.go
+++ b/router/delivery.go
@@ -42,7 +42,7 @@
 func (d *delivery) head(status int, from http.Header, length int) {
 	h := d.w.Header()
 	ending := h.Get("Connection")
-	for name, values := range Onward(from) {
+	for name, values := range EndToEndHeader(from) {
 		h[name] = values
 	}
 	if ending != "" {
--- a/router/failure.go
+++ b/router/failure.go
@@ -74,7 +74,7 @@
 	if f.close {
 		h.Set("Connection", "close")
 	}
-	d.Answer(h, id, f.after)
+	d.WriteAnswer(h, id, f.after)
 	w.WriteHeader(f.status)
 	body, err := json.Marshal(struct {
 		Error string `json:"error"`
--- a/router/header.go
+++ b/router/header.go
@@ -12,8 +12,8 @@
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 }
 
-// Onward is a copy of a header without what concerns one connection only.
-func Onward(h http.Header) http.Header {
+// EndToEndHeader is a copy of a header without what concerns one connection only.
+func EndToEndHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -104,12 +104,12 @@
 // refuse counts a request that no worker got.
 func (m *Metrics) refuse(q *request, r Refused) {
 	tier, b := strconv.Itoa(q.Tier), r.Basis
-	m.refused.WithLabelValues(tier, r.Why).Inc()
-	m.waits.WithLabelValues(tier, r.Why).Observe(b.Wait.Seconds())
+	m.refused.WithLabelValues(tier, r.Reason).Inc()
+	m.waits.WithLabelValues(tier, r.Reason).Observe(b.Wait.Seconds())
 	if b.Slots > 0 {
-		m.taken.WithLabelValues(tier, r.Why).Observe(float64(b.Taken+b.Kept) / float64(b.Slots))
+		m.taken.WithLabelValues(tier, r.Reason).Observe(float64(b.Taken+b.Kept) / float64(b.Slots))
 	}
-	m.wanted.WithLabelValues(tier, r.Why).Observe(float64(b.Wanted))
+	m.wanted.WithLabelValues(tier, r.Reason).Observe(float64(b.Wanted))
 }
 
 // send counts a send that failed; again says that another follows.
@@ -133,7 +133,7 @@
 		{errPromise, "false_promise"},
 		{errShort, "short"},
 		{errEncoded, "encoded"},
-		{connector.ErrEnded, "ended"},
+		{connector.ErrClosedByPeer, "ended"},
 		{context.Canceled, "caller"},
 		{context.DeadlineExceeded, "timeout"},
 	} {
--- a/router/router.go
+++ b/router/router.go
@@ -28,9 +28,9 @@
 	Pool          *connector.Pool
 	Log           *zap.Logger
 	Metrics       *Metrics
-	Answer        int64         // bytes of an answer that is held until it is whole
-	Stall         time.Duration // for a caller to take a piece of its answer
-	Buffer        int64         // bytes of requests and answers held at once
+	MaxAnswer     int64         // bytes of an answer that is held until it is whole
+	WriteTimeout  time.Duration // for a caller to take a piece of its answer
+	MaxBuffered   int64         // bytes of requests and answers held at once
 }
 
 // Router is an http.Handler for host routes.
@@ -59,7 +59,7 @@
 
 // request is one caller's request.
 type request struct {
-	Intake
+	RequestHead
 	target
 	index        *index
 	service      string
@@ -79,10 +79,10 @@
 // ServeHTTP implements http.Handler.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	q := &request{
-		Intake: r.Dialect.Read(req.Header), started: time.Now(),
+		RequestHead: r.Dialect.ReadRequest(req.Header), started: time.Now(),
 		method: req.Method, uri: req.RequestURI, host: req.Host,
 	}
-	d := &delivery{w: w, control: http.NewResponseController(w), stall: r.Stall}
+	d := &delivery{w: w, control: http.NewResponseController(w), stall: r.WriteTimeout}
 	t := &trip{router: r, q: q, delivery: d}
 	f := r.check(q, w, req)
 	if f == nil {
@@ -164,8 +164,8 @@
 		zap.Int("free", b.Free), zap.Int("wanted", b.Wanted), zap.Float64("offered", math.Round(b.Offered)), zap.Duration("held", b.Held),
 		zap.Duration("age", b.Age),
 	}
-	if r.By != "" {
-		fields = append(fields, zap.String("by", r.By))
+	if r.RefusedBy != "" {
+		fields = append(fields, zap.String("by", r.RefusedBy))
 	}
 	return fields
 }
@@ -193,7 +193,7 @@
 		// connection is used again after chunks.
 		w.Header().Set("Connection", "close")
 	}
-	q.header = Onward(req.Header)
+	q.header = EndToEndHeader(req.Header)
 	if f := r.readBody(q, w, req); f != nil {
 		return f
 	}
@@ -246,12 +246,12 @@
 func (r *Router) readBody(q *request, w http.ResponseWriter, req *http.Request) *failure {
 	limit := q.index.callers().Body
 	if limit <= 0 {
-		limit = r.Answer
+		limit = r.MaxAnswer
 	}
 	if req.ContentLength > limit {
 		return &failure{status: http.StatusRequestEntityTooLarge, code: codeBody, close: true}
 	}
-	if r.held.Load()+max(req.ContentLength, 0) > r.Buffer {
+	if r.held.Load()+max(req.ContentLength, 0) > r.MaxBuffered {
 		return &failure{status: http.StatusServiceUnavailable, code: codeFull, after: comeBack, close: true}
 	}
 	var b bytes.Buffer
@@ -276,13 +276,13 @@
 // ask is the request as its placer sees it.
 func (r *Router) ask(q *request) placer.Ask {
 	a := placer.Ask{
-		Service: q.service, Prompt: q.Prompt, Output: q.Output, Rank: q.rank, Tier: q.Tier,
+		Service: q.service, Prompt: q.Prompt, Output: q.MaxOutput, Rank: q.rank, Tier: q.Tier,
 		Target: q.First.Std(), Fingerprint: q.fingerprint,
 	}
-	if q.Hint > 0 && (q.Hint < q.Output || q.Output == 0) {
-		a.Output = q.Hint
+	if q.ExpectedOutput > 0 && (q.ExpectedOutput < q.MaxOutput || q.MaxOutput == 0) {
+		a.Output = q.ExpectedOutput
 	}
-	if q.Hint > 0 && q.After == "" {
+	if q.ExpectedOutput > 0 && q.LastEventID == "" {
 		a.Expected = a.Output // how much of it a resumed stream lacks is not known
 	}
 	if q.Stream {
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -33,22 +33,22 @@
 type plainDialect struct{}
 
 func (plainDialect) Key(h http.Header) (string, bool) { return h.Get("Key"), h.Get("Key") != "" }
-func (plainDialect) Read(h http.Header) router.Intake {
+func (plainDialect) ReadRequest(h http.Header) router.RequestHead {
 	output, _ := strconv.Atoi(h.Get("Output")) // 0 where there is none
 	hint, _ := strconv.Atoi(h.Get("Hint"))
-	return router.Intake{ID: h.Get("Id"), Deadline: 2 * time.Second, Output: output, Hint: hint, After: h.Get("After")}
+	return router.RequestHead{ID: h.Get("Id"), Deadline: 2 * time.Second, MaxOutput: output, ExpectedOutput: hint, LastEventID: h.Get("After")}
 }
 
-func (plainDialect) Write(h http.Header, o router.Order) {
+func (plainDialect) WriteRequest(h http.Header, o router.WorkerHead) {
 	h.Set("Organisation", o.Organisation)
 	h.Set("Rank", fmt.Sprintf("%d of %d", o.Rank, o.Ranks))
 }
 
-func (plainDialect) Judge(_ int, h http.Header) router.Verdict {
-	return router.Verdict{ID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != ""}
+func (plainDialect) ReadAnswer(_ int, h http.Header) router.AnswerHead {
+	return router.AnswerHead{ID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != ""}
 }
 
-func (plainDialect) Answer(h http.Header, _ string, after time.Duration) {
+func (plainDialect) WriteAnswer(h http.Header, _ string, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", fmt.Sprint(after.Seconds()))
 	}
@@ -64,28 +64,28 @@
 	outcomes []placer.Outcome
 }
 
-func (p *listPlacer) Place(_ context.Context, a placer.Ask, again bool) (router.Place, error) {
+func (p *listPlacer) Place(_ context.Context, a placer.Ask, again bool) (router.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.asks = append(p.asks, a)
 	if again {
 		if p.budget--; p.budget < 0 {
-			return router.Place{}, router.Refused{Why: "retry_budget", After: time.Second}
+			return router.Placement{}, router.Refused{Reason: "retry_budget", After: time.Second}
 		}
 	}
 	for _, w := range p.workers {
 		if !strings.Contains(strings.Join(a.Exclude, " "), w.Name) {
-			return router.Place{Worker: w, Pause: p.pause}, nil
+			return router.Placement{Worker: w, Delay: p.pause}, nil
 		}
 	}
-	return router.Place{}, router.Refused{Why: "no_workers", After: time.Second}
+	return router.Placement{}, router.Refused{Reason: "no_workers", After: time.Second}
 }
 
-func (p *listPlacer) Begun(router.Place, time.Duration) {}
+func (p *listPlacer) Started(router.Placement, time.Duration) {}
 
-func (p *listPlacer) Named(router.Place, float64) {}
+func (p *listPlacer) RateReported(router.Placement, float64) {}
 
-func (p *listPlacer) Ended(_ router.Place, o placer.Outcome) {
+func (p *listPlacer) Ended(_ router.Placement, o placer.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outcomes = append(p.outcomes, o)
@@ -161,7 +161,7 @@
 		DeferCleanup(clean)
 		r := router.New(router.Config{
 			Dialect: plainDialect{}, Configuration: fixed{folder()}, Placer: place, Pool: pool, Log: zap.NewNop(),
-			Metrics: router.NewMetrics(registry), Answer: 1 << 20, Stall: time.Second, Buffer: 1 << 20,
+			Metrics: router.NewMetrics(registry), MaxAnswer: 1 << 20, WriteTimeout: time.Second, MaxBuffered: 1 << 20,
 		})
 		s := httptest.NewServer(r)
 		DeferCleanup(s.Close)
--- a/router/stream.go
+++ b/router/stream.go
@@ -21,7 +21,7 @@
 
 // stream passes events on as they come, whole ones only: a worker may stop inside
 // one, and the rest of it would come from another.
-func (t *trip) stream(p Place, a *connector.Answer) error {
+func (t *trip) stream(p Placement, a *connector.Answer) error {
 	resumed := t.delivery.begun
 	var pending []byte
 	buffer := make([]byte, streamBuffer)
@@ -34,7 +34,7 @@
 				first = false
 				t.heard()
 				t.seen = time.Since(t.sent)
-				t.router.Placer.Begun(p, t.seen)
+				t.router.Placer.Started(p, t.seen)
 			}
 			if err := t.passEvents(a, events, resumed); err != nil {
 				return t.lost(err)
--- a/router/trip.go
+++ b/router/trip.go
@@ -78,12 +78,12 @@
 		if err != nil {
 			return t.unplaced(caller, err)
 		}
-		if !wait(ctx, place.Pause) {
+		if !wait(ctx, place.Delay) {
 			t.router.Placer.Ended(place, placer.Dropped)
 			return t.timedOut(caller)
 		}
 		t.sends++
-		t.worker, t.expected, t.read, t.by, t.source = place.Worker.Name, place.Wait, place.Read, place.By, place.Source
+		t.worker, t.expected, t.read, t.by, t.source = place.Worker.Name, place.ExpectedWait, place.PromptTokens, place.PlacedBy, place.Source
 		t.sent = time.Now()
 		err = t.send(ctx, place)
 		t.router.Placer.Ended(place, t.outcome(caller, err))
@@ -106,11 +106,11 @@
 
 // log tells of a send that failed: what it was decided by, and whether it was the
 // last.
-func (t *trip) log(p Place, final bool) {
+func (t *trip) log(p Placement, final bool) {
 	t.router.Log.Warn("send", zap.String("request", t.q.ID), zap.Stringer("fingerprint", t.q.fingerprint), zap.Int("send", t.sends), zap.String("worker", p.Worker.Name),
-		zap.Duration("after", time.Since(t.sent)), zap.Bool("ended", errors.Is(t.cause, connector.ErrEnded)),
-		zap.String("address", p.Worker.Address), zap.Bool("kept", t.kept), zap.Duration("age", p.Age), zap.Duration("expected", p.Wait),
-		zap.Int("read", p.Read), zap.Bool("exposed", t.exposed), zap.Bool("passed", t.delivery.begun), zap.String("last", t.last),
+		zap.Duration("after", time.Since(t.sent)), zap.Bool("ended", errors.Is(t.cause, connector.ErrClosedByPeer)),
+		zap.String("address", p.Worker.Address), zap.Bool("kept", t.kept), zap.Duration("age", p.ListAge), zap.Duration("expected", p.ExpectedWait),
+		zap.Int("read", p.PromptTokens), zap.Bool("exposed", t.exposed), zap.Bool("passed", t.delivery.begun), zap.String("last", t.last),
 		zap.Bool("repeatable", t.q.Repeatable()), zap.Duration("left", t.q.left(time.Now())), zap.Bool("final", final), zap.Error(t.cause))
 }
 
@@ -146,7 +146,7 @@
 	if t.exposed {
 		return gaveUp(true, codeLost, 0)
 	}
-	return gaveUp(false, refused.Why, refused.After)
+	return gaveUp(false, refused.Reason, refused.After)
 }
 
 // timedOut is the answer to a request whose caller has left or whose time is up.
@@ -209,7 +209,7 @@
 		return placer.Refused
 	case errors.Is(err, errFailed):
 		return placer.Errored
-	case errors.Is(err, connector.ErrEnded):
+	case errors.Is(err, connector.ErrClosedByPeer):
 		return placer.Ended
 	}
 	return placer.Broken
@@ -220,11 +220,11 @@
 
 // silence bounds the wait for the head of an answer, so that another worker can
 // still be tried; 0 leaves the whole time. Only what may be repeated has a bound.
-func (t *trip) silence(p Place) time.Duration {
+func (t *trip) silence(p Placement) time.Duration {
 	if !t.q.Repeatable() || t.runs+1 >= t.q.Attempts {
 		return 0
 	}
-	bound := max(silenceWaits*p.Wait, silenceTargets*t.q.First.Std())
+	bound := max(silenceWaits*p.ExpectedWait, silenceTargets*t.q.First.Std())
 	return min(bound, t.q.left(time.Now())/2)
 }
 
@@ -237,7 +237,7 @@
 
 // send sends the request to one worker and passes the answer on. It returns nil
 // only where the caller has the whole answer.
-func (t *trip) send(ctx context.Context, p Place) error {
+func (t *trip) send(ctx context.Context, p Placement) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	t.heard = func() {}
@@ -247,23 +247,23 @@
 		t.heard = func() { timer.Stop() }
 	}
 	header := t.q.header.Clone()
-	t.router.Dialect.Write(header, Order{
-		Worker: p.Worker.Name, Left: t.q.left(time.Now()), Organisation: t.q.organisation,
-		Engine: p.Worker.Memory > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), After: t.last, Source: p.Source,
+	t.router.Dialect.WriteRequest(header, WorkerHead{
+		Worker: p.Worker.Name, TimeLeft: t.q.left(time.Now()), Organisation: t.q.organisation,
+		Engine: p.Worker.Memory > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), LastEventID: t.last, Source: p.Source,
 	})
 	answer, err := t.router.Pool.Do(ctx, p.Worker.Address, connector.Call{
 		Method: t.q.method, Target: t.q.uri, Host: t.q.host, Header: header, Body: t.q.body,
-		Mine: func(h http.Header) bool {
-			id := t.router.Dialect.Judge(0, h).ID
+		Matches: func(h http.Header) bool {
+			id := t.router.Dialect.ReadAnswer(0, h).ID
 			return id == "" || id == t.q.ID
 		},
-		Careful: !t.q.Repeatable(),
+		FreshOnly: !t.q.Repeatable(),
 	})
 	if err != nil {
 		return t.lost(err)
 	}
 	defer answer.Close()
-	t.kept = answer.Kept()
+	t.kept = answer.Reused()
 	return t.answer(p, answer)
 }
 
@@ -281,15 +281,15 @@
 }
 
 // answer looks at the head of an answer, and passes the answer on.
-func (t *trip) answer(p Place, a *connector.Answer) error {
-	v := t.router.Dialect.Judge(a.Status, a.Header)
+func (t *trip) answer(p Placement, a *connector.Answer) error {
+	v := t.router.Dialect.ReadAnswer(a.Status, a.Header)
 	t.limit(p, v.Limit)
 	ok := a.Status >= http.StatusOK && a.Status < http.StatusMultipleChoices
 	switch {
 	case v.NotRun:
 		t.skip(a)
-		if v.Other {
-			t.router.Pool.Forget(p.Worker.Address)
+		if v.OtherWorker {
+			t.router.Pool.CloseIdle(p.Worker.Address)
 			return fmt.Errorf("%w: %w", errNotRun, errMisled)
 		}
 		return fmt.Errorf("%w: status %d", errNotRun, a.Status)
@@ -307,12 +307,12 @@
 }
 
 // limit takes how many requests a second the worker says that it takes.
-func (t *trip) limit(p Place, l Limit) {
+func (t *trip) limit(p Placement, l Limit) {
 	switch {
-	case l.Bad != "":
-		t.router.Log.Warn("limit", zap.String("request", t.q.ID), zap.String("worker", p.Worker.Name), zap.String("state", "unreadable"), zap.String("said", l.Bad))
-	case l.Rate > 0 || p.Limit > 0:
-		t.router.Placer.Named(p, l.Rate)
+	case l.Invalid != "":
+		t.router.Log.Warn("limit", zap.String("request", t.q.ID), zap.String("worker", p.Worker.Name), zap.String("state", "unreadable"), zap.String("said", l.Invalid))
+	case l.Rate > 0 || p.RateLimit > 0:
+		t.router.Placer.RateReported(p, l.Rate)
 	}
 }
 
@@ -326,18 +326,18 @@
 
 // whole reads an answer to its end before it passes any of it, so that a broken
 // one never reaches the caller as if it were whole.
-func (t *trip) whole(p Place, a *connector.Answer, v Verdict) error {
+func (t *trip) whole(p Placement, a *connector.Answer, v AnswerHead) error {
 	t.heard()
 	var b bytes.Buffer
-	n, err := io.Copy(&b, io.LimitReader(a, t.router.Answer+1))
+	n, err := io.Copy(&b, io.LimitReader(a, t.router.MaxAnswer+1))
 	if err != nil {
 		return t.lost(err)
 	}
-	if n > t.router.Answer {
-		return t.lost(fmt.Errorf("the answer is over %d bytes", t.router.Answer))
+	if n > t.router.MaxAnswer {
+		return t.lost(fmt.Errorf("the answer is over %d bytes", t.router.MaxAnswer))
 	}
 	a.Finish()
-	t.router.Placer.Begun(p, time.Since(t.sent))
+	t.router.Placer.Started(p, time.Since(t.sent))
 	if a.Status >= http.StatusInternalServerError || promises(a.Status) {
 		t.ran()
 		if !promises(a.Status) {
--- a/runner/allocator.go
+++ b/runner/allocator.go
@@ -24,7 +24,7 @@
 		return server.Place{}, stopping()
 	case <-ctx.Done():
 		c.post(placeLeft{request: a.Request})
-		return server.Place{}, server.ErrGone
+		return server.Place{}, server.ErrCallerGone
 	}
 }
 
@@ -34,7 +34,7 @@
 }
 
 // Release implements server.Allocator.
-func (c *control) Release(p server.Place, u server.Use) { c.post(placeDone{place: p, use: u}) }
+func (c *control) Release(p server.Place, u server.Usage) { c.post(placeDone{place: p, use: u}) }
 
 // stopping refuses what comes after the control goroutine has ended.
 func stopping() server.Refusal {
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -124,7 +124,7 @@
 	c.quarantine.use(now, e.place.Worker.Name, e.use)
 	c.send(now, k.owner, messenger.Done{
 		Request: e.place.Request, Attempt: k.ask.Attempt, Cell: e.place.Cell, Worker: e.place.Worker.Name,
-		Tokens: e.use.Tokens, First: e.use.First, Failed: e.use.Failed,
+		Tokens: e.use.Tokens, First: e.use.FirstByte, Failed: e.use.Failed,
 	})
 }
 
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -67,7 +67,7 @@
 }
 
 type workerReply struct {
-	place   router.Place
+	place   router.Placement
 	refused *router.Refused
 }
 
@@ -193,7 +193,7 @@
 		return nil
 	}
 	if !w.Take(now, p.repeat, p.hosts) {
-		return &router.Refused{Why: "retry_budget", After: time.Second}
+		return &router.Refused{Reason: "retry_budget", After: time.Second}
 	}
 	return nil
 }
@@ -206,8 +206,8 @@
 		return refusedBy("", *refusal, choice.Basis)
 	}
 	p.tellSent(now, p.self, choice.Flight)
-	return workerReply{place: router.Place{
-		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, Wait: choice.Wait, Pause: choice.Pause, Source: choice.Source, Read: choice.Flight.Read, Filling: choice.Filling, Age: now.Sub(p.listed), Limit: p.view.Rate(choice.Worker.Name),
+	return workerReply{place: router.Placement{
+		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, ExpectedWait: choice.Wait, Delay: choice.Pause, Source: choice.Source, PromptTokens: choice.Flight.Read, HalfFull: choice.Filling, ListAge: now.Sub(p.listed), RateLimit: p.view.Rate(choice.Worker.Name),
 	}}
 }
 
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -11,23 +11,23 @@
 var _ router.Placer = (*choosing)(nil)
 
 // Place implements router.Placer.
-func (p *choosing) Place(ctx context.Context, a placer.Ask, again bool) (router.Place, error) {
+func (p *choosing) Place(ctx context.Context, a placer.Ask, again bool) (router.Placement, error) {
 	reply := make(chan workerReply, 1)
 	if !p.post(workerAsked{ask: a, again: again, reply: reply}) {
-		return router.Place{}, router.Refused{Why: "host_stopping", After: time.Second}
+		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
 	}
 	select {
 	case r := <-reply:
 		if r.refused != nil {
-			return router.Place{}, *r.refused
+			return router.Placement{}, *r.refused
 		}
 		return r.place, nil
 	case <-ctx.Done():
 		// The answer may be under way: its place is given back when it comes.
 		go p.giveBack(reply)
-		return router.Place{}, ctx.Err()
+		return router.Placement{}, ctx.Err()
 	case <-p.ended:
-		return router.Place{}, router.Refused{Why: "host_stopping", After: time.Second}
+		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
 	}
 }
 
@@ -42,19 +42,19 @@
 	}
 }
 
-// Begun implements router.Placer.
-func (p *choosing) Begun(x router.Place, took time.Duration) {
+// Started implements router.Placer.
+func (p *choosing) Started(x router.Placement, took time.Duration) {
 	p.post(sendBegun{id: x.ID, took: took})
 }
 
-// Named implements router.Placer.
-func (p *choosing) Named(x router.Place, rate float64) {
-	p.post(limitNamed{worker: x.Worker.Name, rate: rate, known: x.Limit})
+// RateReported implements router.Placer.
+func (p *choosing) RateReported(x router.Placement, rate float64) {
+	p.post(limitNamed{worker: x.Worker.Name, rate: rate, known: x.RateLimit})
 }
 
 // Ended implements router.Placer.
-func (p *choosing) Ended(x router.Place, o placer.Outcome) {
-	p.post(sendEnded{id: x.ID, outcome: o, filling: x.Filling})
+func (p *choosing) Ended(x router.Placement, o placer.Outcome) {
+	p.post(sendEnded{id: x.ID, outcome: o, filling: x.HalfFull})
 }
 
 // post gives the goroutine an event; false where it has ended.
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -228,8 +228,8 @@
 		x.asked.reply <- refusedBy(e.from, placer.Refusal{Why: s.Why, After: s.After}, basisOf(s.Basis))
 	case s.Flight == 0:
 	case waiting && there:
-		x.asked.reply <- workerReply{place: router.Place{
-			ID: s.Flight, Service: x.asked.ask.Service, Worker: w, Wait: s.Wait, Pause: s.Pause, Source: s.Source, Read: s.Read, Filling: s.Filling, Age: now.Sub(p.listed), By: e.from, Limit: s.Limit,
+		x.asked.reply <- workerReply{place: router.Placement{
+			ID: s.Flight, Service: x.asked.ask.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Pause, Source: s.Source, PromptTokens: s.Read, HalfFull: s.Filling, ListAge: now.Sub(p.listed), PlacedBy: e.from, RateLimit: s.Limit,
 		}}
 	default:
 		p.tellEnded(now, sendEnded{id: s.Flight, outcome: placer.Dropped})
@@ -242,7 +242,7 @@
 // refusedBy is the reply to a request that a view refused. Callers that were refused
 // together must not come back together.
 func refusedBy(host string, r placer.Refusal, b placer.Basis) workerReply {
-	return workerReply{refused: &router.Refused{Why: r.Why, After: retrier.Jitter(r.After, rand.Float64()), By: host, Basis: b}}
+	return workerReply{refused: &router.Refused{Reason: r.Why, After: retrier.Jitter(r.After, rand.Float64()), RefusedBy: host, Basis: b}}
 }
 
 // basisOf is what another host refused a request by; one of an older version does not say.
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -167,7 +167,7 @@
 		small := choosing("h-03", registrar.NewRoster(roster.Hosts()[:16]...))
 		decider := choosing(names[0], roster)
 		for _, c := range []runner.Choosing{small, decider} {
-			var places []router.Place
+			var places []router.Placement
 			for range 8 { // half the slots of both
 				p, ok := c.Place(now, quote)
 				Expect(ok).To(BeTrue())
--- a/runner/event.go
+++ b/runner/event.go
@@ -37,7 +37,7 @@
 // placeDone gives a place back.
 type placeDone struct {
 	place server.Place
-	use   server.Use
+	use   server.Usage
 }
 
 // placeProgressed tells of a stream's tokens so far.
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -75,7 +75,7 @@
 
 // Done gives a place back.
 func (k Control) Done(now time.Time, p server.Place) {
-	k.c.take(now, placeDone{place: p, use: server.Use{Tokens: 10, First: 50 * time.Millisecond}})
+	k.c.take(now, placeDone{place: p, use: server.Usage{Tokens: 10, FirstByte: 50 * time.Millisecond}})
 }
 
 // Advance tells how far a call has come.
@@ -156,29 +156,29 @@
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	go func() {
 		if r := <-reply; r.refused != nil {
-			out <- "refused " + r.refused.Why
+			out <- "refused " + r.refused.Reason
 		} else {
-			out <- r.place.Worker.Name + " by " + r.place.By
+			out <- r.place.Worker.Name + " by " + r.place.PlacedBy
 		}
 	}()
 	return out
 }
 
 // Place asks for a worker and returns what came at once; false where nothing did.
-func (x Choosing) Place(now time.Time, a placer.Ask) (router.Place, bool) {
+func (x Choosing) Place(now time.Time, a placer.Ask) (router.Placement, bool) {
 	reply := make(chan workerReply, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	select {
 	case r := <-reply:
 		return r.place, r.refused == nil
 	default:
-		return router.Place{}, false
+		return router.Placement{}, false
 	}
 }
 
 // End ends a request at its place.
-func (x Choosing) End(now time.Time, p router.Place) {
-	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.Filling})
+func (x Choosing) End(now time.Time, p router.Placement) {
+	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.HalfFull})
 }
 
 // Due is how long after now the others are told of what happened.
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -69,7 +69,7 @@
 type placing struct {
 	cancel  context.CancelFunc
 	place   *server.Place // nil while it waits
-	use     server.Use
+	use     server.Usage
 	granted time.Time
 }
 
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -35,21 +35,21 @@
 
 func (onceAsked) event() {}
 
-var _ server.Once = (*control)(nil)
+var _ server.OnceRunner = (*control)(nil)
 
-// RunOnce implements server.Once.
+// RunOnce implements server.OnceRunner.
 func (c *control) RunOnce(ctx context.Context, m messenger.Once) (messenger.OnceVerdict, error) {
 	reply := make(chan messenger.OnceVerdict, 1)
 	if !c.post(onceAsked{message: m, reply: reply}) {
-		return messenger.OnceVerdict{}, server.ErrGone
+		return messenger.OnceVerdict{}, server.ErrCallerGone
 	}
 	select {
 	case <-c.ended:
-		return messenger.OnceVerdict{}, server.ErrGone
+		return messenger.OnceVerdict{}, server.ErrCallerGone
 	case v := <-reply:
 		return v, nil
 	case <-ctx.Done():
-		return messenger.OnceVerdict{}, server.ErrGone
+		return messenger.OnceVerdict{}, server.ErrCallerGone
 	}
 }
 
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -101,14 +101,14 @@
 		return
 	}
 	m := load.message
-	c := forwarder.Call{Method: m.Method, Path: m.Path, Header: http.Header(m.Header), Body: m.Body, Request: o.Request, Fence: x.place.Fence, Tier: m.Tier}
+	c := forwarder.Call{Method: m.Method, Path: m.Path, Header: http.Header(m.Header), Body: m.Body, RequestID: o.Request, Fence: x.place.Fence, Tier: m.Tier}
 	place, limit := *x.place, load.until.Sub(now)+answerExtra
 	k.log.Info("send", zap.String("request", o.Request), zap.String("worker", place.Worker.Name), zap.Uint64("fence", place.Fence), zap.Stringer("id", o.ID))
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
 		fate, answer, err := k.exchange(ctx, place.Worker.Address, c)
-		k.control.post(callEnded{kept: p, message: m, ended: errors.Is(err, forwarder.ErrEnded), answered: keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: fate, Answer: answer}})
+		k.control.post(callEnded{kept: p, message: m, ended: errors.Is(err, forwarder.ErrClosedByPeer), answered: keeper.Answered{ID: o.ID, Attempt: o.Attempt, Fate: fate, Answer: answer}})
 	}()
 }
 
@@ -125,8 +125,8 @@
 func (k *keeping) ended(now time.Time, e callEnded) {
 	a := e.answered
 	if x := e.kept.places[attempt{a.ID, a.Attempt}]; x != nil && x.place != nil {
-		x.use = server.Use{
-			Failed: a.Fate != keeper.FateRan, First: now.Sub(x.granted), Ended: e.ended, Took: now.Sub(x.granted),
+		x.use = server.Usage{
+			Failed: a.Fate != keeper.FateRan, FirstByte: now.Sub(x.granted), ClosedByPeer: e.ended, Took: now.Sub(x.granted),
 			Fingerprint: server.Fingerprint(e.message.Ask.Organisation, e.message.Service, e.message.Method, e.message.Path, e.message.Body),
 		}
 		if a.Answer != nil {
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -26,7 +26,7 @@
 // says that it is leaving, so that its roles move to other hosts; they rebuild
 // the state from the entries. The drain limit, or hurry, ends it at once.
 func (h *Host) shutdown(hurry <-chan struct{}) error {
-	h.log.Info("leaving", zap.Int64("inflight", h.server.Calls()))
+	h.log.Info("leaving", zap.Int64("inflight", h.server.InFlight()))
 	h.server.Drain()
 	h.registrar.Leave()
 	limit := h.settings.Limits.Settle.Std() + h.settings.Limits.Drain.Std()
@@ -66,7 +66,7 @@
 
 // cut ends the requests still in flight, and says which.
 func (h *Host) cut(err error) error {
-	count := h.server.Calls()
+	count := h.server.InFlight()
 	var requests []string
 	for id := range h.State().Calls {
 		if len(requests) < cutsLogged {
@@ -74,7 +74,7 @@
 		}
 	}
 	h.log.Error("left", zap.Int64("cut", count), zap.Strings("requests", requests), zap.Error(err))
-	h.server.Cut()
+	h.server.AbortAll()
 	return fmt.Errorf("%w: %d", ErrCut, count)
 }
 
@@ -95,7 +95,7 @@
 		case <-h.control.ended:
 		}
 	}
-	s.Zone, s.Ready, s.Leaving, s.Inflight = h.settings.Zone, h.server.Ready(), h.server.Draining(), h.server.Calls()
+	s.Zone, s.Ready, s.Leaving, s.Inflight = h.settings.Zone, h.server.Ready(), h.server.Draining(), h.server.InFlight()
 	s.Membership, s.Messenger = h.registrar.Counts(), h.messenger.Counts()
 	s.Configuration = h.following.Status()
 	if h.routing != nil {
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -30,19 +30,19 @@
 
 // use takes how a request of this host ended at a worker, and has the owner of the role
 // know, which counts for all hosts.
-func (q *quarantining) use(now time.Time, worker string, u server.Use) {
+func (q *quarantining) use(now time.Time, worker string, u server.Usage) {
 	if q == nil || u.Took == 0 {
 		return
 	}
 	m := messenger.Mark{Fingerprint: uint64(u.Fingerprint), Worker: worker, Took: u.Took}
-	answered := u.First > 0 && !u.Failed
+	answered := u.FirstByte > 0 && !u.Failed
 	switch {
-	case u.Ended:
+	case u.ClosedByPeer:
 		m.What = messenger.MarkEnded
 	case answered && q.book.Suspected(u.Fingerprint):
-		m.What, m.Took = messenger.MarkAnswered, u.Took-u.First
-	case answered && q.book.Alive(now, worker, now.Add(u.First-u.Took)):
-		m.What, m.Took = messenger.MarkAlive, u.Took-u.First
+		m.What, m.Took = messenger.MarkAnswered, u.Took-u.FirstByte
+	case answered && q.book.Alive(now, worker, now.Add(u.FirstByte-u.Took)):
+		m.What, m.Took = messenger.MarkAlive, u.Took-u.FirstByte
 	default:
 		return
 	}
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -36,7 +36,7 @@
 	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.choosing.post(e) }, next: g.choosing.next}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.choosing, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
-		Answer: s.Limits.Answer, Stall: s.Limits.Stall.Std(), Buffer: s.Limits.Buffer,
+		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
 	})
 	return g
 }
@@ -124,7 +124,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			g.pool.Sweep(now)
+			g.pool.CloseExpired(now)
 		}
 	}
 }
--- a/server/caller_test.go
+++ b/server/caller_test.go
@@ -99,9 +99,9 @@
 			callers.Go(func() { s.send(r) })
 		}
 		fill := func(class string, to int) {
-			for n := int(s.server.Calls()); n < to; n++ {
+			for n := int(s.server.InFlight()); n < to; n++ {
 				begin(class)
-				Eventually(s.server.Calls).Should(BeEquivalentTo(n + 1))
+				Eventually(s.server.InFlight).Should(BeEquivalentTo(n + 1))
 			}
 		}
 		refused := func(class string) string {
@@ -117,7 +117,7 @@
 		Expect(refused("hold")).To(Equal("host_full"))
 		leave()
 		callers.Wait()
-		Eventually(s.server.Calls).Should(BeZero())
+		Eventually(s.server.InFlight).Should(BeZero())
 	})
 
 	It("bounds the bytes that it holds", func() {
@@ -127,11 +127,11 @@
 		big := func() *http.Request { return s.request(ctx, "/services/desk/log", strings.Repeat("x", 60<<10)) }
 		var caller sync.WaitGroup
 		caller.Go(func() { s.send(big()) })
-		Eventually(s.server.Calls).Should(BeEquivalentTo(1))
+		Eventually(s.server.InFlight).Should(BeEquivalentTo(1))
 		Expect(s.send(big()).code).To(Equal("host_full"))
 		leave()
 		caller.Wait()
-		Eventually(s.server.Calls).Should(BeZero())
+		Eventually(s.server.InFlight).Should(BeZero())
 		close(s.places.hold)
 		ctx = context.Background()
 		Expect(s.send(big()).status).To(Equal(http.StatusOK), "and gives them back")
--- a/server/delivery.go
+++ b/server/delivery.go
@@ -12,7 +12,7 @@
 
 // passed is the headers of a caller that a backend server gets.
 func passed(h http.Header) http.Header {
-	out := router.Onward(h)
+	out := router.EndToEndHeader(h)
 	out.Del("Authorization")
 	out.Del(HeaderClass)
 	out.Del(HeaderDeadline)
@@ -55,7 +55,7 @@
 // head begins the answer with a backend server's head.
 func (d *delivery) head(a *forwarder.Answer, length int64) {
 	h := d.w.Header()
-	for k, v := range router.Onward(a.Header) {
+	for k, v := range router.EndToEndHeader(a.Header) {
 		h[k] = v
 	}
 	for _, name := range []string{forwarder.HeaderResumed, forwarder.HeaderRun} {
--- a/server/drain.go
+++ b/server/drain.go
@@ -10,8 +10,8 @@
 // Draining says whether Drain was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// Cut ends every request in flight.
-func (s *Server) Cut() { _ = s.http.Close() }
+// AbortAll ends every request in flight.
+func (s *Server) AbortAll() { _ = s.http.Close() }
 
 // closing ends a caller's connection after the answer while the server drains.
 func (s *Server) closing(next http.Handler) http.Handler {
--- a/server/harness_test.go
+++ b/server/harness_test.go
@@ -39,7 +39,7 @@
 	workers  []loader.Worker
 	next     int
 	asks     []messenger.Ask
-	released []server.Use
+	released []server.Usage
 	preempt  chan struct{} // of the place handed out last
 	fence    uint64
 
@@ -56,7 +56,7 @@
 	if hold != nil {
 		select {
 		case <-ctx.Done():
-			return server.Place{}, server.ErrGone
+			return server.Place{}, server.ErrCallerGone
 		case <-hold:
 		}
 	}
@@ -66,7 +66,7 @@
 		}
 	}
 	if ctx.Err() != nil {
-		return server.Place{}, server.ErrGone
+		return server.Place{}, server.ErrCallerGone
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +89,7 @@
 
 func (p *places) Progress(server.Place, int) {}
 
-func (p *places) Release(_ server.Place, u server.Use) {
+func (p *places) Release(_ server.Place, u server.Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.released = append(p.released, u)
--- a/server/once.go
+++ b/server/once.go
@@ -24,8 +24,8 @@
 
 const maxKey = 255 // bytes
 
-// Once runs calls that must not be repeated.
-type Once interface {
+// OnceRunner runs calls that must not be repeated.
+type OnceRunner interface {
 	// RunOnce returns what became of a call, at the latest shortly after its
 	// deadline, or an error where ctx ends first. What ctx does changes nothing
 	// about the call.
@@ -34,7 +34,7 @@
 
 // SetOnce sets what runs the calls that must not be repeated. It is called
 // before Serve.
-func (s *Server) SetOnce(o Once) { s.once = o }
+func (s *Server) SetOnce(o OnceRunner) { s.once = o }
 
 // serveOnce hands a call that must not be repeated to its keeper. The whole
 // answer comes back at once, also where the caller asked for a stream: only a
--- a/server/once_test.go
+++ b/server/once_test.go
@@ -57,8 +57,8 @@
 func (p oncePlace) Acquire(_ context.Context, _ string, a messenger.Ask) (server.Place, error) {
 	return server.Place{Request: a.Request, Worker: loader.Worker{Name: "w", Address: p.address}}, nil
 }
-func (oncePlace) Release(server.Place, server.Use) {}
-func (oncePlace) Progress(server.Place, int)       {}
+func (oncePlace) Release(server.Place, server.Usage) {}
+func (oncePlace) Progress(server.Place, int)         {}
 
 // onceServer serves once-calls and returns how to make one.
 func onceServer(k *onceKeeper) func(apiKey, body string, h http.Header) (onceAnswer, string) {
--- a/server/port.go
+++ b/server/port.go
@@ -12,8 +12,8 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-// ErrGone says that the caller went away while its request waited.
-var ErrGone = errors.New("caller went away")
+// ErrCallerGone says that the caller went away while its request waited.
+var ErrCallerGone = errors.New("caller went away")
 
 // Refusal is the final answer to a request that got no place: it was not run.
 type Refusal struct {
@@ -34,15 +34,15 @@
 	Preempted <-chan struct{}
 }
 
-// Use is what a request used of its place.
-type Use struct {
-	Tokens int
-	First  time.Duration // to the first byte; 0 where none came
-	Failed bool          // the worker failed it
+// Usage is what a request used of its place.
+type Usage struct {
+	Tokens    int
+	FirstByte time.Duration // to the first byte; 0 where none came
+	Failed    bool          // the worker failed it
 
-	Fingerprint quarantiner.Fingerprint // of the request; 0 is not known
-	Ended       bool                    // the worker's end of the connection closed under it
-	Took        time.Duration           // since it was sent; 0 where it was not
+	Fingerprint  quarantiner.Fingerprint // of the request; 0 is not known
+	ClosedByPeer bool                    // the worker's end of the connection closed under it
+	Took         time.Duration           // since it was sent; 0 where it was not
 }
 
 // Allocator hands out places on workers.
@@ -53,7 +53,7 @@
 	// Progress tells how many tokens a request has had of its place so far.
 	Progress(p Place, tokens int)
 	// Release gives a place back. Every Place is released once.
-	Release(p Place, u Use)
+	Release(p Place, u Usage)
 }
 
 // Limiter holds organisations to their limits.
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -88,7 +88,7 @@
 		Eventually(func() int { asked, _ := s.places.counts(); return asked }).Should(Equal(1))
 		leave()
 		Eventually(over).Should(Receive())
-		Eventually(s.server.Calls).Should(BeZero())
+		Eventually(s.server.InFlight).Should(BeZero())
 		Expect(s.calls.Counts()).To(BeEmpty())
 	})
 
@@ -103,7 +103,7 @@
 		r := s.request(context.Background(), "/services/desk/log?size=16777216", "")
 		_, err := s.client.Do(r)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(s.server.Calls, 10*time.Second).Should(BeZero())
+		Eventually(s.server.InFlight, 10*time.Second).Should(BeZero())
 		Expect(s.places.released).To(HaveLen(1))
 	})
 })
--- a/server/request.go
+++ b/server/request.go
@@ -96,7 +96,7 @@
 func newID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
-	return forwarder.RequestMark + hex.EncodeToString(b[:])
+	return forwarder.RequestIDPrefix + hex.EncodeToString(b[:])
 }
 
 // chooseClass is the route's class, or the one the header asks for where the
--- a/server/server.go
+++ b/server/server.go
@@ -34,7 +34,7 @@
 	config     Configuration
 	places     Allocator
 	forwarder  *forwarder.Forwarder
-	once       Once
+	once       OnceRunner
 	log        *zap.Logger
 	metrics    *Metrics
 	limiter    Limiter
@@ -95,7 +95,7 @@
 // Shutdown takes no new connection and waits for the requests in flight.
 func (s *Server) Shutdown(ctx context.Context) error {
 	if err := s.http.Shutdown(ctx); err != nil {
-		return fmt.Errorf("shut down with %d calls in flight: %w", s.Calls(), err)
+		return fmt.Errorf("shut down with %d calls in flight: %w", s.InFlight(), err)
 	}
 	return nil
 }
@@ -106,8 +106,8 @@
 // Ready says what the platform's balancer is told.
 func (s *Server) Ready() bool { return s.ready.Load() && !s.Draining() }
 
-// Calls is the number of requests in flight.
-func (s *Server) Calls() int64 { return s.calls.Load() }
+// InFlight is the number of requests in flight.
+func (s *Server) InFlight() int64 { return s.calls.Load() }
 
 // handler is the handler of host routes, or the package's own interface.
 func (s *Server) handler() http.Handler {
@@ -247,7 +247,7 @@
 func (s *Server) finish(w http.ResponseWriter, r *http.Request, q *request, x *index, fail *failure, c forwarder.Call) {
 	d := newDelivery(w, q, s.limits.Stall.Std())
 	if fail == nil {
-		c.Body, c.Request, c.Tier = q.body, q.id, q.tier
+		c.Body, c.RequestID, c.Tier = q.body, q.id, q.tier
 		q.fingerprint = Fingerprint(q.organisation, q.service, c.Method, c.Path, c.Body)
 		fail = s.admitted(r, q, x, d, c)
 	}
--- a/server/stream.go
+++ b/server/stream.go
@@ -40,7 +40,7 @@
 		if resumed && t.repeats(v) {
 			continue
 		}
-		if err := t.pass(v, events.More()); err != nil || v.Done {
+		if err := t.pass(v, events.Buffered()); err != nil || v.Done {
 			return err
 		}
 	}
--- a/server/tries.go
+++ b/server/tries.go
@@ -86,9 +86,9 @@
 		{errNoResume, "noresume"},
 		{forwarder.ErrStale, "stale"},
 		{forwarder.ErrSilent, "silent"},
-		{forwarder.ErrCrossed, "crossed"},
+		{forwarder.ErrMismatched, "crossed"},
 		{forwarder.ErrNotRun, "notrun"},
-		{forwarder.ErrEnded, "ended"},
+		{forwarder.ErrClosedByPeer, "ended"},
 		{context.DeadlineExceeded, "deadline"},
 	} {
 		if errors.Is(err, c.err) {
--- a/server/try.go
+++ b/server/try.go
@@ -38,7 +38,7 @@
 	defer t.cancel(nil)
 	t.watch(t.ctx)
 	t.call = t.run.call
-	t.call.Fence, t.call.First = t.place.Fence, t.patience(ctx)
+	t.call.Fence, t.call.FirstByteTimeout = t.place.Fence, t.patience(ctx)
 	if t.delivery.begun {
 		t.call.Body = resumeAt(t.call.Body, t.delivery.tokens)
 	}
@@ -76,10 +76,10 @@
 
 // use is what the try used of its place. A worker that let the deadline pass
 // without a sign is blamed.
-func (t *try) use(err error) Use {
-	u := Use{
-		Tokens: t.tokens, First: t.first, Failed: blames(err),
-		Fingerprint: t.q.fingerprint, Ended: errors.Is(err, forwarder.ErrEnded), Took: time.Since(t.sent),
+func (t *try) use(err error) Usage {
+	u := Usage{
+		Tokens: t.tokens, FirstByte: t.first, Failed: blames(err),
+		Fingerprint: t.q.fingerprint, ClosedByPeer: errors.Is(err, forwarder.ErrClosedByPeer), Took: time.Since(t.sent),
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		u.Failed = t.first == 0
--- a/server/whole.go
+++ b/server/whole.go
@@ -93,7 +93,7 @@
 	if !t.q.engine || t.answer.Status != http.StatusOK {
 		return nil
 	}
-	tokens, err := t.answer.Whole(body)
+	tokens, err := t.answer.Completion(body)
 	t.tokens, t.delivery.usage = tokens, tokens
 	return err
 }
