--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -71,7 +71,7 @@
 			delete(d.places, name)
 		}
 	}
-	d.breaker.Keep(d.workerNames)
+	d.breaker.Retain(d.workerNames)
 	d.capacity = float64(d.slots)
 }
 
@@ -158,7 +158,7 @@
 	w.class.unservedSince = now
 	w.class.counts.Granted++
 	w.class.charge(w.ask.Organisation, w.tokens)
-	d.breaker.Granted(p.name)
+	d.breaker.RecordGrant(p.name)
 	d.send(w.from, g.message(d))
 }
 
@@ -185,6 +185,6 @@
 		delete(d.places, p.name)
 	}
 	if !g.reportedToBreaker {
-		d.breaker.Ended(now, g.worker, 0, false)
+		d.breaker.RecordEnd(now, g.worker, 0, false)
 	}
 }
--- a/server/request.go
+++ b/server/request.go
@@ -52,7 +52,7 @@
 // Fingerprint is the same for calls that are the same to a backend server; see
 // quarantiner.Fingerprint.
 func Fingerprint(organisation, service, method, path string, body []byte) quarantiner.Fingerprint {
-	return quarantiner.Of(organisation, method, service+" "+path, body)
+	return quarantiner.FingerprintOf(organisation, method, service+" "+path, body)
 }
 
 // ask is the request as its dispatcher sees it, for one place after the other.
@@ -96,7 +96,7 @@
 func newID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
-	return forwarder.RequestMark + hex.EncodeToString(b[:])
+	return forwarder.RequestIDPrefix + hex.EncodeToString(b[:])
 }
 
 // chooseClass is the route's class, or the one the header asks for where the
