--- a/dispatcher/due_test.go
+++ b/dispatcher/due_test.go
@@ -54,50 +54,50 @@
 	held            []messenger.Grant
 }
 
-func (w *dispatcherPair) step() {
-	w.now = w.now.Add(dispatcher.TickInterval)
+func (p *dispatcherPair) step() {
+	p.now = p.now.Add(dispatcher.TickInterval)
 	var out []dispatcher.Output
-	if at, ok := w.whenDue.Next(); ok && !w.now.Before(at) {
-		out = w.whenDue.Tick(w.now)
+	if at, ok := p.whenDue.Next(); ok && !p.now.Before(at) {
+		out = p.whenDue.Tick(p.now)
 	}
-	w.compare(w.always.Tick(w.now), out)
+	p.compare(p.always.Tick(p.now), out)
 }
 
-func (w *dispatcherPair) handle(m messenger.Message) {
-	w.compare(w.always.Handle(w.now, "a", m), w.whenDue.Handle(w.now, "a", m))
+func (p *dispatcherPair) handle(m messenger.Message) {
+	p.compare(p.always.Handle(p.now, "a", m), p.whenDue.Handle(p.now, "a", m))
 }
 
-func (w *dispatcherPair) compare(always, whenDue []dispatcher.Output) {
+func (p *dispatcherPair) compare(always, whenDue []dispatcher.Output) {
 	if a, b := decisions(always), decisions(whenDue); !slices.Equal(a, b) {
-		w.t.Fatalf("at %v: always ticked %v, ticked when due %v", w.now.Sub(ready), a, b)
+		p.t.Fatalf("at %v: always ticked %v, ticked when due %v", p.now.Sub(ready), a, b)
 	}
 	a, b := waits(always), waits(whenDue)
 	for i := range a {
 		if diff := (a[i] - b[i]).Abs(); diff > time.Millisecond {
-			w.t.Fatalf("at %v: expected wait %v if always ticked, %v if ticked when due", w.now.Sub(ready), a[i], b[i])
+			p.t.Fatalf("at %v: expected wait %v if always ticked, %v if ticked when due", p.now.Sub(ready), a[i], b[i])
 		}
 	}
-	w.held = append(w.held, only[messenger.Grant](always)...)
+	p.held = append(p.held, only[messenger.Grant](always)...)
 }
 
-func (w *dispatcherPair) ask() {
-	w.asked++
-	class := rapid.SampledFrom([]string{"check", "summary", "letter"}).Draw(w.t, "class")
-	a := ask(fmt.Sprint("r", w.asked), class)
-	a.Organisation = rapid.SampledFrom([]string{"o", "p"}).Draw(w.t, "organisation")
-	w.handle(a)
+func (p *dispatcherPair) ask() {
+	p.asked++
+	class := rapid.SampledFrom([]string{"check", "summary", "letter"}).Draw(p.t, "class")
+	a := ask(fmt.Sprint("r", p.asked), class)
+	a.Organisation = rapid.SampledFrom([]string{"o", "p"}).Draw(p.t, "organisation")
+	p.handle(a)
 }
 
 // end gives the oldest place back or loses its Done, in which case only the
 // lease ends it.
-func (w *dispatcherPair) end() {
-	if len(w.held) == 0 {
+func (p *dispatcherPair) end() {
+	if len(p.held) == 0 {
 		return
 	}
-	g := w.held[0]
-	w.held = w.held[1:]
-	if rapid.IntRange(0, 9).Draw(w.t, "lost") > 0 {
-		w.handle(done(g))
+	g := p.held[0]
+	p.held = p.held[1:]
+	if rapid.IntRange(0, 9).Draw(p.t, "lost") > 0 {
+		p.handle(done(g))
 	}
 }
 
--- a/dispatcher/estimator.go
+++ b/dispatcher/estimator.go
@@ -23,34 +23,34 @@
 	total  int
 }
 
-func (s *histogram) add(tokens int) {
+func (h *histogram) add(tokens int) {
 	i := int(2 * math.Log2(float64(max(tokens, 1))))
-	s.counts[min(i, histogramBuckets-1)]++
-	s.total++
-	if s.total < histogramMaxSamples {
+	h.counts[min(i, histogramBuckets-1)]++
+	h.total++
+	if h.total < histogramMaxSamples {
 		return
 	}
-	s.total = 0
-	for i := range s.counts {
-		s.counts[i] /= 2
-		s.total += int(s.counts[i])
+	h.total = 0
+	for i := range h.counts {
+		h.counts[i] /= 2
+		h.total += int(h.counts[i])
 	}
 }
 
 // quantile returns the length in tokens below which a fraction q lies of the
-// samples that are longer than longerThan. Without such samples it returns the
-// next bucket's length.
-func (s *histogram) quantile(q float64, longerThan int) float64 {
+// samples that are longer than longerThan. Without such samples it returns a
+// length one bucket above longerThan.
+func (h *histogram) quantile(q float64, longerThan int) float64 {
 	from := 0
 	if longerThan > 0 {
 		from = min(int(2*math.Log2(float64(longerThan))), histogramBuckets-1)
 	}
 	total := 0
-	for _, n := range s.counts[from:] {
+	for _, n := range h.counts[from:] {
 		total += int(n)
 	}
 	rank := q * float64(total)
-	for i, n := range s.counts[from:] {
+	for i, n := range h.counts[from:] {
 		if rank -= float64(n); rank <= 0 {
 			return math.Exp2(float64(from+i)/2 + 0.25)
 		}
@@ -75,17 +75,19 @@
 	paces      map[string]*pace
 }
 
+// histogramOf returns the histogram of a class and organisation, or nil if
+// there are too many.
 func (e *estimator) histogramOf(class, organisation string) *histogram {
 	key := histogramKey{class, organisation}
-	s := e.histograms[key]
-	if s == nil && len(e.histograms) < maxHistograms {
+	h := e.histograms[key]
+	if h == nil && len(e.histograms) < maxHistograms {
 		if e.histograms == nil {
 			e.histograms = map[histogramKey]*histogram{}
 		}
-		s = &histogram{}
-		e.histograms[key] = s
+		h = &histogram{}
+		e.histograms[key] = h
 	}
-	return s
+	return h
 }
 
 // learn records the tokens that a request generated on one place and the time
@@ -93,8 +95,8 @@
 // its earlier attempts.
 func (e *estimator) learn(a messenger.Ask, tokens int, held time.Duration) {
 	for _, organisation := range []string{"", a.Organisation} {
-		if s := e.histogramOf(a.Class, organisation); s != nil {
-			s.add(a.Made + tokens)
+		if h := e.histogramOf(a.Class, organisation); h != nil {
+			h.add(a.Made + tokens)
 		}
 	}
 	if e.paces == nil {
@@ -137,11 +139,11 @@
 		tokens = float64(max(a.Output-made, 1))
 		return tokens, tokens * p.perToken
 	}
-	s := e.histograms[histogramKey{a.Class, a.Organisation}]
-	if s == nil || s.total < minSamples {
-		s = e.histograms[histogramKey{a.Class, ""}]
+	h := e.histograms[histogramKey{a.Class, a.Organisation}]
+	if h == nil || h.total < minSamples {
+		h = e.histograms[histogramKey{a.Class, ""}]
 	}
-	tokens = s.quantile(q, made)
+	tokens = h.quantile(q, made)
 	if a.Output > 0 {
 		tokens = min(tokens, float64(a.Output+a.Made))
 	}
--- a/dispatcher/fault_test.go
+++ b/dispatcher/fault_test.go
@@ -81,7 +81,7 @@
 	)
 
 	// The Grant is lost on its way and the entry asks again with a newer
-	// attempt. A second place for the request would stay in use for ever.
+	// attempt. A second place for the request would stay in use indefinitely.
 	It("repeats a lost grant on the same place",
 		Label(prover.Cell(prover.Granted, prover.CutOne)), func() {
 			d := started(2, 1)
--- a/dispatcher/overload.go
+++ b/dispatcher/overload.go
@@ -91,7 +91,7 @@
 		w := d.byTargetStart.first()
 		d.byTargetStart.remove(w.targetIndex)
 		// Only in the top tier: there, late requests at the head would keep a
-		// starving class from its place for ever. In lower tiers, requests that
+		// starving class from its place indefinitely. In lower tiers, requests that
 		// keep their turn give the same goodput and half the worst-case wait.
 		if !d.options.Policy.NoPostpone && w.class.config.Tier == d.topTier {
 			w.class.postpone(w)
--- a/dispatcher/progress_test.go
+++ b/dispatcher/progress_test.go
@@ -26,27 +26,27 @@
 	maxGap       map[string]time.Duration // longest time without a start, by class
 }
 
-func (w *burst) run(length time.Duration) {
-	next := w.now
-	for end := w.now.Add(length); w.now.Before(end); {
-		for ; !next.After(w.now); next = next.Add(w.every) {
-			w.ask("check")
+func (b *burst) run(length time.Duration) {
+	next := b.now
+	for end := b.now.Add(length); b.now.Before(end); {
+		for ; !next.After(b.now); next = next.Add(b.every) {
+			b.ask("check")
 		}
 		for _, name := range classNames[1:] {
-			if w.waiting(name) == 0 {
-				w.ask(name)
+			if b.waiting(name) == 0 {
+				b.ask(name)
 			}
 		}
-		w.pass(step)
-		w.follow()
-		w.finish()
+		b.pass(step)
+		b.follow()
+		b.finish()
 	}
 }
 
 // waiting returns the number of the class's requests without an answer.
-func (w *burst) waiting(class string) int {
+func (b *burst) waiting(class string) int {
 	n := 0
-	for _, a := range w.open {
+	for _, a := range b.open {
 		if a.Class == class {
 			n++
 		}
@@ -55,34 +55,34 @@
 }
 
 // finish ends the calls whose time is over.
-func (w *burst) finish() {
-	for _, id := range sorted(w.granted) {
-		if !w.now.Before(w.ends[id]) {
-			g := w.granted[id]
-			delete(w.granted, id)
-			w.handle(messenger.Done{Request: id, Attempt: g.Attempt, Worker: g.Worker, Tokens: w.tokens, First: step})
+func (b *burst) finish() {
+	for _, id := range sorted(b.granted) {
+		if !b.now.Before(b.ends[id]) {
+			g := b.granted[id]
+			delete(b.granted, id)
+			b.handle(messenger.Done{Request: id, Attempt: g.Attempt, Worker: g.Worker, Tokens: b.tokens, First: step})
 		}
 	}
 }
 
 // follow records which calls have started and how long each class waited for a
 // start.
-func (w *burst) follow() {
-	for _, id := range sorted(w.granted) {
-		if _, known := w.ends[id]; known {
+func (b *burst) follow() {
+	for _, id := range sorted(b.granted) {
+		if _, known := b.ends[id]; known {
 			continue
 		}
-		class := w.granted[id].Class
-		took := w.lower
+		class := b.granted[id].Class
+		took := b.lower
 		if class == "check" {
-			took = w.check
+			took = b.check
 		}
-		w.ends[id] = w.now.Add(took)
-		w.maxGap[class] = max(w.maxGap[class], w.now.Sub(w.began[class]))
-		w.began[class] = w.now
+		b.ends[id] = b.now.Add(took)
+		b.maxGap[class] = max(b.maxGap[class], b.now.Sub(b.began[class]))
+		b.began[class] = b.now
 	}
 	for _, class := range classNames[1:] {
-		w.maxGap[class] = max(w.maxGap[class], w.now.Sub(w.began[class]))
+		b.maxGap[class] = max(b.maxGap[class], b.now.Sub(b.began[class]))
 	}
 }
 
--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -36,89 +36,89 @@
 	}
 }
 
-func (f *simulation) handle(m messenger.Message) {
-	f.sent = append(f.sent, m)
-	f.checkOutputs(f.d.Handle(f.now, "a", m))
+func (s *simulation) handle(m messenger.Message) {
+	s.sent = append(s.sent, m)
+	s.checkOutputs(s.d.Handle(s.now, "a", m))
 }
 
 // checkOutputs checks each answer as it arrives: none may be for a request
 // without an open ask.
-func (f *simulation) checkOutputs(out []dispatcher.Output) {
+func (s *simulation) checkOutputs(out []dispatcher.Output) {
 	for _, o := range out {
 		switch m := o.Message.(type) {
 		case messenger.Grant:
-			if g, ok := f.granted[m.Request]; ok && g.Order == m.Order {
+			if g, ok := s.granted[m.Request]; ok && g.Order == m.Order {
 				continue // repeated
 			}
-			f.answer(m.Request)
-			f.granted[m.Request] = m
-			f.checkSlots(m.Worker)
+			s.answer(m.Request)
+			s.granted[m.Request] = m
+			s.checkSlots(m.Worker)
 		case messenger.Refuse:
-			f.answer(m.Request)
+			s.answer(m.Request)
 			if m.After <= 0 {
-				f.t.Fatalf("refused without a retry time")
+				s.t.Fatalf("refused without a retry time")
 			}
 		}
 	}
 }
 
-func (f *simulation) answer(request string) {
-	if _, ok := f.open[request]; !ok {
-		f.t.Fatalf("answer to %s, which has no ask open", request)
+func (s *simulation) answer(request string) {
+	if _, ok := s.open[request]; !ok {
+		s.t.Fatalf("answer to %s, which has no ask open", request)
 	}
-	delete(f.open, request)
-	f.answers[request]++
+	delete(s.open, request)
+	s.answers[request]++
 }
 
-func (f *simulation) checkSlots(worker string) {
+func (s *simulation) checkSlots(worker string) {
 	used := 0
-	for _, g := range f.granted {
+	for _, g := range s.granted {
 		if g.Worker == worker {
 			used++
 		}
 	}
-	if used > f.slots {
-		f.t.Fatalf("%d grants on %s, which has %d slots", used, worker, f.slots)
+	if used > s.slots {
+		s.t.Fatalf("%d grants on %s, which has %d slots", used, worker, s.slots)
 	}
 }
 
-func (f *simulation) ask(class string) {
-	f.attempt++
-	a := ask(fmt.Sprintf("r%d", f.attempt), class)
-	a.Attempt, a.Organisation = f.attempt, fmt.Sprintf("o%d", f.attempt%3)
-	f.open[a.Request] = a
-	f.deadlines[a.Request] = f.now.Add(a.Deadline)
-	f.handle(a)
+func (s *simulation) ask(class string) {
+	s.attempt++
+	a := ask(fmt.Sprintf("r%d", s.attempt), class)
+	a.Attempt, a.Organisation = s.attempt, fmt.Sprintf("o%d", s.attempt%3)
+	s.open[a.Request] = a
+	s.deadlines[a.Request] = s.now.Add(a.Deadline)
+	s.handle(a)
 }
 
-func (f *simulation) done() {
-	for _, id := range sorted(f.granted) {
-		g := f.granted[id]
-		delete(f.granted, id)
-		f.handle(done(g))
+func (s *simulation) done() {
+	for _, id := range sorted(s.granted) {
+		g := s.granted[id]
+		delete(s.granted, id)
+		s.handle(done(g))
 		return
 	}
 }
 
-func (f *simulation) cancel() {
-	for _, id := range sorted(f.open) {
-		a := f.open[id]
-		delete(f.open, id)
-		f.answers[id]++
-		f.handle(messenger.Cancel{Request: id, Attempt: a.Attempt})
+func (s *simulation) cancel() {
+	for _, id := range sorted(s.open) {
+		a := s.open[id]
+		delete(s.open, id)
+		s.answers[id]++
+		s.handle(messenger.Cancel{Request: id, Attempt: a.Attempt})
 		return
 	}
 }
 
-func (f *simulation) pass(d time.Duration) {
-	f.now = f.now.Add(d)
-	for _, id := range sorted(f.granted) {
-		if g := f.granted[id]; f.now.After(f.deadlines[id]) {
-			delete(f.granted, id)
-			f.handle(done(g))
+func (s *simulation) pass(d time.Duration) {
+	s.now = s.now.Add(d)
+	for _, id := range sorted(s.granted) {
+		if g := s.granted[id]; s.now.After(s.deadlines[id]) {
+			delete(s.granted, id)
+			s.handle(done(g))
 		}
 	}
-	f.checkOutputs(f.d.Tick(f.now))
+	s.checkOutputs(s.d.Tick(s.now))
 }
 
 func sorted[V any](m map[string]V) []string {
--- a/dispatcher/rebuild.go
+++ b/dispatcher/rebuild.go
@@ -104,7 +104,7 @@
 
 // reclaim takes back the grants of failed hosts and those that their entries
 // have not renewed or must have cut off by now. A lost Done shows in no other
-// way; its place would otherwise stay in use for ever.
+// way; its place would otherwise stay in use indefinitely.
 func (d *Dispatcher) reclaim(now time.Time) {
 	for _, g := range d.grants {
 		orphaned := !g.orphanedAt.IsZero() && now.Sub(g.orphanedAt) >= orphanGrace
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -54,74 +54,74 @@
 }
 
 // loseOwner loses the owner; the next one starts without loans.
-func (w *simulation) loseOwner() {
-	w.lender, w.rosterChanged = &limiter.Lender{}, w.now
+func (s *simulation) loseOwner() {
+	s.lender, s.rosterChanged = &limiter.Lender{}, s.now
 }
 
 // tick advances time by a step, with arrivals at each host.
-func (w *simulation) tick(arrivals []int) {
-	w.now = w.now.Add(step)
-	later := w.inTransit[:0]
+func (s *simulation) tick(arrivals []int) {
+	s.now = s.now.Add(step)
+	later := s.inTransit[:0]
 	due := []delayedMessage{}
-	for _, f := range w.inTransit {
-		if f.at.After(w.now) {
+	for _, f := range s.inTransit {
+		if f.at.After(s.now) {
 			later = append(later, f)
 			continue
 		}
 		due = append(due, f)
 	}
-	w.inTransit = later
+	s.inTransit = later
 	for _, f := range due {
 		f.run()
 	}
-	for i, g := range w.gates {
+	for i, g := range s.gates {
 		for range arrivals[i] {
-			if _, ok := g.Admit(w.now, 1, 0); ok {
-				w.admitted[i]++
+			if _, ok := g.Admit(s.now, 1, 0); ok {
+				s.admitted[i]++
 			} else {
-				w.refused[i]++
+				s.refused[i]++
 			}
 		}
-		w.requestLoan(i, g)
+		s.requestLoan(i, g)
 	}
 }
 
 // requestLoan sends a host's loan request to the owner, and the answer back.
-func (w *simulation) requestLoan(i int, g *limiter.Gate) {
-	demand, sequence, due := g.LoanRequest(w.now)
-	if !due || !w.ownerUp || w.partitioned[i] {
+func (s *simulation) requestLoan(i int, g *limiter.Gate) {
+	demand, sequence, due := g.LoanRequest(s.now)
+	if !due || !s.ownerUp || s.partitioned[i] {
 		return
 	}
-	w.inTransit = append(w.inTransit, delayedMessage{at: w.now.Add(w.delay), run: func() {
-		loan, ok := w.lender.Lend(w.now, w.rosterChanged, org, fmt.Sprint(i), len(w.gates), w.limits, demand)
-		if !ok || w.partitioned[i] {
+	s.inTransit = append(s.inTransit, delayedMessage{at: s.now.Add(s.delay), run: func() {
+		loan, ok := s.lender.Lend(s.now, s.rosterChanged, org, fmt.Sprint(i), len(s.gates), s.limits, demand)
+		if !ok || s.partitioned[i] {
 			return
 		}
-		w.inTransit = append(w.inTransit, delayedMessage{at: w.now.Add(w.delay), run: func() { g.SetLoan(w.now, sequence, loan) }})
+		s.inTransit = append(s.inTransit, delayedMessage{at: s.now.Add(s.delay), run: func() { g.SetLoan(s.now, sequence, loan) }})
 	}})
 }
 
 // rate returns the sum of the rates that the hosts admit now.
-func (w *simulation) rate() float64 {
+func (s *simulation) rate() float64 {
 	sum := 0.0
-	for _, g := range w.gates {
-		sum += g.Rates(w.now).Requests
+	for _, g := range s.gates {
+		sum += g.Rates(s.now).Requests
 	}
 	return sum
 }
 
-func (w *simulation) total() int {
+func (s *simulation) total() int {
 	n := 0
-	for _, a := range w.admitted {
+	for _, a := range s.admitted {
 		n += a
 	}
 	return n
 }
 
 // run advances time with the same arrivals at each step.
-func (w *simulation) run(d time.Duration, arrivals ...int) {
+func (s *simulation) run(d time.Duration, arrivals ...int) {
 	for range d / step {
-		w.tick(arrivals)
+		s.tick(arrivals)
 	}
 }
 
--- a/messenger/message_once.go
+++ b/messenger/message_once.go
@@ -10,7 +10,7 @@
 	Partition int                 `msgpack:"part"`
 	ID        []byte              `msgpack:"id"`    // of the operation: 16 bytes
 	Hash      []byte              `msgpack:"hash"`  // of method, path and body: 16 bytes
-	Dated     int64               `msgpack:"dated"` // Unix milliseconds in the key; 0 if it has none
+	KeyTime   int64               `msgpack:"dated"` // Unix milliseconds in the key; 0 if it has none
 	Service   string              `msgpack:"service"`
 	Ask       Ask                 `msgpack:"ask"` // its Deadline is the time left
 	Tier      int                 `msgpack:"tier"`
--- a/messenger/message_quarantine.go
+++ b/messenger/message_quarantine.go
@@ -13,18 +13,18 @@
 	Entries  []QuarantineEntry `msgpack:"held"`
 }
 
-// QuarantineEntry is one quarantined request; see quarantiner.Held.
+// QuarantineEntry is one quarantined request; see quarantiner.Entry.
 type QuarantineEntry struct {
 	_msgpack    struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Fingerprint uint64        `msgpack:"fingerprint"`
-	For         time.Duration `msgpack:"for"`     // from now on
-	Span        time.Duration `msgpack:"span"`    // in all
+	Remaining   time.Duration `msgpack:"for"`
+	Duration    time.Duration `msgpack:"span"`    // in all
 	Workers     []string      `msgpack:"workers"` // the first ones that it ended
 }
 
 // Events of a WorkerReport.
 const (
-	WorkerEnded    = iota // a worker ended while it ran the request
+	WorkerCrashed  = iota // a worker ended while it ran the request
 	WorkerAnswered        // a worker answered a request that had ended others
 	WorkerAlive           // a worker that seemed to have ended is still alive
 )
--- a/messenger/message_share.go
+++ b/messenger/message_share.go
@@ -16,7 +16,7 @@
 	// order.
 	Took []time.Duration `msgpack:"took"`
 	// Refused is the requests that got no worker, summed by service and tier.
-	Refused []Offer `msgpack:"refused"`
+	Refused []OfferedLoad `msgpack:"refused"`
 	// Running is the requests that were sent before the receiver started or
 	// began to receive updates.
 	Running []Flight `msgpack:"running"`
@@ -32,15 +32,15 @@
 	Rate     float64  `msgpack:"rate"` // requests per second; 0 is unlimited
 }
 
-// Offer sums requests of one service and of one tier of its routes; see
-// placer.Offer.
-type Offer struct {
+// OfferedLoad sums requests of one service and of one tier of its routes; see
+// placer.OfferedLoad.
+type OfferedLoad struct {
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Service  string        `msgpack:"service"`
 	Tier     int           `msgpack:"tier"`
 	Count    int           `msgpack:"count"`
 	Output   int           `msgpack:"output"` // tokens that all of them expect
-	Read     time.Duration `msgpack:"read"`   // that an engine would need to read all their prompts
+	Prefill  time.Duration `msgpack:"read"`   // that an engine would need to read all their prompts
 }
 
 // Flight is one request on its way to, or at, a worker; see placer.Flight.
@@ -48,7 +48,7 @@
 	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
 	ID       uint64        `msgpack:"id"`
 	Worker   string        `msgpack:"worker"`
-	Read     int           `msgpack:"read"`   // tokens that the worker has to read
+	Prefill  int           `msgpack:"read"`   // tokens that the worker has to read
 	Hold     int           `msgpack:"hold"`   // tokens that it occupies there
 	Left     time.Duration `msgpack:"left"`   // its answer has ended by then
 	Gap      time.Duration `msgpack:"gap"`    // target for the longest pause in its stream
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -200,12 +200,12 @@
 	answer := messenger.PlacementReply{ID: s.ID}
 	choice, refusal := p.view.PlaceFor(now, e.from, rand.Uint64(), askOf(s))
 	if refusal != nil {
-		answer.Why, answer.After, answer.Basis = refusal.Reason, refusal.RetryAfter, basisTo(choice.Basis)
+		answer.Reason, answer.RetryAfter, answer.Basis = refusal.Reason, refusal.RetryAfter, basisTo(choice.Basis)
 		p.tellWithin(now, p.within(restWithin, restToDeciders))
 	} else {
 		answer.Flight, answer.Worker, answer.Wait = choice.Flight.ID, choice.Worker.Name, choice.Wait
-		answer.Pause, answer.Read, answer.Source, answer.Filling = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
-		answer.Limit = p.view.RateLimit(choice.Worker.Name)
+		answer.Delay, answer.Prefill, answer.Source, answer.HalfFull = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
+		answer.RateLimit = p.view.RateLimit(choice.Worker.Name)
 		p.tellSent(now, e.from, choice.Flight)
 	}
 	if err := p.sender.Send(s.Reply, answer); err != nil {
@@ -225,11 +225,11 @@
 	w, there := p.view.Worker(s.Worker)
 	switch {
 	case s.Flight == 0 && waiting:
-		x.asked.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Why, RetryAfter: s.After}, basisOf(s.Basis))
+		x.asked.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Reason, RetryAfter: s.RetryAfter}, basisOf(s.Basis))
 	case s.Flight == 0:
 	case waiting && there:
 		x.asked.reply <- workerReply{place: router.Placement{
-			ID: s.Flight, Service: x.asked.ask.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Pause, Source: s.Source, PromptTokens: s.Read, HalfFull: s.Filling, ListAge: now.Sub(p.listed), PlacedBy: e.from, RateLimit: s.Limit,
+			ID: s.Flight, Service: x.asked.ask.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Delay, Source: s.Source, PromptTokens: s.Prefill, HalfFull: s.HalfFull, ListAge: now.Sub(p.listed), PlacedBy: e.from, RateLimit: s.RateLimit,
 		}}
 	default:
 		p.tellEnded(now, sendEnded{id: s.Flight, outcome: placer.Canceled})
@@ -261,7 +261,7 @@
 func seekOf(id uint64, self registrar.Record, a placer.Request) messenger.PlacementRequest {
 	s := messenger.PlacementRequest{
 		ID: id, Reply: self.Control, Zone: self.Zone, Service: a.Service, Prompt: a.Prompt, Output: a.Output, Rank: a.Rank,
-		Left: a.Left, Patience: a.FirstEventTimeout, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
+		Left: a.Left, FirstEventTimeout: a.FirstEventTimeout, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
 		Fingerprint: uint64(a.Fingerprint),
 	}
 	s.Keys, s.Tokens = keysOf(a.Parts)
@@ -271,7 +271,7 @@
 func askOf(s messenger.PlacementRequest) placer.Request {
 	return placer.Request{
 		Service: s.Service, Zone: s.Zone, Parts: partsOf(s.Keys, s.Tokens), Prompt: s.Prompt, Output: s.Output, Rank: s.Rank,
-		Left: s.Left, FirstEventTimeout: s.Patience, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
+		Left: s.Left, FirstEventTimeout: s.FirstEventTimeout, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -63,7 +63,7 @@
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 		got = c.Ask(now, quote)
 		to, s = seek()
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Why: "overload", After: time.Second})
+		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Reason: "overload", RetryAfter: time.Second})
 		Eventually(got).Should(Receive(Equal("refused overload")))
 	})
 
@@ -106,7 +106,7 @@
 		}
 		least := c.Patience()
 		for name, id := range late {
-			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Why: "slots", After: time.Second})
+			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
 		}
 		Expect(c.Patience()).To(And(BeNumerically(">", least), BeNumerically("<=", 200*time.Millisecond)))
 		before := len(out)
@@ -181,7 +181,7 @@
 		}
 		// What another host sends, the decider tells it of.
 		decider.Hear(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
-		Expect(out[len(out)-1].m.(messenger.PlacementReply).Filling).To(BeTrue())
+		Expect(out[len(out)-1].m.(messenger.PlacementReply).HalfFull).To(BeTrue())
 	})
 
 	// What a caller said is lost between the host that it reached and the one that decides:
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -144,7 +144,7 @@
 	deadline := now.Add(m.Ask.Deadline)
 	p.payloads[m.Request] = payload{message: m, until: deadline}
 	k.handle(now, p, keeper.CallReceived{Call: keeper.Call{
-		ID: keeper.ID(m.ID), Hash: [16]byte(m.Hash), Dated: m.Dated, Request: m.Request, From: from, Deadline: deadline,
+		ID: keeper.ID(m.ID), Hash: [16]byte(m.Hash), Dated: m.KeyTime, Request: m.Request, From: from, Deadline: deadline,
 	}})
 }
 
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -38,7 +38,7 @@
 	answered := u.FirstByte > 0 && !u.Failed
 	switch {
 	case u.ClosedByPeer:
-		m.Event = messenger.WorkerEnded
+		m.Event = messenger.WorkerCrashed
 	case answered && q.book.Suspected(u.Fingerprint):
 		m.Event, m.Took = messenger.WorkerAnswered, u.Took-u.FirstByte
 	case answered && q.book.Alive(now, worker, now.Add(u.FirstByte-u.Took)):
@@ -62,7 +62,7 @@
 	}
 	f := quarantiner.Fingerprint(m.Fingerprint)
 	switch m.Event {
-	case messenger.WorkerEnded:
+	case messenger.WorkerCrashed:
 		q.book.WorkerCrashed(now, f, m.Worker, now.Add(-m.Took))
 	case messenger.WorkerAnswered:
 		q.book.Answered(f)
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -196,7 +196,7 @@
 func (q *quarantining) tell(hosts []registrar.Record, held []quarantiner.Entry) {
 	var m messenger.Quarantine
 	for _, h := range held {
-		m.Entries = append(m.Entries, messenger.QuarantineEntry{Fingerprint: uint64(h.Fingerprint), For: h.Remaining, Span: h.Duration, Workers: h.Workers})
+		m.Entries = append(m.Entries, messenger.QuarantineEntry{Fingerprint: uint64(h.Fingerprint), Remaining: h.Remaining, Duration: h.Duration, Workers: h.Workers})
 	}
 	var addresses []string
 	for _, h := range hosts {
@@ -212,7 +212,7 @@
 func heldOf(m messenger.Quarantine) []quarantiner.Entry {
 	var out []quarantiner.Entry
 	for _, h := range m.Entries {
-		out = append(out, quarantiner.Entry{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), Remaining: h.For, Duration: h.Span, Workers: h.Workers})
+		out = append(out, quarantiner.Entry{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), Remaining: h.Remaining, Duration: h.Duration, Workers: h.Workers})
 	}
 	return out
 }
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -56,30 +56,30 @@
 }
 
 func sendingOf(f placer.Flight) messenger.Flight {
-	s := messenger.Flight{ID: f.ID, Worker: f.Worker, Read: f.Prefill, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
+	s := messenger.Flight{ID: f.ID, Worker: f.Worker, Prefill: f.Prefill, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
 	s.Keys, s.Tokens = keysOf(f.Parts)
 	return s
 }
 
 func flightOf(s messenger.Flight) placer.Flight {
 	return placer.Flight{
-		ID: s.ID, Worker: s.Worker, Parts: partsOf(s.Keys, s.Tokens), Prefill: s.Read, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
+		ID: s.ID, Worker: s.Worker, Parts: partsOf(s.Keys, s.Tokens), Prefill: s.Prefill, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
 
-func offersOf(list []placer.OfferedLoad) []messenger.Offer {
-	var out []messenger.Offer
+func offersOf(list []placer.OfferedLoad) []messenger.OfferedLoad {
+	var out []messenger.OfferedLoad
 	for _, x := range list {
-		out = append(out, messenger.Offer{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Read: x.Prefill})
+		out = append(out, messenger.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Prefill})
 	}
 	return out
 }
 
-func takenOf(list []messenger.Offer) []placer.OfferedLoad {
+func takenOf(list []messenger.OfferedLoad) []placer.OfferedLoad {
 	var out []placer.OfferedLoad
 	for _, x := range list {
-		out = append(out, placer.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Read})
+		out = append(out, placer.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Prefill})
 	}
 	return out
 }
