--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -1,8 +1,8 @@
-// Package retrier bounds retries: a budget for each organisation and each
-// service, by tier, filled by first tries, so that retries can never multiply the load of
-// an outage. It also spreads the times at which refused callers come back.
+// Package retrier limits retries. Each organisation and each service has a retry budget per
+// tier, which first tries refill, so that retries can't multiply the load in an outage. The
+// package also spreads the times after which refused callers retry.
 //
-// Everything is pure: time and randomness come in as arguments.
+// It reads no clock and no random source: the caller passes in both values.
 package retrier
 
 import (
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Defaults of a Budget.
+// Defaults of a Policy.
 const (
-	DefaultRatio = 0.2 // retries for each first try
-	DefaultFloor = 0.2 // retries a second without any first try
-	DefaultBurst = 30  // retries at once
-	keysMost     = 16384
+	DefaultRatio = 0.2   // retries earned by each first try
+	DefaultFloor = 0.2   // retries earned per second without first tries
+	DefaultBurst = 30    // retries that a full budget allows
+	maxBudgets   = 16384 // budgets kept in memory
 )
 
-// Policy is how much a Budget allows. Zero fields take the defaults.
+// Policy sets the limits of a Budget. Zero fields take the defaults.
 type Policy struct {
-	Ratio float64
-	Floor float64
-	Burst float64
+	Ratio float64 // retries earned by each first try
+	Floor float64 // retries earned per second without first tries
+	Burst float64 // retries that a full budget allows
 }
 
 func (p Policy) withDefaults() Policy {
@@ -40,60 +40,61 @@
 
 // Budget is a token bucket of retries. The zero value is full.
 type Budget struct {
-	spent float64 // tokens missing from a full bucket
-	at    time.Time
+	spent      float64 // tokens missing from a full bucket
+	refilledAt time.Time
 }
 
-// first adds what a first try earns.
-func (b *Budget) first(now time.Time, p Policy) {
+// recordFirst adds what a first try earns.
+func (b *Budget) recordFirst(now time.Time, p Policy) {
 	b.refill(now, p)
 	b.spent = max(0, b.spent-p.Ratio)
 }
 
 func (b *Budget) refill(now time.Time, p Policy) {
-	if !b.at.IsZero() && now.After(b.at) {
-		b.spent = max(0, b.spent-p.Floor*now.Sub(b.at).Seconds())
+	if !b.refilledAt.IsZero() && now.After(b.refilledAt) {
+		b.spent = max(0, b.spent-p.Floor*now.Sub(b.refilledAt).Seconds())
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
-func (b *Budget) has(now time.Time, p Policy) bool {
+func (b *Budget) hasRetry(now time.Time, p Policy) bool {
 	b.refill(now, p)
 	return b.spent+1 <= p.Burst
 }
 
-// Budgets is the budgets of all organisations and services at one host. The
-// zero value uses the default Policy. It is safe for concurrent use.
+// Budgets holds one host's budgets of all organisations and services. The zero value uses
+// the default Policy. It is safe for concurrent use.
 type Budgets struct {
 	Policy Policy
 
-	mu   sync.Mutex
-	keys map[key]*Budget
+	mu      sync.Mutex
+	budgets map[key]*Budget
 }
 
-// key is one organisation or one service, in one tier: the retries of chat must
-// not use up those of a hold.
+// key is one organisation or one service, in one tier. Tiers have separate budgets, so that
+// the retries of chat requests can't use up those of booking calls.
 type key struct {
 	organisation, service string
 	tier                  int
 }
 
-// RecordFirst counts the first try of a request.
+// RecordFirst records the first try of a request.
 func (b *Budgets) RecordFirst(now time.Time, organisation, service string, tier int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.Policy.withDefaults()
-	b.get(now, key{organisation: organisation, tier: tier}).first(now, p)
-	b.get(now, key{service: service, tier: tier}).first(now, p)
+	b.get(now, key{organisation: organisation, tier: tier}).recordFirst(now, p)
+	b.get(now, key{service: service, tier: tier}).recordFirst(now, p)
 }
 
-// Take takes one retry out of both budgets, or out of neither.
+// Take takes one retry from the budgets of both the organisation and the service, or from
+// neither, and reports whether it did.
 func (b *Budgets) Take(now time.Time, organisation, service string, tier int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.Policy.withDefaults()
 	o, s := b.get(now, key{organisation: organisation, tier: tier}), b.get(now, key{service: service, tier: tier})
-	if !o.has(now, p) || !s.has(now, p) {
+	if !o.hasRetry(now, p) || !s.hasRetry(now, p) {
 		return false
 	}
 	o.spent++
@@ -101,49 +102,50 @@
 	return true
 }
 
-// get is the budget of a key. Names come from the settings, so that the bound
-// on their number is met only after years of renaming; full budgets, which
-// carry no information, go then.
+// get returns the budget of a key. Names come from the settings, so that maxBudgets is only
+// reached after years of renaming. Full budgets, which carry no information, are then
+// dropped.
 func (b *Budgets) get(now time.Time, k key) *Budget {
-	if b.keys == nil {
-		b.keys = map[key]*Budget{}
+	if b.budgets == nil {
+		b.budgets = map[key]*Budget{}
 	}
-	if x := b.keys[k]; x != nil {
+	if x := b.budgets[k]; x != nil {
 		return x
 	}
-	if len(b.keys) >= keysMost {
-		b.forget(now)
+	if len(b.budgets) >= maxBudgets {
+		b.dropFull(now)
 	}
 	x := &Budget{}
-	b.keys[k] = x
+	b.budgets[k] = x
 	return x
 }
 
-// forget drops the budgets that are full, or all where none is.
-func (b *Budgets) forget(now time.Time) {
+// dropFull drops the full budgets, or all if that doesn't make room.
+func (b *Budgets) dropFull(now time.Time) {
 	p := b.Policy.withDefaults()
-	for k, x := range b.keys {
+	for k, x := range b.budgets {
 		if x.refill(now, p); x.spent == 0 {
-			delete(b.keys, k)
+			delete(b.budgets, k)
 		}
 	}
-	if len(b.keys) >= keysMost {
-		clear(b.keys)
+	if len(b.budgets) >= maxBudgets {
+		clear(b.budgets)
 	}
 }
 
-// Len is the number of budgets kept.
+// Len returns the number of budgets in memory.
 func (b *Budgets) Len() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.keys)
+	return len(b.budgets)
 }
 
-const leastSpread = time.Second
+// minSpread is the minimum interval over which Jitter spreads callers.
+const minSpread = time.Second
 
-// Jitter spreads the time after which refused callers come back over the half
-// of it that follows, a second at least. It is never before the true time: a
-// caller that came earlier would be refused again. Random is from 0 to 1.
+// Jitter returns the time after which a refused caller should retry: after, plus a random
+// part of half of it or of one second, whichever is longer. It is never shorter than after,
+// as a caller that retried earlier would be refused again. Random is from 0 to 1.
 func Jitter(after time.Duration, random float64) time.Duration {
-	return after + time.Duration(random*float64(max(after/2, leastSpread)))
+	return after + time.Duration(random*float64(max(after/2, minSpread)))
 }
--- a/retrier/retrier_test.go
+++ b/retrier/retrier_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestRetrier(t *testing.T) {
-	// The same schedules each time: a verdict must not depend on the run.
+	// A fixed seed makes every run test the same schedules.
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		t.Fatal(err)
 	}
@@ -24,10 +24,10 @@
 
 var start = time.Unix(1000, 0)
 
-// An engine group dies under load. Were every failed call sent again, and each
-// of those, the engines that are left would get a multiple of the load and die.
+// A group of engines fails under load. If every failed call were retried, and each retry
+// again, the remaining engines would get a multiple of the load and fail, too.
 var _ = Describe("Budgets", func() {
-	It("bound retries by first tries, whatever comes in which order", func() {
+	It("bound retries by first tries, in any order of events", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			p := retrier.Policy{Ratio: 0.2, Floor: 0.5, Burst: float64(rapid.IntRange(1, 40).Draw(t, "burst"))}
 			b := retrier.Budgets{Policy: p}
@@ -46,15 +46,15 @@
 				}
 			}
 			for name, n := range retries {
-				most := p.Burst + p.Ratio*firsts[name] + p.Floor*now.Sub(start).Seconds()
-				if n > most+1e-6 {
-					t.Fatalf("%s: %.0f retries, bound %.1f", name, n, most)
+				bound := p.Burst + p.Ratio*firsts[name] + p.Floor*now.Sub(start).Seconds()
+				if n > bound+1e-6 {
+					t.Fatalf("%s: %.0f retries, bound %.1f", name, n, bound)
 				}
 			}
 		})
 	})
 
-	It("take from neither where one is empty", func() {
+	It("take from neither if one is empty", func() {
 		b := retrier.Budgets{Policy: retrier.Policy{Burst: 2, Ratio: 1, Floor: 1e-9}}
 		Expect(b.Take(start, "greedy", "lm", 1)).To(BeTrue())
 		Expect(b.Take(start, "greedy", "lm", 1)).To(BeTrue())
@@ -64,14 +64,14 @@
 		Expect(b.Take(start, "modest", "lm", 1)).To(BeTrue(), "and took none of the service's")
 	})
 
-	It("keep a tier's apart from another's", func() {
+	It("are separate for each tier", func() {
 		b := retrier.Budgets{Policy: retrier.Policy{Burst: 1, Floor: 1e-9}}
 		Expect(b.Take(start, "dock", "lm", 2)).To(BeTrue())
 		Expect(b.Take(start, "dock", "lm", 2)).To(BeFalse())
-		Expect(b.Take(start, "dock", "lm", 0)).To(BeTrue(), "a hold has its own")
+		Expect(b.Take(start, "dock", "lm", 0)).To(BeTrue(), "tier 0 has its own")
 	})
 
-	It("stay bounded whatever the names", func() {
+	It("stay bounded in number for any names", func() {
 		var b retrier.Budgets
 		for i := range 20000 {
 			b.RecordFirst(start, fmt.Sprint("o", i), "s", 1)
@@ -81,15 +81,15 @@
 	})
 })
 
-// An outage ends. Callers that were all told to come back after a second would
-// all come in the same one.
+// Callers that were refused in an outage and all got the same retry time would all retry in
+// the same second.
 var _ = Describe("Jitter", func() {
-	DescribeTable("is never early, and spreads",
-		func(after, least, most time.Duration) {
-			Expect(retrier.Jitter(after, 0)).To(Equal(least))
-			Expect(retrier.Jitter(after, 1)).To(Equal(most))
+	DescribeTable("is never early, and spreads callers",
+		func(after, minimum, maximum time.Duration) {
+			Expect(retrier.Jitter(after, 0)).To(Equal(minimum))
+			Expect(retrier.Jitter(after, 1)).To(Equal(maximum))
 		},
 		Entry("a short time over a second", 200*time.Millisecond, 200*time.Millisecond, 1200*time.Millisecond),
-		Entry("a long one over its half", 10*time.Second, 10*time.Second, 15*time.Second),
+		Entry("a long time over half of it", 10*time.Second, 10*time.Second, 15*time.Second),
 	)
 })
--- a/retrier/window_test.go
+++ b/retrier/window_test.go
@@ -10,8 +10,9 @@
 	"github.com/cicadawood/cicadawood/retrier"
 )
 
-// A service fails under load. Every host repeats what it may, and no word passes
-// between them; together they must stay within the service's budget in any window.
+// A service fails under load. Every host repeats as many calls as it may, without
+// communicating with others; together they must stay within the service's budget in any
+// window.
 var _ = Describe("Window", func() {
 	It("keeps all hosts together within the policy, in any window", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
@@ -35,7 +36,7 @@
 				if w.Take(now, p, hosts) {
 					seen = append(seen, event{now, true})
 				}
-				// The budget is the larger of this window's and the one before it.
+				// First tries of the previous window count, too.
 				repeats, firsts := 0, 0
 				for _, e := range seen {
 					if now.Sub(e.at) < p.Span && e.repeat {
