--- a/breaker/breaker.go
+++ b/breaker/breaker.go
@@ -1,6 +1,6 @@
-// Package breaker judges workers against their peers: failing and stalled ones
-// are taken out of use and probed back in, slow ones are told apart so that they
-// come last. It is pure: time comes in as an argument.
+// Package breaker compares workers with their peers. Failing and stalled workers are ejected
+// and readmitted after a successful probe; slow ones get a lower weight, so that they are
+// used last. The package reads no clock: the caller passes in the time.
 package breaker
 
 import (
@@ -9,28 +9,28 @@
 )
 
 const (
-	slowFactor  = 2.0 // times the median of the peers' times to first token
-	deadFactor  = 8.0 // likewise: of no use any more
-	firstWeight = 0.2
-	fewSamples  = 5
-	failsToOpen = 3 // in a row
-	openTime    = 3 * time.Second
-	longestOpen = 60 * time.Second
-	mostOut     = 3 // one worker of so many may be out at once, and at least one of two
+	slowFactor        = 2.0 // a worker is slow above this multiple of the median of its peers' times to first token
+	stalledFactor     = 8.0 // a worker is stalled above this multiple
+	sampleWeight      = 0.2 // weight of a new sample in the moving mean
+	minSamples        = 5   // for a worker's mean to be compared
+	failuresToEject   = 3   // in a row
+	minEjectTime      = 3 * time.Second
+	maxEjectTime      = 60 * time.Second
+	workersPerEjected = 3 // at most one in this many workers is ejected at a time, but always one if there are two
 )
 
-// Breaker judges the workers of one cell against each other. The zero value
-// works. It is not safe for concurrent use.
+// Breaker compares the workers of one cell with each other. The zero value is ready to use.
+// It is not safe for concurrent use.
 type Breaker struct{ workers map[string]*worker }
 
-// worker is what is known of one worker.
+// worker is the record of one worker.
 type worker struct {
-	first   float64 // seconds to the first token, a moving mean
-	samples int
-	fails   int // in a row
-	until   time.Time
-	open    time.Duration // how long it was last out; 0 where it is in use
-	probing bool
+	meanFirst    float64 // moving mean of the seconds to the first token
+	samples      int
+	failures     int // in a row
+	ejectedUntil time.Time
+	ejectTime    time.Duration // duration of its current ejection; 0 while it is in use
+	probing      bool          // an ejected worker got a request whose result is not known yet
 }
 
 func (b *Breaker) worker(name string) *worker {
@@ -45,7 +45,7 @@
 	return w
 }
 
-// Retain forgets all workers but these.
+// Retain adds the named workers and removes all others.
 func (b *Breaker) Retain(names []string) {
 	for name := range b.workers {
 		if !slices.Contains(names, name) {
@@ -57,120 +57,122 @@
 	}
 }
 
-// Allowed says whether a worker may get a request. One that is out gets a
-// single probe when its time is over.
+// Allowed reports whether a worker may get a request. An ejected worker gets a single probe
+// when its ejection time has passed.
 func (b *Breaker) Allowed(now time.Time, name string) bool {
 	w := b.workers[name]
-	return w == nil || w.open == 0 || (!w.probing && !now.Before(w.until))
+	return w == nil || w.ejectTime == 0 || (!w.probing && !now.Before(w.ejectedUntil))
 }
 
-// RecordGrant notes that a worker got a request.
+// RecordGrant records that a worker got a request.
 func (b *Breaker) RecordGrant(name string) {
-	if w := b.workers[name]; w != nil && w.open > 0 {
+	if w := b.workers[name]; w != nil && w.ejectTime > 0 {
 		w.probing = true
 	}
 }
 
-// RecordEnd takes how one request ended: the time to its first token, 0 where none
-// came, and whether the worker failed it.
+// RecordEnd records the result of one request: the time to its first token, 0 if there was
+// none, and whether the worker failed.
 func (b *Breaker) RecordEnd(now time.Time, name string, first time.Duration, failed bool) {
 	w := b.worker(name)
 	probed := w.probing
 	w.probing = false
 	switch {
 	case failed:
-		w.fails++
+		w.failures++
 	case first > 0:
-		w.fails = 0
+		w.failures = 0
 		w.samples++
-		w.first += max(firstWeight, 1/float64(w.samples)) * (first.Seconds() - w.first)
+		w.meanFirst += max(sampleWeight, 1/float64(w.samples)) * (first.Seconds() - w.meanFirst)
 	default:
-		return // it ended before it showed anything
+		return // ended without a result
 	}
-	bad := w.fails >= failsToOpen || b.ratio(w, w.first) > deadFactor
-	if w.open > 0 {
+	bad := w.failures >= failuresToEject || b.ratio(w, w.meanFirst) > stalledFactor
+	if w.ejectTime > 0 {
 		if !probed {
-			return // began before it was taken out
+			return // began before the worker was ejected
 		}
-		bad = failed || b.ratio(w, first.Seconds()) > deadFactor
+		bad = failed || b.ratio(w, first.Seconds()) > stalledFactor
 	}
 	if !bad {
-		w.close(probed, first)
+		w.readmit(probed, first)
 		return
 	}
-	if w.open > 0 || b.mayOpen() {
-		w.trip(now)
+	if w.ejectTime > 0 || b.mayEject() {
+		w.eject(now)
 	}
 }
 
-func (w *worker) trip(now time.Time) {
-	w.open = min(max(2*w.open, openTime), longestOpen)
-	w.until = now.Add(w.open)
+func (w *worker) eject(now time.Time) {
+	w.ejectTime = min(max(2*w.ejectTime, minEjectTime), maxEjectTime)
+	w.ejectedUntil = now.Add(w.ejectTime)
 }
 
-// close puts a probed worker back in use with what its probe showed.
-func (w *worker) close(probed bool, first time.Duration) {
-	w.open = 0
+// readmit puts a worker back in use. After a probe its statistics start again from the
+// probe's result.
+func (w *worker) readmit(probed bool, first time.Duration) {
+	w.ejectTime = 0
 	if probed {
-		w.first, w.samples, w.fails = first.Seconds(), 1, 0
+		w.meanFirst, w.samples, w.failures = first.Seconds(), 1, 0
 	}
 }
 
-// Weights is what each of these workers is worth beside its peers: 0 while it is
-// out, its part of their speed where it is slow, else 1.
+// Weights returns the weight of each named worker: 0 while it is ejected, the ratio of its
+// speed to the median of its peers if it is slow, else 1.
 func (b *Breaker) Weights(names []string) []float64 {
-	firsts := b.firsts()
+	means := b.sortedMeans()
 	weights := make([]float64, len(names))
 	for i, name := range names {
-		weights[i] = weight(b.workers[name], firsts)
+		weights[i] = weight(b.workers[name], means)
 	}
 	return weights
 }
 
-// firsts is the times of the workers in use that can be compared, in order.
-func (b *Breaker) firsts() []float64 {
-	var firsts []float64
+// sortedMeans returns the means of the workers in use that can be compared, in ascending
+// order.
+func (b *Breaker) sortedMeans() []float64 {
+	var means []float64
 	for _, w := range b.workers {
 		if w.comparable() {
-			firsts = append(firsts, w.first)
+			means = append(means, w.meanFirst)
 		}
 	}
-	slices.Sort(firsts)
-	return firsts
+	slices.Sort(means)
+	return means
 }
 
-func (w *worker) comparable() bool { return w.open == 0 && w.samples >= fewSamples }
+func (w *worker) comparable() bool { return w.ejectTime == 0 && w.samples >= minSamples }
 
-func weight(w *worker, firsts []float64) float64 {
+func weight(w *worker, means []float64) float64 {
 	switch {
 	case w == nil:
 		return 1
-	case w.open > 0:
+	case w.ejectTime > 0:
 		return 0
-	case !w.comparable() || len(firsts) < 2:
+	case !w.comparable() || len(means) < 2:
 		return 1
 	}
-	// The median of the others: the worker's own time is left out of the list.
-	middle := (len(firsts) - 1) / 2
-	if own, _ := slices.BinarySearch(firsts, w.first); own <= middle {
+	// The median of the others, without the worker's own mean.
+	middle := (len(means) - 1) / 2
+	if own, _ := slices.BinarySearch(means, w.meanFirst); own <= middle {
 		middle++
 	}
-	if r := w.first / firsts[middle]; r > slowFactor {
+	if r := w.meanFirst / means[middle]; r > slowFactor {
 		return 1 / r
 	}
 	return 1
 }
 
-// ratio compares a time with the median of the other workers in use; 1 where
-// there is too little to compare.
+// ratio returns the ratio of a time to the median of the other workers in use; 1 if there
+// are too few samples to compare.
 func (b *Breaker) ratio(self *worker, seconds float64) float64 {
-	if self.samples < fewSamples && self.open == 0 {
+	if self.samples < minSamples && self.ejectTime == 0 {
 		return 1
 	}
 	var peers []float64
 	for _, w := range b.workers {
 		if w != self && w.comparable() {
-			peers = append(peers, w.first)
+			peers = append(peers, w.meanFirst)
 		}
 	}
 	if len(peers) == 0 {
@@ -180,20 +182,20 @@
 	return seconds / peers[len(peers)/2]
 }
 
-// mayOpen bounds how many workers are out at once: when most of them look bad
-// the cause is elsewhere, and taking them out would only make it worse.
-func (b *Breaker) mayOpen() bool {
+// mayEject reports whether another worker may be ejected. If most workers look bad, the
+// cause is elsewhere, and ejecting them would only make it worse.
+func (b *Breaker) mayEject() bool {
 	if len(b.workers) < 2 {
 		return false
 	}
-	return len(b.Ejected()) < max(1, len(b.workers)/mostOut)
+	return len(b.Ejected()) < max(1, len(b.workers)/workersPerEjected)
 }
 
-// Ejected is the workers that are out of use, in name order.
+// Ejected returns the names of the ejected workers, in order.
 func (b *Breaker) Ejected() []string {
 	var out []string
 	for name, w := range b.workers {
-		if w.open > 0 {
+		if w.ejectTime > 0 {
 			out = append(out, name)
 		}
 	}
