--- a/cmd/oncebench/simulation.go
+++ b/cmd/oncebench/simulation.go
@@ -121,7 +121,7 @@
 		s.version++
 		s.input(writeTime, keeper.HeadWritten{Stamp: o.Head.Stamp, Version: s.version, Result: keeper.Done})
 	case keeper.WriteSegment:
-		value, err := keeper.EncodeEntries(o.Entries)
+		value, err := keeper.EncodeRecords(o.Records)
 		if err != nil {
 			panic(err)
 		}
--- a/cmd/oncebench/takeover.go
+++ b/cmd/oncebench/takeover.go
@@ -58,16 +58,16 @@
 func fullLog() (keeper.Head, [][]byte, error) {
 	h := keeper.Head{Epoch: 1}
 	var stored [][]byte
-	var entries []*keeper.Entry
+	var entries []*keeper.Record
 	for i := range recordsKept {
 		var id keeper.ID
 		binary.BigEndian.PutUint64(id[:], uint64(i)*0x9e3779b97f4a7c15)
 		answer := &keeper.Answer{Status: 200, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: make([]byte, answerSize)}
-		entries = append(entries, &keeper.Entry{ID: id, At: int64(i + 1), State: keeper.Ran, Answer: answer})
+		entries = append(entries, &keeper.Record{ID: id, At: int64(i + 1), State: keeper.Ran, Answer: answer})
 		if len(entries) < segmentLength {
 			continue
 		}
-		value, err := keeper.EncodeEntries(entries)
+		value, err := keeper.EncodeRecords(entries)
 		if err != nil {
 			return h, nil, err
 		}
@@ -87,11 +87,11 @@
 	}
 	k.Handle(now, keeper.HeadWritten{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
 	for i, s := range h.Segments {
-		entries, err := keeper.DecodeEntries(stored[i])
+		entries, err := keeper.DecodeRecords(stored[i])
 		if err != nil {
 			return nil, err
 		}
-		k.Handle(now, keeper.SegmentRead{Segment: s, Entries: entries, Result: keeper.Done})
+		k.Handle(now, keeper.SegmentRead{Segment: s, Records: entries, Result: keeper.Done})
 	}
 	if s := k.Summary(); !s.Ready || s.Records != recordsKept {
 		return nil, fmt.Errorf("not open: %+v", s)
--- a/keeper/archive.go
+++ b/keeper/archive.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// archive is a part of the tail on its way into a segment.
+// archive is a part of the tail that is being moved into a segment.
 type archive struct {
 	segment Segment
-	entries []*Entry
-	stored  bool // the segment's object is there; the head does not name it yet
+	records []*Record
+	written bool // the segment's object is stored; the head does not name it yet
 	writing bool
 }
 
-// compact moves a tail that has grown into a segment. The head is never deleted
-// and made anew: a paused keeper could then succeed with a condition that holds
-// for both (ABA). The segment is written first and named by a commit after, so
-// what the head names is always there.
+// compact moves a tail that has grown past its limit into a segment, and merges small
+// segments. The head is never deleted and created again: the condition of a paused
+// keeper's write could then hold for the new object (the ABA problem). A segment's object
+// is written before a commit names it, so whatever the head names exists.
 func (k *Keeper) compact(out *outputs, _ time.Time) {
-	if k.archive == nil && sizeOf(k.head.Tail) > k.settings.MaxTailBytes {
-		entries := slices.Clone(k.head.Tail)
-		k.archive = &archive{entries: entries, segment: k.segmentOf(entries, 0)}
+	if k.archive == nil && sizeOf(k.head.Tail) > k.settings.ArchiveTailBytes {
+		records := slices.Clone(k.head.Tail)
+		k.archive = &archive{records: records, segment: k.newSegment(records, 0)}
 	}
 	k.archive.start(out)
 	k.merge.start(out)
@@ -29,11 +29,11 @@
 	}
 }
 
-// segmentOf names a new segment. Its name is never used again.
-func (k *Keeper) segmentOf(entries []*Entry, level uint8) Segment {
+// newSegment returns a segment under a name that is never used again.
+func (k *Keeper) newSegment(records []*Record, level uint8) Segment {
 	k.sequence++
-	s := Segment{Epoch: k.head.Epoch, Sequence: k.sequence, Level: level, Size: sizeOf(entries)}
-	for _, e := range entries {
+	s := Segment{Epoch: k.head.Epoch, Sequence: k.sequence, Level: level, Size: sizeOf(records)}
+	for _, e := range records {
 		s.Newest, s.Dated = max(s.Newest, e.At), max(s.Dated, e.Dated)
 	}
 	return s
@@ -41,32 +41,32 @@
 
 // start writes the segment's object unless it is stored or being written.
 func (a *archive) start(out *outputs) {
-	if a == nil || a.stored || a.writing || a.entries == nil {
+	if a == nil || a.written || a.writing || a.records == nil {
 		return
 	}
 	a.writing = true
-	out.add(WriteSegment{Segment: a.segment, Entries: a.entries})
+	out.add(WriteSegment{Segment: a.segment, Records: a.records})
 }
 
-// done is a segment that the next commit can name.
-func (a *archive) done() bool { return a != nil && a.stored }
+// ready reports whether the next commit can name the segment.
+func (a *archive) ready() bool { return a != nil && a.written }
 
-func (k *Keeper) segmentWrote(out *outputs, now time.Time, w SegmentWritten) {
+func (k *Keeper) segmentWritten(out *outputs, now time.Time, w SegmentWritten) {
 	for _, a := range []*archive{k.archive, k.merge.target()} {
 		if a == nil || a.segment != w.Segment {
 			continue
 		}
-		a.writing, a.stored = false, w.Result == Done
-		if !a.stored {
-			k.outage(out, now)
+		a.writing, a.written = false, w.Result == Done
+		if !a.written {
+			k.storeFailed(out, now)
 		}
 	}
 }
 
-// forget leaves the segments out of a commit that are older than the retention.
-// A key that carries a date can't run again after: the floor keeps the latest
-// date that was forgotten.
-func (k *Keeper) forget(c *commit, now time.Time) {
+// dropExpired removes the segments that are past the retention period from a commit. The
+// head's floor keeps the latest key date among them, so that a key that carries a date
+// can't run again after its record has expired.
+func (k *Keeper) dropExpired(c *commit, now time.Time) {
 	limit := now.Add(-k.settings.Retention).UnixMilli()
 	for _, op := range k.ops {
 		if op.intent != nil {
@@ -79,21 +79,21 @@
 			kept = append(kept, s)
 			continue
 		}
-		c.doomed = append(c.doomed, s)
+		c.expired = append(c.expired, s)
 		c.head.Floor = max(c.head.Floor, s.Dated)
 	}
 	c.head.Segments = kept
 }
 
-// forgotten takes the records of dropped segments out of memory. It runs when
-// the head that drops them is known to be written: before that, its floor does
-// not guard their keys.
-func (k *Keeper) forgotten(out *outputs, doomed []Segment) {
-	if len(doomed) == 0 {
+// forgetExpired removes the records of expired segments from memory and deletes the
+// segments' objects. It must not run before the head that drops them is known to be
+// written: until then its floor does not guard their keys.
+func (k *Keeper) forgetExpired(out *outputs, expired []Segment) {
+	if len(expired) == 0 {
 		return
 	}
 	last := int64(0)
-	for _, d := range doomed {
+	for _, d := range expired {
 		out.add(DropSegment{Segment: d})
 		last = max(last, d.Newest)
 	}
--- a/keeper/commit.go
+++ b/keeper/commit.go
@@ -8,87 +8,87 @@
 )
 
 const (
-	mostBatch = 256 << 10 // bytes of entries in one commit
-	mostTail  = 512 << 10 // bytes of the tail, while its archiving is late
+	maxBatchBytes = 256 << 10 // bytes of records in one commit
+	maxTailBytes  = 512 << 10 // bytes of the tail; commits wait for archiving beyond it
 )
 
-// commit is one write of the head that is not settled.
+// commit is one write of the head whose result is not known yet.
 type commit struct {
 	head    Head
-	entries []*Entry
+	records []*Record
 	archive *archive
 	merge   *merge
-	doomed  []Segment // forgotten
+	expired []Segment // past the retention period
 }
 
-// pump starts the next call of the store, where one is due. At most one read or
-// write of the head is under way, so what comes back comes in order.
-func (k *Keeper) pump(out *outputs, now time.Time) {
-	k.fill(now)
+// startStoreCalls starts the calls of the store that are due. At most one read or write of
+// the head is in flight, so their results arrive in order.
+func (k *Keeper) startStoreCalls(out *outputs, now time.Time) {
+	k.refillTokens(now)
 	if k.busy || k.down(now) {
 		return
 	}
 	switch {
-	case k.phase == phaseIdle && (k.open || len(k.early) > 0), k.phase == phaseReading:
-		k.phase, k.open = phaseReading, false
+	case k.phase == phaseIdle && (k.loadWanted || len(k.queued) > 0), k.phase == phaseReading:
+		k.phase, k.loadWanted = phaseReading, false
 		k.readAt = now
-		k.read(out)
-	case k.unsure, k.phase == phaseReady && !k.retryAt.IsZero():
-		// The store was down, or a reply was lost: look before writing.
-		k.read(out)
+		k.readHead(out)
+	case k.uncertain, k.phase == phaseReady && !k.retryAt.IsZero():
+		// The store was down, or a reply was lost: read before writing.
+		k.readHead(out)
 	case k.phase == phaseSealing:
 		k.seal(out, now)
 	case k.phase == phaseLoading:
-		k.load(out, now)
+		k.loadSegments(out, now)
 	case k.phase == phaseReady:
 		k.compact(out, now)
 		k.commit(out, now)
-		k.confirm(out)
+		k.readToConfirm(out)
 	}
 }
 
-// fill counts the commits that may start: bursts at once, so that a lone call
-// waits for nothing, and a bounded number in the long run, so that a loaded
-// partition puts more calls into each.
-func (k *Keeper) fill(now time.Time) {
-	if !k.filled.IsZero() {
-		k.tokens = min(k.settings.Burst, k.tokens+k.settings.WritesPerSecond*now.Sub(k.filled).Seconds())
+// refillTokens refills the token bucket of commits. The burst lets a single call commit
+// without waiting; the bounded rate makes a loaded partition put more calls into each
+// commit.
+func (k *Keeper) refillTokens(now time.Time) {
+	if !k.refilledAt.IsZero() {
+		k.tokens = min(k.settings.Burst, k.tokens+k.settings.WritesPerSecond*now.Sub(k.refilledAt).Seconds())
 	}
-	k.filled = now
+	k.refilledAt = now
 }
 
-func (k *Keeper) read(out *outputs) {
+func (k *Keeper) readHead(out *outputs) {
 	k.busy = true
-	k.cover()
+	k.coverUnconfirmed()
 	out.add(ReadHead{})
 }
 
-// commit writes what is pending, all of it at once.
+// commit writes the pending records, and the segments that are ready, in one head.
 func (k *Keeper) commit(out *outputs, now time.Time) {
-	if k.pending.len() == 0 && !k.archive.done() && !k.merge.done() || k.tokens < 1 {
+	if k.pending.len() == 0 && !k.archive.ready() && !k.merge.ready() || k.tokens < 1 {
 		return
 	}
-	c := &commit{head: k.head, entries: k.pending.first(mostBatch)}
+	c := &commit{head: k.head, records: k.pending.oldest(maxBatchBytes)}
 	c.head.Tail = slices.Clone(k.head.Tail)
-	if k.archive.done() {
+	if k.archive.ready() {
 		c.archive = k.archive
-		c.head.Tail = without(c.head.Tail, k.archive.entries)
+		c.head.Tail = without(c.head.Tail, k.archive.records)
 		c.head.Segments = append(slices.Clone(k.head.Segments), k.archive.segment)
-	} else if sizeOf(k.head.Tail) > mostTail {
+	} else if sizeOf(k.head.Tail) > maxTailBytes {
 		return
 	}
-	if k.merge.done() {
-		k.replaceMerged(c)
+	if k.merge.ready() {
+		k.commitMerge(c)
 	}
-	c.head.Tail = replace(c.head.Tail, c.entries)
-	k.forget(c, now)
+	c.head.Tail = appendReplacing(c.head.Tail, c.records)
+	k.dropExpired(c, now)
 	k.tokens--
-	k.write(out, c)
+	k.writeHead(out, c)
 }
 
-// replaceMerged names a merged segment in a commit, or gives it up.
-func (k *Keeper) replaceMerged(c *commit) {
-	segments, ok := k.merge.put(c.head.Segments)
+// commitMerge names the merged segment in a commit, or abandons the merge.
+func (k *Keeper) commitMerge(c *commit) {
+	segments, ok := k.merge.substitute(c.head.Segments)
 	if !ok {
 		k.merge = nil
 		return
@@ -96,57 +96,58 @@
 	c.head.Segments, c.merge = segments, k.merge
 }
 
-// write sends one head. Its condition is the version last confirmed, whatever
-// was tried since: of all tries from that version at most one takes effect.
-func (k *Keeper) write(out *outputs, c *commit) {
+// writeHead starts a write of the head. Its condition is the version last confirmed,
+// regardless of unsettled writes: of all writes with that condition at most one takes
+// effect.
+func (k *Keeper) writeHead(out *outputs, c *commit) {
 	k.writes++
 	c.head.Era = k.era + 1
-	for _, e := range c.entries {
+	for _, e := range c.records {
 		c.head.Last = max(c.head.Last, e.At)
 	}
-	c.head.Stamp = Stamp{Keeper: k.name, Incarnation: k.incarn, Write: k.writes}
-	k.tried = append(k.tried, c)
+	c.head.Stamp = Stamp{Keeper: k.name, Incarnation: k.incarnation, Write: k.writes}
+	k.unsettled = append(k.unsettled, c)
 	k.busy = true
-	k.cover()
+	k.coverUnconfirmed()
 	out.add(WriteHead{Head: c.head, Match: k.version})
 }
 
-// wrote takes the end of a write. One whose reply was lost is settled by
-// reading back which stamp the head has, never by assuming.
-func (k *Keeper) wrote(out *outputs, now time.Time, w HeadWritten) {
-	if k.outlasts() {
+// headWritten handles the result of a write of the head. If the result is uncertain, the
+// head is read back: its stamp tells whether the write took effect.
+func (k *Keeper) headWritten(out *outputs, now time.Time, w HeadWritten) {
+	if k.discardStale() {
 		return
 	}
-	if len(k.tried) == 0 || k.tried[len(k.tried)-1].head.Stamp != w.Stamp {
-		return // of a time before the partition was lost
+	if len(k.unsettled) == 0 || k.unsettled[len(k.unsettled)-1].head.Stamp != w.Stamp {
+		return // of a write before the partition was given up
 	}
 	k.busy = false
 	switch w.Result {
 	case Done:
 		k.settle(out, now, w.Stamp, w.Version)
-		k.confirmed(out)
+		k.replyConfirmed(out)
 	case Down:
-		k.tried = k.tried[:len(k.tried)-1]
-		k.outage(out, now)
+		k.unsettled = k.unsettled[:len(k.unsettled)-1]
+		k.storeFailed(out, now)
 	case Lost, Conflict, Missing:
-		k.unsure = true
+		k.uncertain = true
 		if w.Result == Lost {
-			k.refill()
+			k.allowCommit()
 		}
 	}
 }
 
-// refill lets a read-back be followed at once by the write it may call for.
-func (k *Keeper) refill() { k.tokens = max(k.tokens, 1) }
+// allowCommit makes sure that the write after a read-back need not wait for a token.
+func (k *Keeper) allowCommit() { k.tokens = max(k.tokens, 1) }
 
-// headRead takes the head as it is.
+// headRead handles the result of a read of the head.
 func (k *Keeper) headRead(out *outputs, now time.Time, r HeadRead) {
-	if k.outlasts() || !k.busy {
+	if k.discardStale() || !k.busy {
 		return
 	}
 	k.busy = false
 	if r.Result == Down || r.Result == Lost {
-		k.outage(out, now)
+		k.storeFailed(out, now)
 		return
 	}
 	k.retryAt = time.Time{}
@@ -156,44 +157,45 @@
 		r.Era = r.Version.Era()
 	}
 	restored := r.Era > k.era
-	if restored && k.phase == phaseReady && k.owned < r.Era {
-		k.outage(out, now) // until the host says whether it still owns the partition
+	if restored && k.phase == phaseReady && k.ownedEra < r.Era {
+		k.storeFailed(out, now) // until StoreRestored tells whether the host still owns the partition
 		return
 	}
 	k.era = r.Era
 	switch {
 	case k.phase == phaseReady && restored:
-		k.reread(out, now, r)
+		k.restoredHeadRead(out, now, r)
 	case k.phase == phaseReading, k.phase == phaseSealing && restored:
-		k.head, k.version, k.tried = r.Head, r.Version, nil
-		k.phase, k.unsure = phaseSealing, false
+		k.head, k.version, k.unsettled = r.Head, r.Version, nil
+		k.phase, k.uncertain = phaseSealing, false
 	case r.Version == k.version:
-		// Not there, but a late write may still arrive: the next one has the same
-		// condition, so at most one of them takes effect.
-		k.unsure = false
-		k.confirmed(out)
-	case k.isTried(r.Head.Stamp):
+		// No unsettled write has taken effect, but one may still do so: the next write has
+		// the same condition, so at most one of them takes effect.
+		k.uncertain = false
+		k.replyConfirmed(out)
+	case k.isUnsettled(r.Head.Stamp):
 		k.settle(out, now, r.Head.Stamp, r.Version)
-		k.confirmed(out)
+		k.replyConfirmed(out)
 	case k.phase == phaseSealing:
-		k.head, k.version, k.tried, k.unsure = r.Head, r.Version, nil, false
-	case r.Head.older(r.Version):
-		k.repeat(out, r)
+		k.head, k.version, k.unsettled, k.uncertain = r.Head, r.Version, nil, false
+	case r.Head.predatesRestore(r.Version):
+		k.rewriteOverLate(out, r)
 	default:
-		k.lost(out)
+		k.relinquish(out)
 	}
 }
 
-func (k *Keeper) isTried(s Stamp) bool {
-	return slices.ContainsFunc(k.tried, func(c *commit) bool { return c.head.Stamp == s })
+func (k *Keeper) isUnsettled(s Stamp) bool {
+	return slices.ContainsFunc(k.unsettled, func(c *commit) bool { return c.head.Stamp == s })
 }
 
-// settle takes a try as written: the others from the same version never will be.
+// settle marks an unsettled write as done. The others with the same condition can't take
+// effect any more.
 func (k *Keeper) settle(out *outputs, now time.Time, s Stamp, version storer.Version) {
-	i := slices.IndexFunc(k.tried, func(c *commit) bool { return c.head.Stamp == s })
-	c := k.tried[i]
+	i := slices.IndexFunc(k.unsettled, func(c *commit) bool { return c.head.Stamp == s })
+	c := k.unsettled[i]
 	k.era = version.Era()
-	k.head, k.version, k.tried, k.unsure, k.retryAt = c.head, version, nil, false, time.Time{}
+	k.head, k.version, k.unsettled, k.uncertain, k.retryAt = c.head, version, nil, false, time.Time{}
 	if k.phase == phaseSealing {
 		k.sealed(out, now)
 		return
@@ -207,15 +209,15 @@
 			out.add(DropSegment{Segment: d})
 		}
 	}
-	k.forgotten(out, c.doomed)
-	for _, e := range c.entries {
+	k.forgetExpired(out, c.expired)
+	for _, e := range c.records {
 		k.pending.written(e)
 		k.recorded(out, e)
 	}
 }
 
-// recorded tells an operation that the log has its entry.
-func (k *Keeper) recorded(out *outputs, e *Entry) {
+// recorded continues an operation once its record is in the log.
+func (k *Keeper) recorded(out *outputs, e *Record) {
 	op := k.ops[e.ID]
 	switch {
 	case op == nil:
@@ -227,53 +229,53 @@
 	}
 }
 
-// mayHold says that the log has the entry, or may get it from a try that is
-// not settled.
-func (k *Keeper) mayHold(e *Entry) bool {
+// maybeLogged reports whether the log has the record, or may get it from an unsettled
+// write.
+func (k *Keeper) maybeLogged(e *Record) bool {
 	if e == nil {
 		return false
 	}
-	if slices.Contains(k.head.Tail, e) || k.archive != nil && slices.Contains(k.archive.entries, e) {
+	if slices.Contains(k.head.Tail, e) || k.archive != nil && slices.Contains(k.archive.records, e) {
 		return true
 	}
 	if op := k.ops[e.ID]; op != nil && op.recorded {
 		return true
 	}
-	return slices.ContainsFunc(k.tried, func(c *commit) bool { return slices.Contains(c.entries, e) })
+	return slices.ContainsFunc(k.unsettled, func(c *commit) bool { return slices.Contains(c.records, e) })
 }
 
-// entry makes an operation's next record. Their times grow strictly, so that
-// they stand for the order of the log too.
-func (k *Keeper) entry(now time.Time, op *operation, s State, a *Answer) *Entry {
-	return &Entry{ID: op.id, Hash: op.hash, Dated: op.dated, State: s, Answer: a, At: k.stampTime(now.UnixMilli())}
+// newRecord makes an operation's next record. Times are strictly increasing, so that they
+// also give the order of records in the log.
+func (k *Keeper) newRecord(now time.Time, op *operation, s State, a *Answer) *Record {
+	return &Record{ID: op.id, Hash: op.hash, Dated: op.dated, State: s, Answer: a, At: k.nextTime(now.UnixMilli())}
 }
 
-func (k *Keeper) stampTime(ms int64) int64 {
+func (k *Keeper) nextTime(ms int64) int64 {
 	k.lastAt = max(ms, k.lastAt+1)
 	return k.lastAt
 }
 
-// replace appends entries to a tail and takes earlier ones of their IDs out.
-func replace(tail, entries []*Entry) []*Entry {
-	newer := make(map[ID]bool, len(entries))
-	for _, e := range entries {
+// appendReplacing appends records to a tail and removes earlier ones with the same IDs.
+func appendReplacing(tail, records []*Record) []*Record {
+	newer := make(map[ID]bool, len(records))
+	for _, e := range records {
 		newer[e.ID] = true
 	}
-	tail = slices.DeleteFunc(tail, func(e *Entry) bool { return newer[e.ID] })
-	return append(tail, entries...)
+	tail = slices.DeleteFunc(tail, func(e *Record) bool { return newer[e.ID] })
+	return append(tail, records...)
 }
 
-func without(tail, entries []*Entry) []*Entry {
-	gone := make(map[*Entry]bool, len(entries))
-	for _, e := range entries {
+func without(tail, records []*Record) []*Record {
+	gone := make(map[*Record]bool, len(records))
+	for _, e := range records {
 		gone[e] = true
 	}
-	return slices.DeleteFunc(tail, func(e *Entry) bool { return gone[e] })
+	return slices.DeleteFunc(tail, func(e *Record) bool { return gone[e] })
 }
 
-func sizeOf(entries []*Entry) int {
+func sizeOf(records []*Record) int {
 	n := 0
-	for _, e := range entries {
+	for _, e := range records {
 		n += e.size()
 	}
 	return n
--- a/keeper/doubt.go
+++ b/keeper/doubt.go
@@ -5,86 +5,90 @@
 	"time"
 )
 
-// doubtTime bounds the wait of a "not run" for the head: less than an entry waits
-// past its deadline, so that the keeper's word is still heard.
-const doubtTime = 200 * time.Millisecond
+// confirmTimeout bounds the wait of a verdict for a confirmed head. It is shorter than the
+// time that an entry host waits past the deadline of a call, so that the verdict still
+// reaches it.
+const confirmTimeout = 200 * time.Millisecond
 
-// doubt is a "not run" that is not told yet. Failure: a keeper was paused, another
-// one sealed it out and ran the key, and this one has not noticed; its log is old,
-// and its "not run" would have the caller run the call a second time. So it is told
-// only after a read or write of the head, begun after the request came in, has
-// found the head this keeper's own: then nobody had sealed it, and the log in
-// memory is whole. No clock and no roster could say so: a pause may come between
-// any check and the reply.
-type doubt struct {
-	call    Call
-	verdict Verdict
-	until   time.Time
-	checked bool // the call of the store under way began after it
+// unconfirmed is a "not run" or "reused" verdict that is held until the head is confirmed.
+// It guards against this failure: while a keeper is paused, another one seals the log and
+// runs the key. The log in memory is then outdated, and on "not run" the caller would run
+// the call a second time. So the verdict is sent only after a read or write of the head,
+// begun after the request arrived, has shown that the head is still this keeper's own:
+// then no other keeper had sealed the log, and the log in memory is complete. Neither a
+// clock nor the roster can show that: a pause may occur between any check and the reply.
+type unconfirmed struct {
+	call     Call
+	verdict  Verdict
+	deadline time.Time
+	covered  bool // the read or write in flight began after the request arrived
 }
 
-// doubtful tells a call "not run" when the head is confirmed. All that wait share
+// replyWhenConfirmed holds a verdict until the head is confirmed. All held verdicts share
 // one read.
-func (k *Keeper) doubtful(out *outputs, now time.Time, c Call, v Verdict) {
-	if !k.retryAt.IsZero() { // can't be confirmed until the store has answered again
+func (k *Keeper) replyWhenConfirmed(out *outputs, now time.Time, c Call, v Verdict) {
+	if !k.retryAt.IsZero() { // can't be confirmed before the store answers again
 		v.Reason = ReasonStore
-		k.undecided(out, c, v)
+		k.replyUnknown(out, c, v)
 		return
 	}
-	if len(k.doubts) >= k.settings.MaxOperations {
-		k.undecided(out, c, v)
+	if len(k.unconfirmed) >= k.settings.MaxOperations {
+		k.replyUnknown(out, c, v)
 		return
 	}
-	k.doubts = append(k.doubts, &doubt{call: c, verdict: v, until: now.Add(doubtTime)})
+	k.unconfirmed = append(k.unconfirmed, &unconfirmed{call: c, verdict: v, deadline: now.Add(confirmTimeout)})
 }
 
-// undecided tells a call that its key may have run, and when to ask again.
-func (k *Keeper) undecided(out *outputs, c Call, v Verdict) {
-	out.reply(c, Verdict{Kind: KindUnknown, Reason: v.Reason, After: k.settings.RetryInterval, Epoch: v.Epoch})
+// replyUnknown replies that the key may have run, and when to ask again.
+func (k *Keeper) replyUnknown(out *outputs, c Call, v Verdict) {
+	out.reply(c, Verdict{Kind: KindUnknown, Reason: v.Reason, After: k.settings.RetryInterval, Order: v.Order})
 }
 
-// confirm reads the head for the doubts that no write will confirm. Reads and
-// commits share one bound, so that refusing many costs no more than taking them.
-func (k *Keeper) confirm(out *outputs) {
-	if k.busy || len(k.doubts) == 0 || k.tokens < 1 {
+// readToConfirm reads the head if verdicts wait and no write is in flight that confirms
+// them. Reads and commits share one token bucket, so that refusing many calls costs the
+// store no more than running them.
+func (k *Keeper) readToConfirm(out *outputs) {
+	if k.busy || len(k.unconfirmed) == 0 || k.tokens < 1 {
 		return
 	}
 	k.tokens--
-	k.read(out)
+	k.readHead(out)
 }
 
-// cover has the call of the store that begins now decide about the doubts so far.
-func (k *Keeper) cover() {
-	for _, d := range k.doubts {
-		d.checked = true
+// coverUnconfirmed marks the verdicts held so far as decided by the read or write that
+// begins now.
+func (k *Keeper) coverUnconfirmed() {
+	for _, u := range k.unconfirmed {
+		u.covered = true
 	}
 }
 
-// confirmed tells what the call of the store that has just ended has decided.
-func (k *Keeper) confirmed(out *outputs) {
-	k.doubts = slices.DeleteFunc(k.doubts, func(d *doubt) bool {
-		if d.checked {
-			out.reply(d.call, d.verdict)
+// replyConfirmed sends the verdicts that the read or write just ended has confirmed.
+func (k *Keeper) replyConfirmed(out *outputs) {
+	k.unconfirmed = slices.DeleteFunc(k.unconfirmed, func(u *unconfirmed) bool {
+		if u.covered {
+			out.reply(u.call, u.verdict)
 		}
-		return d.checked
+		return u.covered
 	})
 }
 
-// undecide ends doubts that can't be decided: all in an outage, else those that have
-// waited too long.
-func (k *Keeper) undecide(out *outputs, over func(*doubt) bool) {
-	k.doubts = slices.DeleteFunc(k.doubts, func(d *doubt) bool {
-		if !over(d) {
+// abandonUnconfirmed replies "unknown" to the held verdicts that match: all of them when
+// the store is down, else those past their deadlines.
+func (k *Keeper) abandonUnconfirmed(out *outputs, match func(*unconfirmed) bool) {
+	k.unconfirmed = slices.DeleteFunc(k.unconfirmed, func(u *unconfirmed) bool {
+		if !match(u) {
 			return false
 		}
-		k.undecided(out, d.call, d.verdict)
+		k.replyUnknown(out, u.call, u.verdict)
 		return true
 	})
 }
 
-// dropUnsure ends an operation that was not sent. With its intent in the log the
-// key is certainly this keeper's, and "not run" is true; else the head decides.
-func (k *Keeper) dropUnsure(out *outputs, now time.Time, op *operation, v Verdict) {
+// dropUnsent ends an operation that was not sent. If its intent is in the log, no other
+// keeper runs the key, and "not run" is certain; else the verdict is held until the head
+// is confirmed.
+func (k *Keeper) dropUnsent(out *outputs, now time.Time, op *operation, v Verdict) {
 	if op.recorded {
 		k.drop(out, op, v)
 		return
@@ -92,26 +96,27 @@
 	waiters := op.waiters
 	op.waiters = nil
 	k.drop(out, op, Verdict{})
-	v.Epoch = op.order
+	v.Order = op.order
 	for _, w := range waiters {
-		k.doubtful(out, now, w, v)
+		k.replyWhenConfirmed(out, now, w, v)
 	}
 }
 
-// rejoin forgets the log. The host was declared dead: others may have sealed it.
-// The end of a call of the store that is under way says nothing any more, but no
-// other begins before it.
-func (k *Keeper) rejoin(out *outputs) {
+// forgetLog discards the log in memory, as another keeper may have sealed it meanwhile. The
+// result of a read or write of the head in flight is ignored, but no other begins before it
+// ends.
+func (k *Keeper) forgetLog(out *outputs) {
 	busy := k.busy
-	k.lost(out)
-	k.busy, k.outlived = busy, busy
+	k.relinquish(out)
+	k.busy, k.staleCall = busy, busy
 }
 
-// outlasts takes the end of a call of the store that began before a rejoin.
-func (k *Keeper) outlasts() bool {
-	was := k.outlived
-	if was {
-		k.outlived, k.busy = false, false
+// discardStale reports whether the read or write that has just ended began before the log
+// was discarded, so that its result must be ignored.
+func (k *Keeper) discardStale() bool {
+	stale := k.staleCall
+	if stale {
+		k.staleCall, k.busy = false, false
 	}
-	return was
+	return stale
 }
--- a/keeper/fault_test.go
+++ b/keeper/fault_test.go
@@ -10,7 +10,7 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// The steps of a call that must not be repeated, and the faults played at each.
+// Steps of a call that must not be repeated, and the faults injected at them.
 const (
 	received = prover.Received
 	asked    = prover.Asked
@@ -36,13 +36,13 @@
 	crossed   = prover.Crossed
 )
 
-// injection is one fault at the nth time that a step is reached.
+// injection is one fault, injected when a step is reached for the nth time.
 type injection struct {
-	step  prover.Step
-	fault prover.Fault
-	late  bool // kill and freeze: after the step took effect, not before
-	nth   int
-	used  bool
+	step        prover.Step
+	fault       prover.Fault
+	afterEffect bool // kill and freeze: after the step took effect instead of before
+	nth         int
+	used        bool
 }
 
 func (f *injection) kind() prover.Fault {
@@ -52,8 +52,8 @@
 	return f.fault
 }
 
-// take is the fault that hits a step now, if any.
-func (w *world) take(s prover.Step) *injection {
+// nextFault returns the fault to inject at this occurrence of a step, or nil.
+func (w *world) nextFault(s prover.Step) *injection {
 	for _, f := range w.faults {
 		if f.step != s || f.used {
 			continue
@@ -62,28 +62,29 @@
 			continue
 		}
 		f.used = true
-		w.environment(f.fault)
+		w.startOutage(f.fault)
 		return f
 	}
 	return nil
 }
 
-// environment starts the faults that are not of one message.
-func (w *world) environment(f prover.Fault) {
+// startOutage starts a fault of the store as a whole.
+func (w *world) startOutage(f prover.Fault) {
 	switch f {
 	case storeDown:
-		w.store.downUntil = w.now.Add(outage)
+		w.store.downUntil = w.now.Add(outageTime)
 	case storeSlow:
-		w.store.slowUntil = w.now.Add(outage)
+		w.store.slowUntil = w.now.Add(outageTime)
 	}
 }
 
-// around does a step of an actor under a fault that ends or pauses it.
-func (w *world) around(f *injection, stop func(), do func()) {
+// interrupt runs a step of an actor, and stops the actor before or after it if the fault is
+// kill or freeze.
+func (w *world) interrupt(f *injection, stop func(), do func()) {
 	switch {
 	case f.kind() != kill && f.kind() != freeze:
 		do()
-	case f.late:
+	case f.afterEffect:
 		do()
 		stop()
 	case f.kind() == kill:
@@ -94,7 +95,7 @@
 	}
 }
 
-func (w *world) stopper(h *host, f *injection) func() {
+func (w *world) hostStopper(h *host, f *injection) func() {
 	return func() {
 		if f.kind() == kill {
 			w.kill(h)
@@ -104,38 +105,39 @@
 	}
 }
 
-// atEntry does a step of an entry.
-func (w *world) atEntry(s prover.Step, q *request, do func()) {
+// entryStep runs a step of an entry host under the fault injected at it, if any.
+func (w *world) entryStep(s prover.Step, q *request, do func()) {
 	if s == asked {
-		do() // the frame itself takes the fault
+		do() // the fault is injected into the frame
 		return
 	}
-	f := w.take(s)
+	f := w.nextFault(s)
 	e := w.entries[q.entry]
-	w.around(f, func() {
+	w.interrupt(f, func() {
 		if f.kind() == kill {
 			e.dead = true
 		} else {
-			e.thawed = w.now.Add(freezeTime)
+			e.frozenUntil = w.now.Add(freezeTime)
 		}
 	}, func() {
 		switch f.kind() {
-		case cutOne, cutBoth, silence: // the caller is gone; the entry can't tell
+		case cutOne, cutBoth, silence: // the caller is gone; the entry host can't tell
 			do()
 		case slow:
-			w.after(slowness, do)
+			w.after(slowTime, do)
 		case reorder:
 			do()
-			w.after(frameLate, do)
+			w.after(frameDelay, do)
 		default:
 			do()
 		}
 	})
 }
 
-// frame carries a message between an entry and a host.
-func (w *world) frame(s prover.Step, from, to string, do func()) {
-	f := w.take(s)
+// sendFrame delivers a message between an entry host and a keeper's host, under the fault
+// injected at the step, if any.
+func (w *world) sendFrame(s prover.Step, from, to string, do func()) {
+	f := w.nextFault(s)
 	link := from + "-" + to
 	if from > to {
 		link = to + "-" + from
@@ -146,24 +148,24 @@
 	switch f.kind() {
 	case cutOne, silence, crossed:
 	case cutBoth:
-		w.cut[link] = w.now.Add(outage)
+		w.cut[link] = w.now.Add(outageTime)
 	case slow:
-		w.after(slowness, do)
-	case reorder: // twice, and the second time long after
-		w.after(hop, do)
-		w.after(frameLate, do)
+		w.after(slowTime, do)
+	case reorder: // delivered twice, the second time much later
+		w.after(hopTime, do)
+		w.after(frameDelay, do)
 	case kill, freeze:
 		h := w.hosts[from]
 		if h == nil {
 			h = w.hosts[to]
 		}
-		w.around(f, w.stopper(h, f), func() { w.after(hop, do) })
+		w.interrupt(f, w.hostStopper(h, f), func() { w.after(hopTime, do) })
 	default:
-		w.after(hop, do)
+		w.after(hopTime, do)
 	}
 }
 
-// stepOf is the step that an output is.
+// stepOf returns the step that an output performs, or "".
 func stepOf(o keeper.Output, epoch uint64) prover.Step {
 	switch o := o.(type) {
 	case keeper.Acquire:
@@ -187,17 +189,17 @@
 	}
 }
 
-// perform does what a keeper decided.
+// perform carries out an output of a keeper.
 func (w *world) perform(h *host, o keeper.Output) {
 	var f *injection
 	s := stepOf(o, w.store.head.Epoch)
 	if s == outcome && w.owner != h.name {
-		s = handed // the last record of a keeper that hands over
+		s = handed // last record of a keeper that hands over
 	}
 	if s != "" {
-		f = w.take(s)
+		f = w.nextFault(s)
 	}
-	w.around(f, w.stopper(h, f), func() { w.act(&h.actor, func() { w.do(h, o, f) }) })
+	w.interrupt(f, w.hostStopper(h, f), func() { w.act(&h.actor, func() { w.do(h, o, f) }) })
 }
 
 func (w *world) do(h *host, o keeper.Output, f *injection) {
@@ -205,7 +207,7 @@
 	case keeper.Acquire:
 		w.acquire(h, o, f)
 	case keeper.Ready:
-		w.frame("", h.name, o.To, func() { w.confirm(h, o) })
+		w.sendFrame("", h.name, o.To, func() { w.answerReady(h, o) })
 	case keeper.Send:
 		w.send(h, o, f)
 	case keeper.Reply:
@@ -213,15 +215,15 @@
 		if o.Verdict.Kind == keeper.KindMoved {
 			s = handed
 		}
-		w.frame(s, h.name, o.To, func() { w.heard(o) })
+		w.sendFrame(s, h.name, o.To, func() { w.receiveReply(o) })
 	case keeper.WriteHead:
-		w.write(h, o, f)
+		w.writeHead(h, o, f)
 	case keeper.ReadHead:
-		w.stored(h, func(down bool) keeper.Input { return w.readHead(down) })
-	case keeper.WriteSegment: // larger than a head, so later
+		w.callStore(h, func(down bool) keeper.Input { return w.readHead(down) })
+	case keeper.WriteSegment: // takes longer than a head, as it is larger
 		w.after(4*storeTime, func() { w.writeSegment(h, o) })
 	case keeper.ReadSegment:
-		w.stored(h, func(down bool) keeper.Input {
+		w.callStore(h, func(down bool) keeper.Input {
 			if down {
 				return keeper.SegmentRead{Segment: o.Segment, Result: keeper.Down}
 			}
@@ -229,52 +231,52 @@
 			if !ok && w.store.era() > 0 {
 				return keeper.SegmentRead{Segment: o.Segment, Result: keeper.Missing}
 			}
-			return keeper.SegmentRead{Segment: o.Segment, Result: keeper.Done, Entries: entries}
+			return keeper.SegmentRead{Segment: o.Segment, Result: keeper.Done, Records: entries}
 		})
 	case keeper.DropSegment:
 		if slices.Contains(w.store.head.Segments, o.Segment) && w.store.era() == 0 {
-			w.wrong = append(w.wrong, "a segment was deleted that the head names")
+			w.violations = append(w.violations, "a segment was deleted that the head names")
 		}
 		delete(w.store.segments, o.Segment)
-		w.store.keep(w.now)
+		w.store.saveSnapshot(w.now)
 	}
 }
 
 func (w *world) writeSegment(h *host, o keeper.WriteSegment) {
-	w.stored(h, func(down bool) keeper.Input {
+	w.callStore(h, func(down bool) keeper.Input {
 		if down {
 			return keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Down}
 		}
-		w.store.segments[o.Segment] = o.Entries
-		w.store.keep(w.now)
+		w.store.segments[o.Segment] = o.Records
+		w.store.saveSnapshot(w.now)
 		return keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Done}
 	})
 }
 
 func (w *world) acquire(h *host, o keeper.Acquire, f *injection) {
 	p := keeper.Placed{ID: o.ID, Attempt: o.Attempt}
-	if w.full {
-		w.after(2*hop, func() { w.input(h, keeper.Unplaced{ID: o.ID, Attempt: o.Attempt, Reason: "queue_full"}) })
+	if w.placesRefused {
+		w.after(2*hopTime, func() { w.input(h, keeper.Unplaced{ID: o.ID, Attempt: o.Attempt, Reason: "queue_full"}) })
 		return
 	}
 	switch f.kind() {
-	case cutOne, cutBoth, silence: // the dispatcher's grant never comes
+	case cutOne, cutBoth, silence: // the dispatcher's grant is lost
 		w.after(deadline, func() {
 			w.input(h, keeper.Unplaced{ID: o.ID, Attempt: o.Attempt, Reason: keeper.ReasonDeadline})
 		})
 	case slow:
-		w.after(slowness, func() { w.input(h, p) })
+		w.after(slowTime, func() { w.input(h, p) })
 	case reorder:
-		w.after(2*hop, func() { w.input(h, p) })
-		w.after(frameLate, func() { w.input(h, p) })
+		w.after(2*hopTime, func() { w.input(h, p) })
+		w.after(frameDelay, func() { w.input(h, p) })
 	default:
-		w.after(2*hop, func() { w.input(h, p) })
+		w.after(2*hopTime, func() { w.input(h, p) })
 	}
 }
 
-// answer is a worker's answer on its way back.
+// answer delivers a worker's answer under the fault injected at that step, if any.
 func (w *world) answer(h *host, o keeper.Send, fate keeper.CallResult, a *keeper.Answer) {
-	f := w.take(answered)
+	f := w.nextFault(answered)
 	in := func() {
 		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: fate, Answer: a})
 	}
@@ -283,39 +285,39 @@
 	}
 	switch f.kind() {
 	case kill, freeze:
-		w.around(f, w.stopper(h, f), in)
+		w.interrupt(f, w.hostStopper(h, f), in)
 	case cutOne, cutBoth, crossed, lostReply:
 		lose()
 	case silence:
-		w.after(storeLimit, lose)
+		w.after(storeTimeout, lose)
 	case slow:
-		w.after(slowness, in)
+		w.after(slowTime, in)
 	case reorder:
 		in()
-		w.after(frameLate, in)
+		w.after(frameDelay, in)
 	default:
 		in()
 	}
 }
 
-// store is the Object API's one head and its segments.
+// store simulates the Object API: one head and its segments.
 type store struct {
 	head      keeper.Head
 	version   storer.Version
 	revision  storer.Version
-	segments  map[keeper.Segment][]*keeper.Entry
+	segments  map[keeper.Segment][]*keeper.Record
 	downUntil time.Time
 	slowUntil time.Time
 	writes    int
 	reads     int
-	past      []copied
+	snapshots []snapshot
 }
 
-// stored does a call of the store.
-func (w *world) stored(h *host, do func(down bool) keeper.Input) {
+// callStore runs a call of the store, and returns its result to the keeper after a delay.
+func (w *world) callStore(h *host, do func(down bool) keeper.Input) {
 	took := storeTime
 	if w.now.Before(w.store.slowUntil) {
-		took += slowness
+		took += slowTime
 	}
 	w.after(took, func() {
 		in := do(w.now.Before(w.store.downUntil))
@@ -335,48 +337,48 @@
 	}
 }
 
-// put is the conditional write itself.
-func (w *world) put(o keeper.WriteHead) keeper.HeadWritten {
+// putHead is the conditional write of the head.
+func (w *world) putHead(o keeper.WriteHead) keeper.HeadWritten {
 	if o.Match.Revision() != w.store.version.Revision() {
 		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Conflict}
 	}
 	for _, s := range o.Head.Segments {
 		if _, ok := w.store.segments[s]; !ok && w.store.era() == 0 {
-			w.wrong = append(w.wrong, fmt.Sprintf("the head names segment %d-%d, which is not stored", s.Epoch, s.Sequence))
+			w.violations = append(w.violations, fmt.Sprintf("the head names segment %d-%d, which is not stored", s.Epoch, s.Sequence))
 		}
 	}
 	w.store.revision++
 	w.store.writes++
 	w.store.head, w.store.version = o.Head, w.store.revision
-	w.store.keep(w.now)
+	w.store.saveSnapshot(w.now)
 	if o.Match != 0 && o.Match.Era() != w.store.era() {
-		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Lost} // its revision was given out again
+		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Lost} // its revision was assigned again after a restore
 	}
 	return keeper.HeadWritten{Stamp: o.Head.Stamp, Version: w.store.version, Result: keeper.Done}
 }
 
-func (w *world) write(h *host, o keeper.WriteHead, f *injection) {
+func (w *world) writeHead(h *host, o keeper.WriteHead, f *injection) {
 	lost := keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Lost}
 	switch f.kind() {
 	case lostReply:
-		w.put(o)
+		w.putHead(o)
 		w.after(storeTime, func() { w.input(h, lost) })
 	case cutOne:
 		w.after(storeTime, func() { w.input(h, lost) })
-	case cutBoth: // the write is under way when the connection breaks
-		w.after(outage, func() { w.put(o) })
+	case cutBoth: // the write is in flight when the connection breaks
+		w.after(outageTime, func() { w.putHead(o) })
 		w.after(storeTime, func() { w.input(h, lost) })
 	case silence:
-		w.after(storeLimit, func() { w.input(h, lost) })
+		w.after(storeTimeout, func() { w.input(h, lost) })
 	case reorder:
-		w.after(frameLate, func() { w.put(o) })
+		w.after(frameDelay, func() { w.putHead(o) })
 		fallthrough
 	default:
-		w.stored(h, func(down bool) keeper.Input {
+		w.callStore(h, func(down bool) keeper.Input {
 			if down {
 				return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Down}
 			}
-			return w.put(o)
+			return w.putHead(o)
 		})
 	}
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -1,16 +1,19 @@
 // Package keeper decides whether a call that must not be repeated may run.
 //
-// A Keeper keeps one partition of operation keys. It is pure: time comes in as
-// an argument, what happened as an Input, and what is to be done goes out as
-// Outputs. Its log is one head object, replaced by conditional writes only:
+// A Keeper owns one partition of operation keys. It is a state machine without side
+// effects: the caller passes in the time and an Input, and carries out the Outputs that
+// are returned. Its log has one head object, which is replaced by conditional writes only.
+// The following holds:
 //
-//   - a call is sent only after its intent is recorded, and after the entry that
-//     asked has said that it still waits;
-//   - a new keeper first replaces the head with its own epoch, after which no
-//     write of an earlier keeper can succeed, however long that one was paused;
-//   - a recorded intent without an outcome may have run, and is never sent again.
+//   - a call is sent only after its intent is recorded, and after the entry host that
+//     forwarded it has confirmed that the request still waits;
+//   - a new keeper first seals the log: it replaces the head with one of its own epoch,
+//     after which no write of an earlier keeper can succeed, however long that keeper was
+//     paused;
+//   - a call whose intent is recorded without an outcome may have run, and is never sent
+//     again.
 //
-// No clock decides about any of this: clocks only end waiting and forget.
+// None of this depends on a clock: clocks only end waiting and expire old records.
 package keeper
 
 import (
@@ -19,76 +22,76 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// phase is how far a keeper has come in taking its partition.
+// phase is the state of a keeper's takeover of its partition.
 type phase uint8
 
 const (
-	phaseIdle    phase = iota // knows nothing
-	phaseReading              // reads the head
-	phaseSealing              // writes its epoch into the head
-	phaseLoading              // reads the segments
+	phaseIdle    phase = iota // nothing loaded
+	phaseReading              // reading the head
+	phaseSealing              // writing its epoch into the head
+	phaseLoading              // reading the segments
 	phaseReady
 )
 
-// Keeper keeps one partition. It is not safe for concurrent use.
+// Keeper owns one partition of operation keys. It is not safe for concurrent use.
 type Keeper struct {
-	settings Settings
-	name     string
-	incarn   uint64
-	phase    phase
+	settings    Settings
+	name        string
+	incarnation uint64
+	phase       phase
 
-	head     Head           // as last confirmed
-	version  storer.Version // of head; 0 where there is none
-	era      uint64         // of the store, at the last read or write
-	owned    uint64         // the latest era of the store in which the host still owned the partition
-	writes   uint64         // stamps given out
-	tried    []*commit
-	busy     bool      // a read or write of the head is under way
-	outlived bool      // the call under way began before a rejoin
-	unsure   bool      // a write may have taken effect: read back first
-	retryAt  time.Time // of the store, while it is down; zero while it is not
-	tokens   float64   // commits that may start at once
-	filled   time.Time // when tokens were last counted
+	head       Head           // as last read or written
+	version    storer.Version // of head; 0 if there is none
+	era        uint64         // of the store, as of the last read or write
+	ownedEra   uint64         // latest era of the store for which the host confirmed that it still owned the partition
+	writes     uint64         // stamps issued
+	unsettled  []*commit      // writes on top of version whose result is unknown
+	busy       bool           // a read or write of the head is in flight
+	staleCall  bool           // the read or write in flight began before the log was discarded
+	uncertain  bool           // a write may have taken effect: read the head before the next write
+	retryAt    time.Time      // when to try the store again; zero unless it is down
+	tokens     float64        // token bucket of commits and confirming reads
+	refilledAt time.Time      // when tokens were last refilled
 
-	open     bool // to be read although nobody asks
-	retired  bool // another host owns the partition
-	early    []Call
-	doubts   []*doubt // "not run" that waits for the head
-	ops      map[ID]*operation
-	serial   uint64
-	attempts int // Acquires so far
-	records  map[ID]*Entry
-	lastAt   int64
-	loadedAt int64     // lastAt when the log was loaded
-	readAt   time.Time // when the head was read that the log was loaded by
-	answers  fifo
-	pending  queue
+	loadWanted  bool           // load the log although no call waits for it
+	retired     bool           // another host owns the partition
+	queued      []Call         // waiting until the log is loaded
+	unconfirmed []*unconfirmed // "not run" and "reused" verdicts that wait for a confirmed head
+	ops         map[ID]*operation
+	serial      uint64 // operations started so far
+	acquires    int    // number of the last Acquire
+	records     map[ID]*Record
+	lastAt      int64     // latest At of any record
+	loadedAt    int64     // lastAt when the log was loaded
+	readAt      time.Time // when the read began of the head from which the log was loaded
+	answers     fifo
+	pending     queue // records not yet in the log
 
-	wanted   map[Segment]bool // segments still to read
-	loaded   map[Segment][]*Entry
-	archive  *archive
-	merge    *merge
-	sequence uint64
+	missingSegments map[Segment]bool // requested by the load in progress
+	loaded          map[Segment][]*Record
+	archive         *archive
+	merge           *merge
+	sequence        uint64 // of the last segment named
 }
 
-// New returns the keeper of a partition on the host of that name. Incarnations
-// of a host differ, so that its stamps do.
+// New returns a keeper for one partition on the named host. The incarnation must differ
+// between restarts of a host, so that no two writes share a Stamp.
 func New(host string, incarnation uint64, s Settings) *Keeper {
 	s = s.WithDefaults()
 	return &Keeper{
-		settings: s, name: host, incarn: incarnation, tokens: s.Burst,
-		ops: map[ID]*operation{}, records: map[ID]*Entry{}, pending: newQueue(),
+		settings: s, name: host, incarnation: incarnation, tokens: s.Burst,
+		ops: map[ID]*operation{}, records: map[ID]*Record{}, pending: newQueue(),
 	}
 }
 
-// Handle takes one input and returns what it causes, in order.
+// Handle applies one input and returns the resulting outputs, in order.
 func (k *Keeper) Handle(now time.Time, in Input) []Output {
 	var out outputs
 	switch in := in.(type) {
 	case CallReceived:
-		k.ask(&out, now, in.Call)
+		k.receiveCall(&out, now, in.Call)
 	case ReadyAnswered:
-		k.went(&out, now, in)
+		k.readyAnswered(&out, now, in)
 	case Placed:
 		k.placed(&out, now, in)
 	case Unplaced:
@@ -96,30 +99,30 @@
 	case Answered:
 		k.answered(&out, now, in)
 	case HeadWritten:
-		k.wrote(&out, now, in)
+		k.headWritten(&out, now, in)
 	case HeadRead:
 		k.headRead(&out, now, in)
 	case SegmentRead:
 		k.segmentRead(&out, now, in)
 	case SegmentWritten:
-		k.segmentWrote(&out, now, in)
+		k.segmentWritten(&out, now, in)
 	case Retired:
 		k.retire(&out, now)
 	case LoadRequested:
 		k.retired = false
-		k.open = k.phase == phaseIdle
+		k.loadWanted = k.phase == phaseIdle
 	case StoreRestored:
-		k.restored(&out, in)
+		k.storeRestored(&out, in)
 	case Rejoined:
-		k.rejoin(&out)
+		k.forgetLog(&out)
 	case Ticked:
 		k.tick(&out, now)
 	}
-	k.pump(&out, now)
+	k.startStoreCalls(&out, now)
 	return out
 }
 
-// outputs collects what one input causes.
+// outputs collects the outputs of one input.
 type outputs []Output
 
 func (o *outputs) add(x Output) { *o = append(*o, x) }
@@ -128,16 +131,17 @@
 	o.add(Reply{To: c.From, Request: c.Request, Verdict: v})
 }
 
-// order is the place of the keeper's newest operation among all of its
-// partition: it grows within an epoch and with every epoch.
-func (k *Keeper) order() uint64 {
+// latestOrder returns the order number of the newest operation: the epoch in the upper 32
+// bits, a serial number in the lower ones. It increases within an epoch and with every
+// epoch, across all keepers of the partition. It is 0 while the log isn't loaded.
+func (k *Keeper) latestOrder() uint64 {
 	if k.phase != phaseReady {
 		return 0
 	}
 	return k.head.Epoch<<32 | k.serial
 }
 
-func (k *Keeper) ask(out *outputs, now time.Time, c Call) {
+func (k *Keeper) receiveCall(out *outputs, now time.Time, c Call) {
 	k.retired = k.retired && k.ops[c.ID] != nil
 	if k.phase == phaseReady {
 		k.admit(out, now, c)
@@ -145,135 +149,135 @@
 	}
 	switch {
 	case k.down(now):
-		out.reply(c, k.unread(ReasonStore))
-	case len(k.early) >= k.settings.MaxOperations:
-		out.reply(c, k.unread(ReasonBusy))
+		out.reply(c, k.notLoaded(ReasonStore))
+	case len(k.queued) >= k.settings.MaxOperations:
+		out.reply(c, k.notLoaded(ReasonBusy))
 	default:
-		k.early = append(k.early, c)
+		k.queued = append(k.queued, c)
 	}
 }
 
-// unread is what a keeper says that has not read its log. This request was not
-// run, but its key may have been, for an earlier request whose answer was lost:
-// to call that "not run" would have a caller book a second time.
-func (k *Keeper) unread(reason string) Verdict {
+// notLoaded returns the verdict of a keeper that has not loaded its log. This request did
+// not run, but an earlier request with the same key may have, and its answer may have been
+// lost: on "not run", the caller would book a second time.
+func (k *Keeper) notLoaded(reason string) Verdict {
 	return Verdict{Kind: KindUnknown, Reason: reason, After: k.settings.RetryInterval}
 }
 
-// down says that the store was down when last tried, and is not to be tried yet.
+// down reports whether the store was down when last tried and must not be retried yet.
 func (k *Keeper) down(now time.Time) bool { return now.Before(k.retryAt) }
 
-// tick ends what has waited too long.
+// tick ends waits that are past their deadlines.
 func (k *Keeper) tick(out *outputs, now time.Time) {
-	waiting := k.early[:0]
-	for _, c := range k.early {
+	waiting := k.queued[:0]
+	for _, c := range k.queued {
 		if now.Before(c.Deadline) {
 			waiting = append(waiting, c)
 			continue
 		}
-		out.reply(c, k.unread(ReasonDeadline))
+		out.reply(c, k.notLoaded(ReasonDeadline))
 	}
-	k.early = waiting
-	for _, op := range k.sorted() {
-		k.age(out, now, op)
+	k.queued = waiting
+	for _, op := range k.operationsByOrder() {
+		k.expireWaiters(out, now, op)
 	}
-	k.undecide(out, func(d *doubt) bool { return !now.Before(d.until) })
+	k.abandonUnconfirmed(out, func(u *unconfirmed) bool { return !now.Before(u.deadline) })
 	if k.retired && k.phase == phaseReady && !k.busy && len(k.ops) == 0 && k.pending.len() == 0 {
-		k.lost(out) // the memory is not needed any more
+		k.relinquish(out) // the log isn't needed in memory any more
 	}
 }
 
-// outage answers at once what needs the store. An operation whose intent is
-// recorded goes on: it needs the store only for its outcome.
-func (k *Keeper) outage(out *outputs, now time.Time) {
+// storeFailed immediately answers the calls that need the store. An operation whose intent
+// is recorded continues: it needs the store only to record its outcome.
+func (k *Keeper) storeFailed(out *outputs, now time.Time) {
 	k.retryAt = now.Add(k.settings.RetryInterval)
 	if k.phase < phaseLoading {
-		// A seal that still arrives does no harm: the next one goes on top of it.
-		k.phase, k.tried, k.unsure = phaseIdle, nil, false
+		// A seal that takes effect later does no harm: the next one replaces it.
+		k.phase, k.unsettled, k.uncertain = phaseIdle, nil, false
 	}
-	early := k.early
-	k.early = nil
-	for _, c := range early {
-		out.reply(c, k.unread(ReasonStore))
+	queued := k.queued
+	k.queued = nil
+	for _, c := range queued {
+		out.reply(c, k.notLoaded(ReasonStore))
 	}
-	for _, op := range k.sorted() {
+	for _, op := range k.operationsByOrder() {
 		switch {
 		case op.stage == stageAnswered:
 			k.finish(out, op)
 		case !op.recorded:
-			k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonStore, After: k.settings.RetryInterval})
+			k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonStore, After: k.settings.RetryInterval})
 		}
 	}
-	k.undecide(out, func(d *doubt) bool {
-		d.verdict.Reason = ReasonStore
+	k.abandonUnconfirmed(out, func(u *unconfirmed) bool {
+		u.verdict.Reason = ReasonStore
 		return true
 	})
 }
 
-// lost gives the partition up: another keeper has sealed it. Nothing that is
-// not sent yet is sent any more. Calls under way go on, and their callers get
-// the answers; the next keeper takes them for calls that may have run.
-func (k *Keeper) lost(out *outputs) {
-	for _, op := range k.sorted() {
+// relinquish gives up the partition, as when another keeper has sealed it. Calls that have
+// not been sent are dropped. Calls in flight continue, and their callers get the answers;
+// to the next keeper they are calls that may have run.
+func (k *Keeper) relinquish(out *outputs) {
+	for _, op := range k.operationsByOrder() {
 		switch op.stage {
 		case stageAnswered:
 			k.finish(out, op)
 		case stageSent:
 		default:
-			// Never "not run", though this keeper did not send it: it stood on an old
-			// log, and the key may have run for an earlier request under the keeper
-			// that sealed it. That one knows.
+			// Never "not run", although this keeper did not send it: its log is
+			// outdated, and the key may have run for another request under the keeper
+			// that sealed the log. Only that keeper knows.
 			k.drop(out, op, Verdict{Kind: KindMoved, Reason: ReasonMoved})
 		}
 	}
-	for _, c := range k.early {
+	for _, c := range k.queued {
 		out.reply(c, Verdict{Kind: KindMoved, Reason: ReasonMoved})
 	}
-	for _, d := range k.doubts {
-		out.reply(d.call, Verdict{Kind: KindMoved, Reason: ReasonMoved})
+	for _, u := range k.unconfirmed {
+		out.reply(u.call, Verdict{Kind: KindMoved, Reason: ReasonMoved})
 	}
-	k.phase, k.early, k.doubts = phaseIdle, nil, nil
-	k.head, k.version, k.tried = Head{}, 0, nil
-	k.busy, k.unsure, k.archive, k.merge = false, false, nil, nil
-	k.records, k.answers, k.pending = map[ID]*Entry{}, fifo{}, newQueue()
+	k.phase, k.queued, k.unconfirmed = phaseIdle, nil, nil
+	k.head, k.version, k.unsettled = Head{}, 0, nil
+	k.busy, k.uncertain, k.archive, k.merge = false, false, nil, nil
+	k.records, k.answers, k.pending = map[ID]*Record{}, fifo{}, newQueue()
 }
 
-// retire hands the partition over: what has no place yet asks the next keeper,
-// what has one ends here.
+// retire hands the partition over: calls without a place are referred to the next keeper,
+// the others are finished here.
 func (k *Keeper) retire(out *outputs, _ time.Time) {
 	k.retired = true
-	for _, c := range k.early {
+	for _, c := range k.queued {
 		out.reply(c, Verdict{Kind: KindMoved, Reason: ReasonMoved})
 	}
-	k.early = nil
-	for _, op := range k.sorted() {
+	k.queued = nil
+	for _, op := range k.operationsByOrder() {
 		if op.intent == nil {
 			k.drop(out, op, Verdict{Kind: KindMoved, Reason: ReasonMoved})
 		}
 	}
 }
 
-// InFlight says whether an operation is in flight.
+// InFlight reports whether an operation is in flight.
 func (k *Keeper) InFlight(id ID) bool { return k.ops[id] != nil }
 
-// Summary is a keeper's state in figures, for a dump.
+// Summary is a keeper's counters, for state dumps.
 type Summary struct {
 	Ready       bool   `json:"ready"`
-	Down        bool   `json:"down"` // the store did not answer
+	Down        bool   `json:"down"` // the store did not answer when last tried
 	Epoch       uint64 `json:"epoch"`
 	Operations  int    `json:"operations"`
-	Unconfirmed int    `json:"doubts"` // refusals that wait for the head
+	Unconfirmed int    `json:"doubts"` // verdicts that wait for a confirmed head
 	Sent        int    `json:"sent"`
 	Records     int    `json:"records"`
-	Pending     int    `json:"pending"` // records not yet in the store
+	Pending     int    `json:"pending"` // records not yet in the log
 	Segments    int    `json:"segments"`
-	Answers     int    `json:"answers"` // bytes in memory
+	Answers     int    `json:"answers"` // bytes of answers in memory
 }
 
-// Summary returns the keeper's state in figures.
+// Summary returns the keeper's counters.
 func (k *Keeper) Summary() Summary {
 	s := Summary{
-		Ready: k.phase == phaseReady, Down: !k.retryAt.IsZero(), Epoch: k.head.Epoch, Operations: len(k.ops), Unconfirmed: len(k.doubts),
+		Ready: k.phase == phaseReady, Down: !k.retryAt.IsZero(), Epoch: k.head.Epoch, Operations: len(k.ops), Unconfirmed: len(k.unconfirmed),
 		Records: len(k.records), Pending: k.pending.len(), Segments: len(k.head.Segments), Answers: k.answers.bytes,
 	}
 	for _, op := range k.ops {
--- a/keeper/keeping_test.go
+++ b/keeper/keeper_test.go
@@ -11,28 +11,28 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-// verdicts plays a world to its end and returns what each request was told.
+// verdicts runs a simulation to its end and returns the verdict on each request.
 func verdicts(w *world) map[string]keeper.Verdict {
 	GinkgoHelper()
-	check(w)
+	playAndCheck(w)
 	out := map[string]keeper.Verdict{}
 	for _, q := range w.order {
-		out[q.id] = *q.told
+		out[q.id] = *q.verdict
 	}
 	return out
 }
 
-// dated is a key that carries a time of the world.
-func dated(at time.Time) string {
+// datedKey returns a key that carries a time of the simulation.
+func datedKey(at time.Time) string {
 	x := fmt.Sprintf("%012x", at.UnixMilli())
 	return x[:8] + "-" + x[8:] + "-7000-8000-000000000000"
 }
 
 var _ = Describe("Keeper", func() {
-	// The platform is down when a passenger books. The hold is refused at once,
-	// not at its deadline, and the same key runs after. The keeper can't tell whether
-	// another one has sealed its log, so it does not say "not run".
-	It("refuses at once in an outage, and the key runs after it", func() {
+	// The store is down when calls arrive. They must be refused immediately, not at their
+	// deadlines, and the same key must run after the outage. The keeper can't know whether
+	// another one has sealed its log, so the verdict must not be "not run".
+	It("refuses immediately in an outage, and the key runs after it", func() {
 		w := newWorld(keeper.Settings{})
 		w.request(0, "r1", "k1", "seat", "e1")
 		w.after(time.Second, func() { w.store.downUntil = w.now.Add(5 * time.Second) })
@@ -42,8 +42,8 @@
 		w.request(8*time.Second, "r5", "k2", "seat", "e1")
 		v := verdicts(w)
 		Expect(v["r2"].Reason).To(Equal(keeper.ReasonStore))
-		Expect(w.requests["r2"].toldAt.Sub(w.requests["r2"].began)).To(BeNumerically("<", 100*time.Millisecond))
-		Expect(w.requests["r3"].toldAt.Sub(w.requests["r3"].began)).To(BeNumerically("<", 10*time.Millisecond))
+		Expect(w.requests["r2"].verdictAt.Sub(w.requests["r2"].began)).To(BeNumerically("<", 100*time.Millisecond))
+		Expect(w.requests["r3"].verdictAt.Sub(w.requests["r3"].began)).To(BeNumerically("<", 10*time.Millisecond))
 		for _, r := range []string{"r2", "r3"} {
 			Expect(v[r].Kind).To(Equal(keeper.KindUnknown))
 			Expect(v[r].After).To(BeNumerically(">", 0))
@@ -52,9 +52,10 @@
 		Expect(v["r5"].Kind).To(Equal(keeper.KindRan))
 	})
 
-	// A partition is taken before anybody asks for it, and then the platform goes
-	// down. A hold that ran under the earlier keeper still gets its answer.
-	It("reads its log unasked", func() {
+	// A partition moves, its new keeper loads the log before any call arrives, and then the
+	// store goes down. A repeat of a call that ran under the previous keeper still gets its
+	// answer.
+	It("loads its log before any call arrives", func() {
 		w := newWorld(keeper.Settings{})
 		w.request(0, "r1", "k1", "seat", "e1")
 		w.after(time.Second, func() { w.handOver() })
@@ -67,11 +68,11 @@
 		Expect(v["r3"]).To(SatisfyAll(HaveField("Kind", keeper.KindUnknown), HaveField("Reason", keeper.ReasonStore)))
 	})
 
-	// A hold is at the booking application when its keeper's host dies, and then the
-	// platform goes down. The passenger books again with the same key. The next
-	// keeper can't read the log: "not run" would have the boat held twice.
-	It("does not say not run before it has read its log", func() {
-		w := newWorld(keeper.Settings{}, &injection{step: sent, fault: kill, late: true})
+	// A call has been sent when its keeper's host fails, and then the store goes down. The
+	// call is repeated with the same key. The next keeper can't read the log: on "not run",
+	// the caller would run the call twice.
+	It("does not reply not run before it has loaded its log", func() {
+		w := newWorld(keeper.Settings{}, &injection{step: sent, fault: kill, afterEffect: true})
 		w.request(0, "r1", "k1", "seat", "e1")
 		w.after(2*time.Second, func() { w.store.downUntil = w.now.Add(8 * time.Second) })
 		w.request(5*time.Second, "r2", "k1", "seat", "e2")
@@ -84,9 +85,9 @@
 		Expect(v["r4"].Kind).To(Equal(keeper.KindUnknown))
 	})
 
-	// The store takes the intent but its reply is lost, and it is down at once
-	// after. The hold is told at once to ask again. The keeper changes. The passenger books
-	// again with the same key: the void intent must not stand in the way.
+	// The store writes the intent but its reply is lost, and it goes down right after. The
+	// caller is asked to repeat the call. The keeper changes, and the call is repeated with
+	// the same key: the voided intent must not prevent it from running.
 	It("voids an intent that may be recorded, so that the key can run", func() {
 		w := newWorld(keeper.Settings{}, &injection{step: intent, fault: lostReply, nth: 1})
 		w.request(0, "r1", "k1", "seat", "e1")
@@ -99,39 +100,39 @@
 		Expect(v["r3"].Kind).To(Equal(keeper.KindRan))
 	})
 
-	// The answer came, but the store does not take its outcome, or takes long. The
-	// caller gets the answer after the grace, and a repeated key the same one.
-	DescribeTable("gives an answer although its outcome is not recorded yet",
+	// The answer has arrived, but the store is down or slow as the outcome is recorded. The
+	// caller gets the answer after OutcomeGrace at the latest, and a repeat gets the same one.
+	DescribeTable("sends an answer although its outcome is not recorded yet",
 		func(f prover.Fault) {
 			w := newWorld(keeper.Settings{}, &injection{step: outcome, fault: f})
 			w.request(0, "r1", "k1", "seat", "e1")
 			w.request(800*time.Millisecond, "r2", "k1", "seat", "e2")
 			v := verdicts(w)
 			Expect(v["r1"].Kind).To(Equal(keeper.KindRan))
-			Expect(w.requests["r1"].toldAt.Sub(w.requests["r1"].began)).To(BeNumerically("<", time.Second))
+			Expect(w.requests["r1"].verdictAt.Sub(w.requests["r1"].began)).To(BeNumerically("<", time.Second))
 			Expect(v["r2"].Answer).To(Equal(v["r1"].Answer))
 		},
 		Entry("store down", storeDown),
 		Entry("store slow", storeSlow),
 	)
 
-	// A hold's frame arrives twice, the second time long after the passenger was
-	// told that no worker took it, and the entry's first word on it is lost. It must
-	// not run before the entry has spoken.
+	// A call's frame arrives twice, the second time long after the caller was told that no
+	// worker took it, and the entry host's first answer to the keeper's Ready is lost. The
+	// call must not run before the entry host has confirmed it.
 	It("does not run a request whose caller has been answered", func() {
 		w := newWorld(keeper.Settings{MaxTries: 1}, &injection{step: asked, fault: reorder}, &injection{step: asked, fault: cutOne, nth: 1})
-		w.refuse = 1
+		w.refusals = 1
 		w.request(0, "r1", "k1", "seat", "e1")
 		Expect(verdicts(w)["r1"].Kind).To(Equal(keeper.KindNotRun))
 		Expect(w.runs).To(BeEmpty())
 	})
 
-	// A worker that is leaving refuses a hold and says that it did not run it.
-	// The keeper tries another, and gives up after some tries.
+	// A draining worker refuses a call and reports that it did not run it. The keeper tries
+	// other workers, up to MaxTries.
 	DescribeTable("tries another worker only after a certain not run",
 		func(refused int, want keeper.Kind) {
 			w := newWorld(keeper.Settings{})
-			w.refuse = refused
+			w.refusals = refused
 			w.request(0, "r1", "k1", "seat", "e1")
 			w.request(time.Second, "r2", "k1", "seat", "e1")
 			v := verdicts(w)
@@ -143,32 +144,32 @@
 		Entry("all refuse", 8, keeper.KindNotRun),
 	)
 
-	// A key comes back long after its record was forgotten. One that carries its
-	// date must not run a second time; it is told that it may have run.
-	It("never runs a dated key again that it has forgotten", func() {
-		w := newWorld(keeper.Settings{MaxTailBytes: 1, Retention: 2 * time.Second})
-		old := dated(w.start.Add(-time.Second))
+	// A key that carries a date is repeated long after its record has expired. It must not run
+	// a second time: the verdict is that it may have run.
+	It("never runs a dated key again whose record has expired", func() {
+		w := newWorld(keeper.Settings{ArchiveTailBytes: 1, Retention: 2 * time.Second})
+		old := datedKey(w.start.Add(-time.Second))
 		w.request(0, "r1", old, "seat", "e1")
 		for i := range 8 {
-			w.request(time.Duration(i+1)*time.Second, fmt.Sprintf("x%d", i), dated(w.start.Add(time.Duration(i)*time.Second)), "seat", "e2")
+			w.request(time.Duration(i+1)*time.Second, fmt.Sprintf("x%d", i), datedKey(w.start.Add(time.Duration(i)*time.Second)), "seat", "e2")
 		}
 		w.request(10*time.Second, "r2", old, "seat", "e1")
 		w.after(15*time.Second, func() { w.handOver() })
 		w.request(16*time.Second, "r3", old, "seat", "e1")
-		w.request(17*time.Second, "r4", dated(w.start.Add(16*time.Second)), "seat", "e1")
+		w.request(17*time.Second, "r4", datedKey(w.start.Add(16*time.Second)), "seat", "e1")
 		v := verdicts(w)
 		Expect(v["r1"].Kind).To(Equal(keeper.KindRan))
 		Expect(v["r2"]).To(SatisfyAll(HaveField("Kind", keeper.KindUnknown), HaveField("Reason", keeper.ReasonExpired)))
 		Expect(v["r3"]).To(SatisfyAll(HaveField("Kind", keeper.KindUnknown), HaveField("Reason", keeper.ReasonExpired)))
 		Expect(v["r4"].Kind).To(Equal(keeper.KindRan))
-		Expect(len(w.store.segments)).To(BeNumerically("<", 6), "forgotten segments are deleted")
+		Expect(len(w.store.segments)).To(BeNumerically("<", 6), "expired segments are deleted")
 	})
 
-	// A hold takes long. Its record and those of many others are archived and
-	// merged meanwhile. The next keeper must know the answer of each, and the head
-	// names few segments.
-	It("merges segments and loses nothing", func() {
-		w := newWorld(keeper.Settings{MaxTailBytes: 1}, &injection{step: sent, fault: slow})
+	// A call takes long, and meanwhile its record and those of many others are archived and
+	// merged. The next keeper must know the answer of each, and the head must name few
+	// segments.
+	It("merges segments without losing records", func() {
+		w := newWorld(keeper.Settings{ArchiveTailBytes: 1}, &injection{step: sent, fault: slow})
 		w.request(0, "slow", "slow", "seat", "e1")
 		for i := range 12 {
 			w.request(time.Duration(100*(i+1))*time.Millisecond, fmt.Sprintf("r%d", i), fmt.Sprintf("k%d", i), "seat", "e2")
@@ -188,10 +189,10 @@
 		Expect(w.store.head.Segments).To(ContainElement(HaveField("Level", BeNumerically(">", 0))))
 	})
 
-	// The write that forgets a record fails. Its key must still be known.
-	It("forgets only what the head has dropped", func() {
-		w := newWorld(keeper.Settings{MaxTailBytes: 1, Retention: 2 * time.Second})
-		old := dated(w.start)
+	// The write of the head that drops an expired record fails. Its key must still be known.
+	It("forgets only records that the head has dropped", func() {
+		w := newWorld(keeper.Settings{ArchiveTailBytes: 1, Retention: 2 * time.Second})
+		old := datedKey(w.start)
 		w.request(0, "r1", old, "seat", "e1")
 		w.request(time.Second, "r2", "k2", "seat", "e1")
 		w.after(5*time.Second, func() {
@@ -205,9 +206,9 @@
 		Expect(v["r4"].Kind).To(Equal(keeper.KindRan))
 	})
 
-	// One caller sends more holds than the keeper may have in flight, or keeps;
-	// the rest are refused at once, and memory does not grow.
-	DescribeTable("bounds what it holds",
+	// A caller sends more calls than the keeper may have in flight or in memory. The excess is
+	// refused immediately, and memory does not grow.
+	DescribeTable("bounds operations and records",
 		func(s keeper.Settings, reason string, taken int) {
 			w := newWorld(s)
 			w.request(0, "first", "k", "seat", "e1")
@@ -224,9 +225,9 @@
 		Entry("records", keeper.Settings{MaxRecords: 3}, keeper.ReasonFull, 3),
 	)
 
-	// An answer is older than what memory holds, or too large for the log and its
-	// keeper is gone. A repeated key is told that it ran, and does not run again.
-	DescribeTable("tells that a call ran whose answer is not kept",
+	// An answer has been dropped from memory, or was too large for the log and the keeper has
+	// changed. A repeat gets the verdict that the call ran, and does not run again.
+	DescribeTable("reports that a call ran whose answer is not kept",
 		func(s keeper.Settings, moved bool, want keeper.Kind) {
 			w := newWorld(s)
 			w.request(0, "r1", "k1", "seat", "e1")
@@ -245,25 +246,25 @@
 		Entry("memory full, next keeper", keeper.Settings{AnswerCacheBytes: 800}, true, keeper.KindGone),
 	)
 
-	// A caller's clock is far ahead. Its key would move the floor, under which
-	// everybody's keys are taken for forgotten: it is refused.
+	// A caller's clock is far ahead. The date in its key would raise the floor, below which
+	// all callers' keys count as expired, so it must be refused.
 	It("refuses a key from the future", func() {
 		w := newWorld(keeper.Settings{})
-		w.request(0, "r1", dated(w.start.Add(time.Hour)), "seat", "e1")
+		w.request(0, "r1", datedKey(w.start.Add(time.Hour)), "seat", "e1")
 		Expect(verdicts(w)["r1"].Reason).To(Equal(keeper.ReasonFuture))
 	})
 
-	// A thousand holds come in one second. Their records share writes: bursts go
-	// out at once, and after that the writes a second are bounded.
+	// A thousand calls arrive in one second. Their records share writes: a burst is written
+	// without delay, and after that the rate of writes is bounded.
 	It("bounds the store's writes", func() {
-		w := newWorld(keeper.Settings{WritesPerSecond: 5, Burst: 5, MaxOperations: 2000, MaxTailBytes: 1 << 20})
+		w := newWorld(keeper.Settings{WritesPerSecond: 5, Burst: 5, MaxOperations: 2000, ArchiveTailBytes: 1 << 20})
 		for i := range 1000 {
 			w.request(time.Duration(i)*time.Millisecond, fmt.Sprintf("r%d", i), fmt.Sprintf("k%d", i), "seat", "e1")
 		}
 		w.play(1500 * time.Millisecond)
 		Expect(w.store.writes).To(BeNumerically("<=", 1+5+8))
 		w.play(worldLength)
-		Expect(w.judge()).To(BeEmpty(), w.story)
+		Expect(w.checkHistory()).To(BeEmpty(), w.history)
 	})
 })
 
@@ -275,15 +276,15 @@
 	Entry("any text", "hold 17", int64(0)),
 )
 
-var _ = It("stores heads and segments so that they read back", func() {
-	e := &keeper.Entry{ID: keeper.NewID("o", "s", "k"), Hash: keeper.Hash([]byte("b")), At: 7, Dated: 5, State: keeper.Ran, Answer: &keeper.Answer{Status: 201, Header: map[string][]string{"A": {"b"}}, Body: []byte("x")}}
-	h := keeper.Head{Epoch: 3, Stamp: keeper.Stamp{Keeper: "a", Incarnation: 1, Write: 2}, Floor: 4, Segments: []keeper.Segment{{Epoch: 2, Sequence: 1, Newest: 6, Dated: 5}}, Tail: []*keeper.Entry{e, {State: keeper.Intended}}}
+var _ = It("decodes stored heads and segments to equal values", func() {
+	e := &keeper.Record{ID: keeper.NewID("o", "s", "k"), Hash: keeper.Hash([]byte("b")), At: 7, Dated: 5, State: keeper.Ran, Answer: &keeper.Answer{Status: 201, Header: map[string][]string{"A": {"b"}}, Body: []byte("x")}}
+	h := keeper.Head{Epoch: 3, Stamp: keeper.Stamp{Keeper: "a", Incarnation: 1, Write: 2}, Floor: 4, Segments: []keeper.Segment{{Epoch: 2, Sequence: 1, Newest: 6, Dated: 5}}, Tail: []*keeper.Record{e, {State: keeper.Intended}}}
 	value, err := h.Encode()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(keeper.DecodeHead(value)).To(Equal(h))
-	value, err = keeper.EncodeEntries(h.Tail)
+	value, err = keeper.EncodeRecords(h.Tail)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(keeper.DecodeEntries(value)).To(Equal(h.Tail))
+	Expect(keeper.DecodeRecords(value)).To(Equal(h.Tail))
 	_, err = keeper.DecodeHead([]byte("x"))
 	Expect(err).To(MatchError(keeper.ErrRecord))
 })
--- a/keeper/matrix_test.go
+++ b/keeper/matrix_test.go
@@ -11,7 +11,7 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-// cells is every fault that can hit a step of a once-call.
+// cells lists the faults to inject at each step of a call that must not be repeated.
 var cells = map[prover.Step][]prover.Fault{
 	received: {kill, freeze, cutOne, cutBoth, silence, slow, storeDown, storeSlow, reorder},
 	asked:    {kill, freeze, cutOne, cutBoth, silence, slow, storeDown, storeSlow, reorder, crossed},
@@ -27,14 +27,14 @@
 
 var steps = []prover.Step{received, asked, granted, intent, sent, answered, outcome, acked, taken, handed}
 
-// cell is one fault at one step.
+// cell is one fault injected at one step.
 type cell struct {
 	step  prover.Step
 	fault prover.Fault
 }
 
-// possible says that the matrix has the cell. The others are played as well: they
-// must do no harm.
+// possible reports whether the prover package's matrix has the cell. The others are run as
+// well: they must do no harm.
 func (c cell) possible() bool { return prover.Impossible(c.step, c.fault) == "" }
 
 func (c cell) labels() Labels {
@@ -54,27 +54,27 @@
 	return out
 }
 
-// injections is the ways in which a cell is played: at the first and the second
-// time that the step is reached, before and after it takes effect.
+// injections returns the variants of a cell: at the first and the second occurrence of the
+// step and, for kill and freeze, before and after it takes effect.
 func (c cell) injections() []injection {
 	var out []injection
 	for nth := range 2 {
 		out = append(out, injection{step: c.step, fault: c.fault, nth: nth})
 		if c.fault == kill || c.fault == freeze {
-			out = append(out, injection{step: c.step, fault: c.fault, nth: nth, late: true})
+			out = append(out, injection{step: c.step, fault: c.fault, nth: nth, afterEffect: true})
 		}
 	}
 	return out
 }
 
-// scenario is what callers do in every world: a hold, the same hold again by
-// another entry at once and later, other holds, and hand-overs on the way.
+// scenario is the load of every cell: a call, repeats of it through other entry hosts
+// immediately and later, other calls, and hand-overs in between.
 func scenario(faults ...injection) *world {
 	var in []*injection
 	for _, f := range faults {
 		in = append(in, &f)
 	}
-	w := newWorld(keeper.Settings{MaxTailBytes: 300}, in...)
+	w := newWorld(keeper.Settings{ArchiveTailBytes: 300}, in...)
 	w.request(0, "r1", "k1", "seat 4", "e1")
 	w.request(12*time.Millisecond, "r2", "k1", "seat 4", "e2")
 	w.request(13*time.Millisecond, "r0", "k1", "seat 9", "e2")
@@ -91,17 +91,18 @@
 	return w
 }
 
-// handOver moves the partition on purpose, as a graceful shutdown does.
+// handOver moves the partition deliberately, as a graceful shutdown does.
 func (w *world) handOver() {
 	h := w.hosts[w.owner]
-	f := w.take(handed)
-	w.around(f, w.stopper(h, f), func() { w.give(other(h.name)) })
+	f := w.nextFault(handed)
+	w.interrupt(f, w.hostStopper(h, f), func() { w.setOwner(other(h.name)) })
 }
 
-// judge returns every way in which the history breaks a promise.
-func (w *world) judge() []string {
-	wrong := w.wrong
-	bad := func(format string, args ...any) { wrong = append(wrong, fmt.Sprintf(format, args...)) }
+// checkHistory returns all violations: a key that ran twice, a false verdict, a repeat with
+// another answer, or a request without a verdict.
+func (w *world) checkHistory() []string {
+	violations := w.violations
+	report := func(format string, args ...any) { violations = append(violations, fmt.Sprintf(format, args...)) }
 	ran, byRequest := map[string][]run{}, map[string]int{}
 	for _, r := range w.runs {
 		ran[r.key] = append(ran[r.key], r)
@@ -109,78 +110,78 @@
 	}
 	for key, runs := range ran {
 		if len(runs) > 1 {
-			bad("%s ran %d times", key, len(runs))
+			report("%s ran %d times", key, len(runs))
 		}
 	}
 	first := map[string]string{}
 	for _, q := range w.order {
 		switch {
-		case q.told == nil && !w.entries[q.entry].dead:
-			bad("%s was never answered", q.id)
-		case q.told == nil:
-		case q.told.Kind == keeper.KindNotRun, q.told.Kind == keeper.KindReused:
+		case q.verdict == nil && !w.entries[q.entry].dead:
+			report("%s got no verdict", q.id)
+		case q.verdict == nil:
+		case q.verdict.Kind == keeper.KindNotRun, q.verdict.Kind == keeper.KindReused:
 			if byRequest[q.id] > 0 {
-				bad("%s was told not run (%s), but ran", q.id, q.told.Reason)
+				report("%s got not run (%s), but ran", q.id, q.verdict.Reason)
 			}
-			if q.told.Kind == keeper.KindNotRun {
-				w.judgeKey(q, bad)
+			if q.verdict.Kind == keeper.KindNotRun {
+				w.checkNotRun(q, report)
 			}
-		case q.told.Kind == keeper.KindRan:
-			w.judgeAnswer(q, ran[q.key], first, bad)
-		case q.told.Kind == keeper.KindGone && len(ran[q.key]) == 0:
-			bad("%s was told that it ran, but did not", q.id)
+		case q.verdict.Kind == keeper.KindRan:
+			w.checkAnswer(q, ran[q.key], first, report)
+		case q.verdict.Kind == keeper.KindGone && len(ran[q.key]) == 0:
+			report("%s got a verdict that it ran, but did not", q.id)
 		}
 	}
-	return wrong
+	return violations
 }
 
-// judgeKey checks "not run" against the whole key: until another request of the
-// key begins, none may run after it.
-func (w *world) judgeKey(q *request, bad func(string, ...any)) {
+// checkNotRun checks a "not run" against all requests of the key: it must not have run
+// before, and must not run after until another request of the key begins.
+func (w *world) checkNotRun(q *request, report func(string, ...any)) {
 	next := w.now
 	for _, o := range w.order {
-		if o.key == q.key && o != q && (o.told == nil || o.toldAt.After(q.toldAt)) && o.began.Before(next) {
+		if o.key == q.key && o != q && (o.verdict == nil || o.verdictAt.After(q.verdictAt)) && o.began.Before(next) {
 			next = o.began
 		}
 	}
 	for _, r := range w.runs {
 		if r.key == q.key && r.at.Before(q.began) {
-			bad("%s was told not run (%s), but its key had run", q.id, q.told.Reason)
+			report("%s got not run (%s), but its key had run", q.id, q.verdict.Reason)
 		}
-		if r.key == q.key && r.at.After(q.toldAt) && r.at.Before(next) {
-			bad("%s was told not run (%s), and its key ran after", q.id, q.told.Reason)
+		if r.key == q.key && r.at.After(q.verdictAt) && r.at.Before(next) {
+			report("%s got not run (%s), and its key ran after", q.id, q.verdict.Reason)
 		}
 	}
 }
 
-func (w *world) judgeAnswer(q *request, runs []run, first map[string]string, bad func(string, ...any)) {
-	body := string(q.told.Answer.Body)
+func (w *world) checkAnswer(q *request, runs []run, first map[string]string, report func(string, ...any)) {
+	body := string(q.verdict.Answer.Body)
 	if len(runs) != 1 || runs[0].body != q.body {
-		bad("%s was told an answer of another call", q.id)
+		report("%s got an answer of another call", q.id)
 	}
 	if f := first[q.key]; f != "" && f != body {
-		bad("%s was told %q after %q", q.id, body, f)
+		report("%s got %q after %q", q.id, body, f)
 	}
 	first[q.key] = body
 }
 
-func check(w *world) {
+func playAndCheck(w *world) {
 	GinkgoHelper()
 	w.play(worldLength)
-	Expect(w.judge()).To(BeEmpty(), w.story)
+	Expect(w.checkHistory()).To(BeEmpty(), w.history)
 }
 
-// story is the history, for a failure's report.
-func (w *world) story() string {
+// history returns the events of the simulation, for failure messages.
+func (w *world) history() string {
 	s := ""
 	for _, f := range w.faults {
-		s += fmt.Sprintf("fault %s at %s nth %d late %v used %v\n", f.fault, f.step, f.nth, f.late, f.used)
+		s += fmt.Sprintf("fault %s at %s nth %d late %v used %v\n", f.fault, f.step, f.nth, f.afterEffect, f.used)
 	}
-	for _, d := range w.drills {
+	for _, d := range w.restores {
 		s += d + "\n"
 	}
 	for _, q := range w.order {
-		s += fmt.Sprintf("%s %s by %s began %s told %+v at %s\n", q.id, q.key, q.entry, q.began.Sub(w.start), q.told, q.toldAt.Sub(w.start))
+		s += fmt.Sprintf("%s %s by %s began %s verdict %+v at %s\n", q.id, q.key, q.entry, q.began.Sub(w.start), q.verdict, q.verdictAt.Sub(w.start))
 	}
 	for _, r := range w.runs {
 		s += fmt.Sprintf("run of %s by %s at %s\n", r.key, r.request, r.at.Sub(w.start))
@@ -188,19 +189,18 @@
 	return s
 }
 
-// A passenger's hold meets one fault at one step, and is repeated. The boat
-// must not be held twice, a "not run" must be true, and a repeat must not get
-// another answer than the first.
+// One fault is injected at one step of a call, which is repeated. The call must not run
+// twice, a "not run" must be true, and a repeat must get the same answer as the first.
 var _ = Describe("A fault at a step", func() {
-	It("answers everybody where nothing goes wrong", func() {
+	It("answers every request without a fault", func() {
 		w := scenario()
-		check(w)
+		playAndCheck(w)
 		for _, q := range w.order {
 			want := keeper.KindRan
 			if q.id == "r6" || q.id == "r0" {
 				want = keeper.KindReused
 			}
-			Expect(q.told.Kind).To(Equal(want), q.id)
+			Expect(q.verdict.Kind).To(Equal(want), q.id)
 		}
 	})
 	for _, c := range allCells() {
@@ -208,7 +208,7 @@
 			used := 0
 			for _, f := range c.injections() {
 				w := scenario(f)
-				check(w)
+				playAndCheck(w)
 				if w.faults[0].used {
 					used++
 				}
@@ -218,7 +218,7 @@
 	}
 })
 
-// Two faults come together or one after the other. The same promises hold.
+// Two faults occur together or one after the other. The same invariants hold.
 var _ = Describe("Two faults", func() {
 	for i, first := range allCells() {
 		var labels Labels
@@ -233,11 +233,11 @@
 				for _, f := range first.injections() {
 					for _, g := range second.injections() {
 						w := scenario(f, g)
-						check(w)
+						playAndCheck(w)
 						reached = reached || w.faults[0].used && w.faults[1].used
 					}
 				}
-				Expect(reached).To(BeTrue(), "%v and %v never come together", first, second)
+				Expect(reached).To(BeTrue(), "%v and %v never occur together", first, second)
 			}
 		})
 	}
--- a/keeper/merge.go
+++ b/keeper/merge.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	mergeCount = 8         // segments of a level that become one of the next
-	mergeBytes = 512 << 10 // of the largest merged segment
+	mergeCount    = 8         // segments of one level that are merged into one of the next
+	maxMergeBytes = 512 << 10 // size limit of a merged segment
 )
 
-// merge makes one segment of several, so that the head, which every commit
-// writes whole, names few.
+// merge replaces several segments by one. It keeps the head short, which every commit
+// writes as a whole.
 type merge struct {
 	archive
 	sources []Segment
-	loaded  map[Segment][]*Entry
+	loaded  map[Segment][]*Record
 }
 
 func (m *merge) start(out *outputs) {
@@ -24,9 +24,9 @@
 	}
 }
 
-func (m *merge) done() bool { return m != nil && m.archive.done() }
+func (m *merge) ready() bool { return m != nil && m.archive.ready() }
 
-// target is the merged segment; nil where there is none.
+// target returns the merged segment, or nil if there is no merge.
 func (m *merge) target() *archive {
 	if m == nil {
 		return nil
@@ -34,19 +34,20 @@
 	return &m.archive
 }
 
-// startMerge reads the first run of segments that can become one.
+// startMerge reads the first run of segments that can be merged.
 func (k *Keeper) startMerge(out *outputs) {
 	run := mergeable(k.head.Segments)
 	if run == nil {
 		return
 	}
-	k.merge = &merge{sources: run, loaded: map[Segment][]*Entry{}}
+	k.merge = &merge{sources: run, loaded: map[Segment][]*Record{}}
 	for _, s := range run {
 		out.add(ReadSegment{Segment: s})
 	}
 }
 
-// mergeable is the first mergeCount neighbours of one level that fit together.
+// mergeable returns the first mergeCount adjacent segments of one level that together fit
+// into maxMergeBytes, or nil.
 func mergeable(segments []Segment) []Segment {
 	for i := 0; i+mergeCount <= len(segments); i++ {
 		run, size := segments[i:i+mergeCount], 0
@@ -54,44 +55,44 @@
 		for _, s := range run {
 			size += s.Size
 		}
-		if same && size <= mergeBytes {
+		if same && size <= maxMergeBytes {
 			return slices.Clone(run)
 		}
 	}
 	return nil
 }
 
-// mergeRead takes one source. A read that failed gives the merge up: it is
-// begun again when the store answers.
-func (k *Keeper) mergeRead(out *outputs, now time.Time, r SegmentRead) {
+// mergeSourceRead handles the result of reading one source. A failed read abandons the
+// merge; it starts again when the store answers.
+func (k *Keeper) mergeSourceRead(out *outputs, now time.Time, r SegmentRead) {
 	m := k.merge
-	if m == nil || m.entries != nil || !slices.Contains(m.sources, r.Segment) {
+	if m == nil || m.records != nil || !slices.Contains(m.sources, r.Segment) {
 		return
 	}
 	if r.Result != Done {
 		k.merge = nil
-		k.outage(out, now)
+		k.storeFailed(out, now)
 		return
 	}
-	m.loaded[r.Segment] = r.Entries
+	m.loaded[r.Segment] = r.Records
 	if len(m.loaded) < len(m.sources) {
 		return
 	}
-	var entries []*Entry
+	var records []*Record
 	for _, s := range m.sources {
-		entries = replace(entries, m.loaded[s])
+		records = appendReplacing(records, m.loaded[s])
 	}
-	m.entries, m.loaded = entries, nil
-	m.segment = k.segmentOf(entries, m.sources[0].Level+1)
-	// What the sources held may have been replaced; their ages have not.
+	m.records, m.loaded = records, nil
+	m.segment = k.newSegment(records, m.sources[0].Level+1)
+	// Newer records may have replaced the newest of a source; its ages must still count.
 	for _, s := range m.sources {
 		m.segment.Newest, m.segment.Dated = max(m.segment.Newest, s.Newest), max(m.segment.Dated, s.Dated)
 	}
 }
 
-// put names the merged segment in place of its sources. Where one of them has
-// been dropped meanwhile, the merge is of no use any more.
-func (m *merge) put(segments []Segment) ([]Segment, bool) {
+// substitute replaces the sources by the merged segment in a list of segments. It reports
+// false if a source has been dropped meanwhile: the merge is then obsolete.
+func (m *merge) substitute(segments []Segment) ([]Segment, bool) {
 	i := slices.Index(segments, m.sources[0])
 	if i < 0 || len(segments)-i < len(m.sources) || !slices.Equal(segments[i:i+len(m.sources)], m.sources) {
 		return segments, false
--- a/keeper/operation.go
+++ b/keeper/operation.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	mostWaiters = 16                     // requests of one key at once
-	readyAgain  = 200 * time.Millisecond // a Ready or its Went may have been lost
-	clockSkew   = 5 * time.Minute        // by which a key's date may be ahead
+	maxWaiters    = 16                     // concurrent requests with one key
+	readyInterval = 200 * time.Millisecond // between Readys to an entry host: one, or its answer, may have been lost
+	maxClockSkew  = 5 * time.Minute        // by which the date in a key may be ahead of the keeper's clock
 )
 
-// stage is how far an operation in flight has come.
+// stage is the progress of an operation in flight.
 type stage uint8
 
 const (
-	stagePlacing  stage = iota // waits for a place
-	stagePlaced                // waits for its intent and for the entry's word
-	stageSent                  // may run
-	stageAnswered              // waits for its outcome to be recorded
+	stagePlacing  stage = iota // waiting for a place
+	stagePlaced                // waiting for its intent to be recorded and for ReadyAnswered
+	stageSent                  // may be running
+	stageAnswered              // waiting for its outcome to be recorded
 )
 
-// operation is a key in flight, and the requests that wait for it.
+// operation is a key in flight, with the requests that wait for its result.
 type operation struct {
-	id      ID
-	hash    [16]byte
-	dated   int64
-	order   uint64
-	waiters []Call
-	stage   stage
-	attempt int // number of its last Acquire, unique among all of the keeper's
-	tries   int
-	holding bool // a place, or an Acquire that has no end yet
-	// intent is nil until there is a place; recorded says that the log has it.
-	intent   *Entry
-	recorded bool
-	went     string // request whose entry said to go on
-	readyAt  time.Time
-	outcome  *Entry
-	answer   *Answer
-	answered time.Time
+	id       ID
+	hash     [16]byte
+	dated    int64
+	order    uint64
+	waiters  []Call
+	stage    stage
+	attempt  int // number of its last Acquire, unique within the keeper
+	tries    int
+	hasPlace bool // or an Acquire is in flight
+	// intent is nil until the first place is granted; recorded is set once the log has it.
+	intent           *Record
+	recorded         bool
+	confirmedRequest string // request that an entry host confirmed; empty if none
+	readyAskedAt     time.Time
+	outcome          *Record
+	answer           *Answer
+	answeredAt       time.Time
 }
 
-// sorted is the operations in the order of their starts: what a decision does
-// must not hang on a map's order.
-func (k *Keeper) sorted() []*operation {
+// operationsByOrder returns the operations in the order in which they started, as outputs
+// must not depend on map iteration order.
+func (k *Keeper) operationsByOrder() []*operation {
 	ops := make([]*operation, 0, len(k.ops))
 	for _, op := range k.ops {
 		ops = append(ops, op)
@@ -54,10 +54,10 @@
 	return ops
 }
 
-// admit answers a call from what is known of its key, or starts it.
+// admit answers a call if its key is known or a limit is reached, else starts it.
 func (k *Keeper) admit(out *outputs, now time.Time, c Call) {
 	if op := k.ops[c.ID]; op != nil {
-		k.join(out, now, op, c)
+		k.joinOperation(out, now, op, c)
 		return
 	}
 	v, known := k.known(c)
@@ -65,47 +65,47 @@
 		v, known = Verdict{Kind: KindUnknown, Reason: ReasonRestored}, true
 	}
 	if !known {
-		if v, known = k.refuse(now, c); known {
-			v.Epoch = k.order()
-			k.doubtful(out, now, c, v)
+		if v, known = k.checkLimits(now, c); known {
+			v.Order = k.latestOrder()
+			k.replyWhenConfirmed(out, now, c, v)
 			return
 		}
 	}
 	if known {
-		v.Epoch = k.order()
+		v.Order = k.latestOrder()
 		out.reply(c, v)
 		return
 	}
 	k.serial++
-	op := &operation{id: c.ID, hash: c.Hash, dated: c.Dated, order: k.order(), waiters: []Call{c}}
+	op := &operation{id: c.ID, hash: c.Hash, dated: c.Dated, order: k.latestOrder(), waiters: []Call{c}}
 	k.ops[c.ID] = op
 	k.acquire(out, op)
 }
 
-// acquire asks for a place for the operation's next attempt. Its number is used
-// once only: a late grant must not be taken for one of a later operation.
+// acquire requests a place for the operation's next attempt. The attempt number is never
+// reused: a late grant must not be mistaken for that of a later operation.
 func (k *Keeper) acquire(out *outputs, op *operation) {
-	op.stage, op.holding, op.went = stagePlacing, true, ""
-	k.attempts++
-	op.attempt = k.attempts
+	op.stage, op.hasPlace, op.confirmedRequest = stagePlacing, true, ""
+	k.acquires++
+	op.attempt = k.acquires
 	op.tries++
 	out.add(Acquire{ID: op.id, Request: op.waiters[0].Request, Attempt: op.attempt})
 }
 
-// release gives back what the operation holds.
+// release gives back the operation's place.
 func (op *operation) release(out *outputs) {
-	if op.holding {
+	if op.hasPlace {
 		out.add(Release{ID: op.id, Attempt: op.attempt})
 	}
-	op.holding = false
+	op.hasPlace = false
 }
 
-// known is what the log says of a key.
+// known returns the verdict that the log gives for a key, if it has one.
 func (k *Keeper) known(c Call) (Verdict, bool) {
 	e := k.records[c.ID]
 	switch {
 	case e == nil && c.Dated != 0 && c.Dated <= k.head.Floor:
-		// The key may have been forgotten: it must not run a second time.
+		// Its record may have expired: the key must not run a second time.
 		return Verdict{Kind: KindUnknown, Reason: ReasonExpired}, true
 	case e == nil || e.State == Void:
 		return Verdict{}, false
@@ -120,60 +120,61 @@
 	}
 }
 
-// refuse tells the bounds that a new operation would break.
-func (k *Keeper) refuse(now time.Time, c Call) (Verdict, bool) {
-	no := func(reason string) (Verdict, bool) {
+// checkLimits returns the refusal of a new operation that would exceed a limit.
+func (k *Keeper) checkLimits(now time.Time, c Call) (Verdict, bool) {
+	refuse := func(reason string) (Verdict, bool) {
 		return Verdict{Kind: KindNotRun, Reason: reason, After: k.settings.RetryInterval}, true
 	}
 	switch {
 	case !now.Before(c.Deadline):
-		return no(ReasonDeadline)
-	case !k.retryAt.IsZero(): // until the store has answered again
-		return no(ReasonStore)
+		return refuse(ReasonDeadline)
+	case !k.retryAt.IsZero(): // until the store answers again
+		return refuse(ReasonStore)
 	case len(k.ops) >= k.settings.MaxOperations:
-		return no(ReasonBusy)
+		return refuse(ReasonBusy)
 	case len(k.records)+len(k.ops) >= k.settings.MaxRecords:
-		return no(ReasonFull)
-	case c.Dated > now.Add(clockSkew).UnixMilli():
-		return no(ReasonFuture)
+		return refuse(ReasonFull)
+	case c.Dated > now.Add(maxClockSkew).UnixMilli():
+		return refuse(ReasonFuture)
 	}
 	return Verdict{}, false
 }
 
-// join adds a request of a key that is in flight: it gets the same end.
-func (k *Keeper) join(out *outputs, now time.Time, op *operation, c Call) {
+// joinOperation adds a request to the operation in flight with its key. Both get the same
+// verdict.
+func (k *Keeper) joinOperation(out *outputs, now time.Time, op *operation, c Call) {
 	if op.hash != c.Hash {
-		v := Verdict{Kind: KindReused, Epoch: op.order}
+		v := Verdict{Kind: KindReused, Order: op.order}
 		if op.recorded {
 			out.reply(c, v)
 		} else {
-			k.doubtful(out, now, c, v)
+			k.replyWhenConfirmed(out, now, c, v)
 		}
 		return
 	}
 	if slices.ContainsFunc(op.waiters, func(w Call) bool { return w.Request == c.Request }) {
 		return
 	}
-	if len(op.waiters) >= mostWaiters {
+	if len(op.waiters) >= maxWaiters {
 		out.reply(c, Verdict{Kind: KindUnknown, Reason: ReasonBusy})
 		return
 	}
 	op.waiters = append(op.waiters, c)
 	if op.stage == stagePlaced {
-		k.ready(out, now, op)
+		k.askReady(out, now, op)
 	}
 }
 
-// ready asks the entries whether they still wait. A frame that was delayed, or
-// a keeper that was paused, must not run a request whose caller has been
-// answered meanwhile: its entry then says no.
-func (k *Keeper) ready(out *outputs, now time.Time, op *operation) {
-	op.readyAt = now
-	if op.went != "" {
+// askReady asks the entry hosts whether their requests still wait, unless one has been
+// confirmed. After a delayed frame or a paused keeper, a request must not run whose caller
+// has been answered meanwhile: its entry host then declines.
+func (k *Keeper) askReady(out *outputs, now time.Time, op *operation) {
+	op.readyAskedAt = now
+	if op.confirmedRequest != "" {
 		return
 	}
 	for _, w := range op.waiters {
-		out.add(Ready{To: w.From, ID: op.id, Request: w.Request, Epoch: op.order})
+		out.add(Ready{To: w.From, ID: op.id, Request: w.Request, Order: op.order})
 	}
 }
 
@@ -185,10 +186,10 @@
 	}
 	op.stage = stagePlaced
 	if op.intent == nil {
-		op.intent = k.entry(now, op, Intended, nil)
+		op.intent = k.newRecord(now, op, Intended, nil)
 		k.pending.push(op.intent)
 	}
-	k.ready(out, now, op)
+	k.askReady(out, now, op)
 	k.send(out, op)
 }
 
@@ -197,11 +198,11 @@
 	if op == nil || op.attempt != u.Attempt || op.stage != stagePlacing {
 		return
 	}
-	op.holding = false
-	k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: u.Reason, After: u.After})
+	op.hasPlace = false
+	k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: u.Reason, After: u.After})
 }
 
-func (k *Keeper) went(out *outputs, _ time.Time, w ReadyAnswered) {
+func (k *Keeper) readyAnswered(out *outputs, _ time.Time, w ReadyAnswered) {
 	op := k.ops[w.ID]
 	if op == nil || op.stage > stagePlaced {
 		return
@@ -211,33 +212,33 @@
 		return
 	}
 	if w.OK {
-		op.went = w.Request
+		op.confirmedRequest = w.Request
 		k.send(out, op)
 		return
 	}
 	op.waiters = slices.Delete(op.waiters, i, i+1)
-	k.unless(out, op, Verdict{Kind: KindNotRun, Reason: ReasonCaller})
+	k.dropUnwanted(out, op, Verdict{Kind: KindNotRun, Reason: ReasonCaller})
 }
 
-// unless drops an unsent operation that nobody waits for, and one whose go came
-// from a request that is over waits for another's.
-func (k *Keeper) unless(out *outputs, op *operation, v Verdict) {
-	if !slices.ContainsFunc(op.waiters, func(c Call) bool { return c.Request == op.went }) {
-		op.went = ""
+// dropUnwanted drops an unsent operation for which no request waits. If the request that
+// was confirmed has ended, the confirmation of another one is needed.
+func (k *Keeper) dropUnwanted(out *outputs, op *operation, v Verdict) {
+	if !slices.ContainsFunc(op.waiters, func(c Call) bool { return c.Request == op.confirmedRequest }) {
+		op.confirmedRequest = ""
 	}
 	if len(op.waiters) == 0 {
 		k.drop(out, op, v)
 	}
 }
 
-// send lets the operation run. It is the only place that does: the intent is in
-// the log, written under this keeper's epoch, and the entry has said go.
+// send sends the call once its intent is in the log, written under this keeper's epoch, and
+// an entry host has confirmed a request. Nothing else makes an operation run.
 func (k *Keeper) send(out *outputs, op *operation) {
-	if op.stage != stagePlaced || !op.recorded || op.went == "" {
+	if op.stage != stagePlaced || !op.recorded || op.confirmedRequest == "" {
 		return
 	}
 	op.stage = stageSent
-	out.add(Send{ID: op.id, Request: op.went, Attempt: op.attempt})
+	out.add(Send{ID: op.id, Request: op.confirmedRequest, Attempt: op.attempt})
 }
 
 func (k *Keeper) answered(out *outputs, now time.Time, a Answered) {
@@ -248,28 +249,28 @@
 	op.release(out)
 	switch a.Result {
 	case CallRan:
-		k.ran(out, now, op, a.Answer)
+		k.recordOutcome(out, now, op, a.Answer)
 	case CallNotRun:
-		k.again(out, op)
+		k.tryAnotherWorker(out, op)
 	case CallUnknown:
-		k.note(op.intent)
+		k.remember(op.intent)
 		k.end(out, op, Verdict{Kind: KindUnknown})
 	}
 }
 
-// ran records the outcome. The callers' answer waits for that, so that a
-// repeated key gets it from the next keeper too, but no longer than the grace:
-// an answer is worth more than its record.
-func (k *Keeper) ran(out *outputs, now time.Time, op *operation, a *Answer) {
-	op.stage, op.answer, op.answered = stageAnswered, a, now
+// recordOutcome records the outcome. The answer is held until it is recorded, so that a
+// repeated key gets the same answer from the next keeper, but no longer than OutcomeGrace:
+// delivering the answer matters more than recording it.
+func (k *Keeper) recordOutcome(out *outputs, now time.Time, op *operation, a *Answer) {
+	op.stage, op.answer, op.answeredAt = stageAnswered, a, now
 	if k.phase != phaseReady {
 		k.finish(out, op)
 		return
 	}
-	op.outcome = k.entry(now, op, Ran, a)
-	k.note(op.outcome)
+	op.outcome = k.newRecord(now, op, Ran, a)
+	k.remember(op.outcome)
 	if a.size() > k.settings.MaxAnswerBytes {
-		// The log has no room for it; memory has, as long as this keeper lives.
+		// Too large for the log; it stays available in this keeper's memory only.
 		bare := *op.outcome
 		bare.Answer, op.outcome = nil, &bare
 	}
@@ -279,9 +280,9 @@
 	}
 }
 
-// again tries another worker after one that certainly did not run the call. The
-// intent stands, so no other keeper sends it.
-func (k *Keeper) again(out *outputs, op *operation) {
+// tryAnotherWorker sends the call to another worker after one that certainly did not run
+// it. The intent stays in the log, so no other keeper sends the call.
+func (k *Keeper) tryAnotherWorker(out *outputs, op *operation) {
 	if op.tries >= k.settings.MaxTries || len(op.waiters) == 0 || k.phase != phaseReady {
 		k.drop(out, op, Verdict{Kind: KindNotRun, Reason: ReasonWorkers, After: k.settings.RetryInterval})
 		return
@@ -289,9 +290,10 @@
 	k.acquire(out, op)
 }
 
-// age ends the waiting of requests whose deadline is over.
-func (k *Keeper) age(out *outputs, now time.Time, op *operation) {
-	if op.stage == stageAnswered && now.Sub(op.answered) >= k.settings.OutcomeGrace {
+// expireWaiters answers requests that are past their deadlines, and asks the entry hosts
+// again whether the others still wait.
+func (k *Keeper) expireWaiters(out *outputs, now time.Time, op *operation) {
+	if op.stage == stageAnswered && now.Sub(op.answeredAt) >= k.settings.OutcomeGrace {
 		k.finish(out, op)
 		return
 	}
@@ -304,41 +306,41 @@
 		}
 	}
 	if len(over) > 0 && op.stage < stageSent && len(waiting) == 0 {
-		k.dropUnsure(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, After: k.settings.RetryInterval})
+		k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, After: k.settings.RetryInterval})
 		return
 	}
 	if len(over) > 0 && op.stage == stageAnswered {
 		k.finish(out, op)
 		return
 	}
-	// The key may still run, here or for another request of it.
+	// The key may still run, here or for another request.
 	for _, w := range over {
-		out.reply(w, Verdict{Kind: KindUnknown, Reason: ReasonDeadline, Epoch: op.order})
+		out.reply(w, Verdict{Kind: KindUnknown, Reason: ReasonDeadline, Order: op.order})
 	}
 	op.waiters = waiting
 	if len(over) > 0 && op.stage < stageSent {
-		k.unless(out, op, Verdict{})
+		k.dropUnwanted(out, op, Verdict{})
 	}
-	if op.stage == stagePlaced && now.Sub(op.readyAt) >= readyAgain {
-		k.ready(out, now, op)
+	if op.stage == stagePlaced && now.Sub(op.readyAskedAt) >= readyInterval {
+		k.askReady(out, now, op)
 	}
 }
 
-// finish gives the answer to all who wait.
+// finish sends the answer to all requests that wait.
 func (k *Keeper) finish(out *outputs, op *operation) {
 	k.end(out, op, Verdict{Kind: KindRan, Answer: op.answer})
 }
 
-// drop ends an operation that was not sent and never will be. Where the log may
-// hold its intent, the intent is voided, so that the key can be used again.
+// drop ends an operation that was not sent and never will be. If the log may have its
+// intent, a Void record replaces it, so that the key can be used again.
 func (k *Keeper) drop(out *outputs, op *operation, v Verdict) {
 	op.release(out)
 	if op.intent != nil {
 		k.pending.remove(op.id)
-		if k.mayHold(op.intent) && k.phase == phaseReady {
+		if k.maybeLogged(op.intent) && k.phase == phaseReady {
 			void := *op.intent
-			void.At, void.State = k.stampTime(op.intent.At), Void
-			k.note(&void)
+			void.At, void.State = k.nextTime(op.intent.At), Void
+			k.remember(&void)
 			k.pending.push(&void)
 		}
 	}
@@ -347,7 +349,7 @@
 
 func (k *Keeper) end(out *outputs, op *operation, v Verdict) {
 	delete(k.ops, op.id)
-	v.Epoch = op.order
+	v.Order = op.order
 	for _, w := range op.waiters {
 		out.reply(w, v)
 	}
--- a/keeper/port.go
+++ b/keeper/port.go
@@ -6,20 +6,21 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// Settings bound a keeper. Zero fields take the defaults of WithDefaults.
+// Settings are the limits and intervals of a keeper. Zero fields take the defaults of
+// WithDefaults.
 type Settings struct {
-	WritesPerSecond  float64       // commits a second in the long run
-	Burst            float64       // commits that may follow one another at once
+	WritesPerSecond  float64       // sustained rate of commits
+	Burst            float64       // commits that may follow one another without delay
 	MaxOperations    int           // operations in flight
 	MaxRecords       int           // records in memory
-	AnswerCacheBytes int           // bytes of answers in memory
-	MaxAnswerBytes   int           // bytes of the largest answer that is kept
-	MaxTailBytes     int           // bytes of the head's tail before it is archived
-	Retention        time.Duration // for which a record is kept at least
-	OutcomeGrace     time.Duration // for which an answer waits for its outcome to be recorded
-	RetryInterval    time.Duration // between tries of a store that is down
-	MaxTries         int           // workers tried when each says that it did not run the call
-	LayoutEra        uint64        // era of the store in which the partitions had no heads yet
+	AnswerCacheBytes int           // answers in memory; beyond it, the oldest are dropped
+	MaxAnswerBytes   int           // largest answer that is recorded
+	ArchiveTailBytes int           // size of the head's tail above which it is archived
+	Retention        time.Duration // minimum time for which a record is kept
+	OutcomeGrace     time.Duration // maximum time for which an answer waits for its outcome to be recorded
+	RetryInterval    time.Duration // between tries of a store that is down, and suggested to callers
+	MaxTries         int           // workers tried for a call that each of them certainly did not run
+	LayoutEra        uint64        // era of the store in which the partitions were laid out, without heads
 }
 
 // WithDefaults fills the zero fields.
@@ -30,7 +31,7 @@
 	set(&s.MaxRecords, 20_000)
 	set(&s.AnswerCacheBytes, 4<<20)
 	set(&s.MaxAnswerBytes, 4<<10)
-	set(&s.MaxTailBytes, 8<<10)
+	set(&s.ArchiveTailBytes, 8<<10)
 	set(&s.Retention, 6*time.Hour)
 	set(&s.OutcomeGrace, 500*time.Millisecond)
 	set(&s.RetryInterval, 250*time.Millisecond)
@@ -44,17 +45,17 @@
 	}
 }
 
-// Call is one request for an operation, from an entry that waits for its end.
+// Call is one request for an operation, forwarded by an entry host that waits for its verdict.
 type Call struct {
 	ID       ID
 	Hash     [16]byte
-	Dated    int64
+	Dated    int64  // Unix milliseconds that the key itself carries; 0 if none
 	Request  string // unique among all requests
-	From     string // the entry's host
+	From     string // entry host
 	Deadline time.Time
 }
 
-// Result is how a call of the store ended.
+// Result is the result of a call of the store.
 type Result uint8
 
 // Results of a call of the store.
@@ -66,26 +67,26 @@
 	Lost            // may have taken effect
 )
 
-// Input is what a keeper takes in.
+// Input is an event that a Keeper handles.
 type Input interface{ input() }
 
-// CallReceived is a call that arrives.
+// CallReceived is the arrival of a call.
 type CallReceived struct{ Call Call }
 
-// ReadyAnswered is an entry's word on Ready: whether it still waits for the request.
+// ReadyAnswered is an entry host's answer to Ready: whether it still waits for the request.
 type ReadyAnswered struct {
 	ID      ID
 	Request string
 	OK      bool
 }
 
-// Placed says that Acquire got a place.
+// Placed reports that an Acquire got a place.
 type Placed struct {
 	ID      ID
 	Attempt int
 }
 
-// Unplaced says that Acquire got none.
+// Unplaced reports that an Acquire got no place.
 type Unplaced struct {
 	ID      ID
 	Attempt int
@@ -93,70 +94,70 @@
 	After   time.Duration
 }
 
-// Answered is the end of a Send.
+// Answered is the result of a Send.
 type Answered struct {
 	ID      ID
 	Attempt int
 	Result  CallResult
-	Answer  *Answer // where Fate is FateRan
+	Answer  *Answer // if Result is CallRan
 }
 
-// CallResult is what is known of a call that was sent.
+// CallResult tells whether a call that was sent has run.
 type CallResult uint8
 
-// Fates of a call that was sent.
+// Results of a call that was sent.
 const (
 	CallRan     CallResult = iota + 1
 	CallNotRun             // certainly not run
 	CallUnknown            // may have run
 )
 
-// HeadWritten is the end of a WriteHead.
+// HeadWritten is the result of a WriteHead.
 type HeadWritten struct {
 	Stamp   Stamp
 	Version storer.Version
 	Result  Result
 }
 
-// HeadRead is the end of a ReadHead.
+// HeadRead is the result of a ReadHead.
 type HeadRead struct {
 	Head    Head
 	Version storer.Version
-	Era     uint64 // of the store, where it has no head
+	Era     uint64 // era of the store, if it has no head
 	Result  Result
 }
 
-// SegmentRead is the end of a ReadSegment.
+// SegmentRead is the result of a ReadSegment.
 type SegmentRead struct {
 	Segment Segment
-	Entries []*Entry
+	Records []*Record
 	Result  Result
 }
 
-// SegmentWritten is the end of a WriteSegment.
+// SegmentWritten is the result of a WriteSegment.
 type SegmentWritten struct {
 	Segment Segment
 	Result  Result
 }
 
-// Retired says that another host owns the partition now.
+// Retired reports that another host owns the partition now.
 type Retired struct{}
 
-// LoadRequested has the keeper read its log before it is asked for, so that it knows it
-// in an outage of the store.
+// LoadRequested makes the keeper load its log before any call needs it, so that it is in
+// memory during an outage of the store.
 type LoadRequested struct{}
 
-// StoreRestored says that the store came back from an older copy of itself.
+// StoreRestored reports that the store was restored from an older snapshot.
 type StoreRestored struct {
-	Era        uint64    // that it is in now
-	OwnedSince time.Time // since when this host owns the partition, by its own roster; zero where it does not
+	Era        uint64    // current era of the store
+	OwnedSince time.Time // when this host became the owner, by its own roster; zero if it is not the owner
 }
 
-// Rejoined says that this host was declared dead and is back: what the keeper
-// knows may be old.
+// Rejoined reports that this host was declared dead and has rejoined: the log in memory may
+// be outdated.
 type Rejoined struct{}
 
-// Ticked lets time pass.
+// Ticked reports the passage of time. It is needed regularly, as deadlines are checked then.
 type Ticked struct{}
 
 func (CallReceived) input()   {}
@@ -174,39 +175,41 @@
 func (Rejoined) input()       {}
 func (Ticked) input()         {}
 
-// Output is what a keeper wants done.
+// Output is an action that the caller of a Keeper carries out.
 type Output interface{ output() }
 
-// Acquire asks for a place for the call of a request.
+// Acquire requests a place on a worker for the call of a request. Its result is a Placed or
+// an Unplaced.
 type Acquire struct {
 	ID      ID
 	Request string
 	Attempt int
 }
 
-// Release gives a place back, or withdraws an Acquire that has no end yet.
+// Release gives back a place, or cancels an Acquire in flight.
 type Release struct {
 	ID      ID
 	Attempt int
 }
 
-// Ready asks an entry whether it still waits for a request. Its end is a Went.
+// Ready asks an entry host whether it still waits for a request. Its result is a
+// ReadyAnswered.
 type Ready struct {
 	To      string
 	ID      ID
 	Request string
-	Epoch   uint64
+	Order   uint64
 }
 
-// Send sends the call of a request to the place of the attempt. It is the only
-// output that can make an operation run. Its end is an Answered.
+// Send sends the call of a request to the worker on which the attempt has its place. It is
+// the only output that can make an operation run. Its result is an Answered.
 type Send struct {
 	ID      ID
 	Request string
 	Attempt int
 }
 
-// WriteHead writes the head if its version is Match; 0 demands that there is none.
+// WriteHead writes the head if its version is Match; 0 requires that there is none.
 type WriteHead struct {
 	Head  Head
 	Match storer.Version
@@ -215,20 +218,20 @@
 // ReadHead reads the head.
 type ReadHead struct{}
 
-// WriteSegment writes a segment's object, unconditionally: its name is this
-// keeper's alone, and so is its content.
+// WriteSegment writes a segment's object. It needs no condition, as no other keeper uses
+// the segment's name.
 type WriteSegment struct {
 	Segment Segment
-	Entries []*Entry
+	Records []*Record
 }
 
 // ReadSegment reads a segment's object.
 type ReadSegment struct{ Segment Segment }
 
-// DropSegment deletes a segment's object, which no head names any more.
+// DropSegment deletes the object of a segment that no head names any more.
 type DropSegment struct{ Segment Segment }
 
-// Reply is the keeper's last word to an entry about a request.
+// Reply sends the verdict on a request to its entry host.
 type Reply struct {
 	To      string
 	Request string
@@ -240,17 +243,17 @@
 
 // Kinds of a Verdict.
 const (
-	KindRan     Kind = iota + 1 // the answer is there
+	KindRan     Kind = iota + 1 // ran; the answer is included
 	KindGone                    // ran; its answer is not kept
-	KindNotRun                  // this request was not run and will not be
+	KindNotRun                  // this request did not run and will not
 	KindUnknown                 // may have run
-	KindReused                  // the key belongs to another call; this one was not run
-	KindMoved                   // not run here: ask the partition's owner
+	KindReused                  // the key belongs to another call; this one did not run
+	KindMoved                   // did not run here; ask the partition's owner
 )
 
 var kindNames = [...]string{"", "ran", "gone", "not_run", "unknown", "reused", "moved"}
 
-// String is the kind's name in logs and metrics.
+// String returns the kind's name in logs and metrics.
 func (k Kind) String() string {
 	if int(k) >= len(kindNames) {
 		return ""
@@ -258,12 +261,12 @@
 	return kindNames[k]
 }
 
-// Verdict is what became of a request.
+// Verdict is a keeper's decision about a request.
 type Verdict struct {
 	Kind   Kind
 	Reason string
-	After  time.Duration
-	Epoch  uint64 // of the keeper that speaks; 0 where it had not read the log
+	After  time.Duration // to wait before asking again; 0 if not specified
+	Order  uint64        // order number of the operation or, without one, of the keeper's newest; 0 if the log was not loaded
 	Answer *Answer
 }
 
--- a/keeper/queue.go
+++ b/keeper/queue.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// queue holds the newest entry of each operation that the log lacks, in the
-// order in which they were made.
+// queue holds the newest record of each operation that is not in the log yet, in order of
+// creation.
 type queue struct {
 	order *list.List
 	byID  map[ID]*list.Element
@@ -13,8 +13,8 @@
 
 func (q queue) len() int { return q.order.Len() }
 
-// push adds an entry in place of an earlier one of its operation.
-func (q queue) push(e *Entry) {
+// push adds a record in place of an earlier one of its operation.
+func (q queue) push(e *Record) {
 	q.remove(e.ID)
 	q.byID[e.ID] = q.order.PushBack(e)
 }
@@ -26,18 +26,18 @@
 	}
 }
 
-// written removes an entry, unless a newer one of its operation has replaced it.
-func (q queue) written(e *Entry) {
+// written removes a record, unless a newer one of its operation has replaced it.
+func (q queue) written(e *Record) {
 	if x := q.byID[e.ID]; x != nil && x.Value == e {
 		q.remove(e.ID)
 	}
 }
 
-// first is the oldest entries, of at most so many bytes but at least one.
-func (q queue) first(bytes int) []*Entry {
-	var out []*Entry
+// oldest returns the oldest records up to a total size, but at least one.
+func (q queue) oldest(bytes int) []*Record {
+	var out []*Record
 	for x := q.order.Front(); x != nil; x = x.Next() {
-		e := x.Value.(*Entry)
+		e := x.Value.(*Record)
 		if bytes -= e.size(); bytes < 0 && len(out) > 0 {
 			break
 		}
@@ -46,31 +46,31 @@
 	return out
 }
 
-// answerOverhead is the bytes, about, that an answer takes in memory beyond its
-// own: its header's map most of all. Measured by cmd/oncebench.
-const answerOverhead = 600
+// answerOverheadBytes is the approximate memory of an answer beyond its own bytes, mostly
+// for its header's map. cmd/oncebench measures it.
+const answerOverheadBytes = 600
 
-// fifo bounds the bytes of answers in memory.
+// fifo holds the records that have an answer, oldest first, and their size in memory.
 type fifo struct {
-	entries []*Entry
+	records []*Record
 	bytes   int
 }
 
-func (f *fifo) push(e *Entry) {
-	f.entries = append(f.entries, e)
-	f.bytes += e.Answer.size() + answerOverhead
+func (f *fifo) push(e *Record) {
+	f.records = append(f.records, e)
+	f.bytes += e.Answer.size() + answerOverheadBytes
 }
 
-func (f *fifo) pop() *Entry {
-	e := f.entries[0]
-	f.entries = f.entries[1:]
-	f.bytes -= e.Answer.size() + answerOverhead
+func (f *fifo) pop() *Record {
+	e := f.records[0]
+	f.records = f.records[1:]
+	f.bytes -= e.Answer.size() + answerOverheadBytes
 	return e
 }
 
-// note makes an entry what is known of its operation. Over the bound, the
-// oldest answers are given up: a repeated key is then told that it ran.
-func (k *Keeper) note(e *Entry) {
+// remember stores an operation's newest record in memory. Beyond AnswerCacheBytes, the
+// oldest answers are dropped: a repeated key then gets KindGone.
+func (k *Keeper) remember(e *Record) {
 	k.records[e.ID] = e
 	if e.Answer == nil {
 		return
--- a/keeper/record.go
+++ b/keeper/record.go
@@ -12,19 +12,19 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrRecord says that a stored head or segment can't be read.
+// ErrRecord is returned for a stored head or segment that can't be decoded.
 var ErrRecord = errors.New("bad idempotency record")
 
-// ID names an operation: a hash of its organisation, service and key.
+// ID identifies an operation. It is a hash of its organisation, service and key.
 type ID [16]byte
 
-// NewID is the ID of a key, scoped by organisation and service.
+// NewID returns the ID of a key, scoped by organisation and service.
 func NewID(organisation, service, key string) ID {
 	return ID(Hash([]byte(organisation), []byte(service), []byte(key)))
 }
 
-// Hash is the first 16 bytes of the SHA-256 of the parts, each with its length,
-// so that no two lists of parts share a hash by where they are cut.
+// Hash returns the first 16 bytes of the SHA-256 of the parts, each prefixed by its length,
+// so that lists of parts with the same concatenation have different hashes.
 func Hash(parts ...[]byte) [16]byte {
 	h := sha256.New()
 	for _, p := range parts {
@@ -34,23 +34,23 @@
 	return [16]byte(h.Sum(nil)[:16])
 }
 
-// Partition is the partition, of so many, that keeps an operation.
+// Partition returns the number, below count, of the partition that has the operation.
 func (id ID) Partition(count int) int { return int(xxhash.Sum64(id[:]) % uint64(max(count, 1))) }
 
-// String is the ID in hex, for logs.
+// String returns the ID in hex, for logs.
 func (id ID) String() string { return hex.EncodeToString(id[:]) }
 
-// State is how far a recorded operation came.
+// State is the state of a recorded operation.
 type State uint8
 
 // States of a recorded operation.
 const (
 	Intended State = iota + 1 // may have run; never sent again
-	Ran                       // ran; its answer is kept where it is small enough
-	Void                      // intended, and certainly not run
+	Ran                       // ran; its answer is recorded if it is small enough
+	Void                      // intended, but certainly did not run
 )
 
-// Answer is a backend server's answer, whole.
+// Answer is a backend server's complete answer.
 type Answer struct {
 	Status int                 `msgpack:"status"`
 	Header map[string][]string `msgpack:"header"`
@@ -70,24 +70,25 @@
 	return n
 }
 
-// Entry is one record of an operation. A later entry of the same ID replaces an
-// earlier one. An Entry is never changed once made.
-type Entry struct {
+// Record is the state of an operation in the log. A later record with the same ID replaces
+// an earlier one. A Record is immutable.
+type Record struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	ID       ID
-	Hash     [16]byte // of the call's method, path and body
-	At       int64    // Unix milliseconds, by the keeper's clock; used to forget only
-	Dated    int64    // Unix milliseconds that the key itself carries; 0 for none
+	Hash     [16]byte // hash of the call's method, path and body
+	At       int64    // Unix milliseconds, by the keeper's clock; used for ordering and expiry only
+	Dated    int64    // Unix milliseconds that the key itself carries; 0 if none
 	State    State
-	Answer   *Answer // nil where it was too large to keep
+	Answer   *Answer // nil if it is too large to keep
 }
 
-const entryOverhead = 64
+// recordOverheadBytes is the approximate size of a stored record without its answer.
+const recordOverheadBytes = 64
 
-func (e *Entry) size() int { return entryOverhead + e.Answer.size() }
+func (e *Record) size() int { return recordOverheadBytes + e.Answer.size() }
 
-// Stamp names one write of one keeper. No two writes share a stamp, so reading
-// it back tells whether a write whose reply was lost took effect.
+// Stamp identifies one write of one keeper. No two writes share a stamp, so reading it back
+// tells whether a write whose reply was lost took effect.
 type Stamp struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Keeper      string
@@ -95,50 +96,50 @@
 	Write       uint64
 }
 
-// Segment names an archived part of the log: an object that is written before
-// the head names it, and never changed.
+// Segment refers to an archived part of the log: an immutable object that is written before
+// the head names it.
 type Segment struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Epoch    uint64
 	Sequence uint64
-	Newest   int64 // the latest At in it
-	Dated    int64 // the latest Dated in it
-	Size     int   // bytes, about
-	Level    uint8 // how often its entries have been merged
+	Newest   int64 // latest At of its records
+	Dated    int64 // latest Dated of its records
+	Size     int   // approximate bytes
+	Level    uint8 // number of merges that its records went through
 }
 
-// Head is a partition's one authority: who keeps it, the open end of its log,
-// and the segments before that. Every commit replaces it by a conditional write.
+// Head is the authoritative state of a partition: its current keeper, the tail of its log,
+// and the segments before the tail. Every commit replaces it by a conditional write.
 type Head struct {
-	Epoch    uint64    `msgpack:"epoch"` // grows with every keeper
+	Epoch    uint64    `msgpack:"epoch"` // increases with every keeper
 	Stamp    Stamp     `msgpack:"stamp"`
-	Floor    int64     `msgpack:"floor"` // keys dated up to here may have been forgotten
+	Floor    int64     `msgpack:"floor"` // latest key date among expired records, in Unix milliseconds
 	Segments []Segment `msgpack:"segments"`
-	Tail     []*Entry  `msgpack:"tail"`
-	// Era is one more than the store's era in which the head was written; 0 where its
-	// writer did not know it.
+	Tail     []*Record `msgpack:"tail"`
+	// Era is one more than the store's era in which the head was written; 0 if its writer
+	// did not record it.
 	Era  uint64 `msgpack:"era"`
-	Last int64  `msgpack:"last"` // the latest At of all that is in the log
-	// LostUntil is the time, in Unix milliseconds, up to which keys may have run of which the
-	// log knows nothing; 0 for none.
+	Last int64  `msgpack:"last"` // latest At of all records in the log
+	// LostUntil is the time, in Unix milliseconds, up to which keys may have run whose
+	// records the log has lost; 0 if none.
 	LostUntil int64 `msgpack:"lost"`
 }
 
-// Prefix is where partitions live in the Object API.
+// Prefix is the prefix of the partitions' keys in the Object API.
 const Prefix = "once/"
 
-// HeadKey is the key of a partition's head object.
+// HeadKey returns the key of a partition's head object.
 func HeadKey(partition int) string { return Prefix + strconv.Itoa(partition) + "/head" }
 
-// Key is the key of a segment's object.
+// Key returns the key of a segment's object.
 func (s Segment) Key(partition int) string {
 	return fmt.Sprintf("%s%d/%d-%d", Prefix, partition, s.Epoch, s.Sequence)
 }
 
-// Encode is the head's stored form.
+// Encode returns the stored form of a head.
 func (h Head) Encode() ([]byte, error) { return msgpack.Marshal(h) }
 
-// DecodeHead reads a head's stored form.
+// DecodeHead decodes the stored form of a head.
 func DecodeHead(value []byte) (Head, error) {
 	var h Head
 	if err := msgpack.Unmarshal(value, &h); err != nil {
@@ -147,26 +148,26 @@
 	return h, nil
 }
 
-// EncodeEntries is a segment's stored form.
-func EncodeEntries(entries []*Entry) ([]byte, error) { return msgpack.Marshal(entries) }
+// EncodeRecords returns the stored form of a segment.
+func EncodeRecords(records []*Record) ([]byte, error) { return msgpack.Marshal(records) }
 
-// DecodeEntries reads a segment's stored form.
-func DecodeEntries(value []byte) ([]*Entry, error) {
-	var entries []*Entry
-	if err := msgpack.Unmarshal(value, &entries); err != nil {
+// DecodeRecords decodes the stored form of a segment.
+func DecodeRecords(value []byte) ([]*Record, error) {
+	var records []*Record
+	if err := msgpack.Unmarshal(value, &records); err != nil {
 		return nil, fmt.Errorf("%w: segment: %v", ErrRecord, err)
 	}
-	return entries, nil
+	return records, nil
 }
 
-// DateOf is the time, in Unix milliseconds, that a key in the form of a UUID of
-// version 7 (RFC 9562) carries, and 0 for any other key.
+// DateOf returns the time, in Unix milliseconds, that a key carries if it is a UUID of
+// version 7 (RFC 9562), and 0 for any other key.
 func DateOf(key string) int64 {
-	hexes := strings.ReplaceAll(key, "-", "")
-	if len(key) != 36 || len(hexes) != 32 || hexes[12] != '7' {
+	digits := strings.ReplaceAll(key, "-", "")
+	if len(key) != 36 || len(digits) != 32 || digits[12] != '7' {
 		return 0
 	}
-	ms, err := strconv.ParseInt(hexes[:12], 16, 64)
+	ms, err := strconv.ParseInt(digits[:12], 16, 64)
 	if err != nil {
 		return 0
 	}
--- a/keeper/restore_test.go
+++ b/keeper/restore_test.go
@@ -14,27 +14,27 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// copied is the store as it was.
-type copied struct {
+// snapshot is the state of the store at a time.
+type snapshot struct {
 	at       time.Time
 	head     keeper.Head
 	version  storer.Version
 	revision storer.Version
-	segments map[keeper.Segment][]*keeper.Entry
+	segments map[keeper.Segment][]*keeper.Record
 }
 
-// era is how often the store came back from an older copy.
+// era returns the number of restores of the store.
 func (s *store) era() uint64 { return s.revision.Era() }
 
-// keep notes how the store is now.
-func (s *store) keep(now time.Time) {
-	s.past = append(s.past, copied{now, s.head, s.version, s.revision, maps.Clone(s.segments)})
+// saveSnapshot records the current state of the store.
+func (s *store) saveSnapshot(now time.Time) {
+	s.snapshots = append(s.snapshots, snapshot{now, s.head, s.version, s.revision, maps.Clone(s.segments)})
 }
 
-// restore has the store come back from a copy of a time. Revisions are given out again.
+// restore resets the store to a snapshot of a time. Later revisions are assigned again.
 func (s *store) restore(to time.Time) {
-	c := copied{segments: map[keeper.Segment][]*keeper.Entry{}}
-	for _, p := range s.past {
+	c := snapshot{segments: map[keeper.Segment][]*keeper.Record{}}
+	for _, p := range s.snapshots {
 		if !p.at.After(to) {
 			c = p
 		}
@@ -46,32 +46,32 @@
 	}
 }
 
-// drill has the store be away and come back from a copy of an age; each host hears of that
-// after a while.
-func (w *world) drill(away, age time.Duration, heard map[string]time.Duration) {
-	w.store.downUntil = w.now.Add(away)
-	w.drills = append(w.drills, fmt.Sprintf("drill at %s away %s age %s heard %v", w.now.Sub(w.start), away, age, heard))
-	w.after(away, func() {
+// restoreStore takes the store down and restores it from a snapshot of an age. Each host is
+// notified after a delay of its own.
+func (w *world) restoreStore(outage, age time.Duration, notified map[string]time.Duration) {
+	w.store.downUntil = w.now.Add(outage)
+	w.restores = append(w.restores, fmt.Sprintf("restore at %s down %s age %s notified %v", w.now.Sub(w.start), outage, age, notified))
+	w.after(outage, func() {
 		w.store.restore(w.now.Add(-age))
-		for name, after := range heard {
+		for name, after := range notified {
 			w.after(after, func() {
-				w.input(w.hosts[name], keeper.StoreRestored{Era: w.store.era(), OwnedSince: w.since(name)})
+				w.input(w.hosts[name], keeper.StoreRestored{Era: w.store.era(), OwnedSince: w.ownerSince(name)})
 			})
 		}
 	})
 }
 
-// uuidAt is a key that carries a time.
+// uuidAt returns a key that carries a time.
 func uuidAt(at time.Time) string {
 	return fmt.Sprintf("%08x-%04x-7000-8000-000000000000", at.UnixMilli()>>16, at.UnixMilli()&0xffff)
 }
 
-// call is a call with a key.
+// call returns a call with a key.
 func call(key string, now time.Time) keeper.Call {
 	return keeper.Call{ID: keeper.NewID("o", "s", key), Request: key, From: "e", Deadline: now.Add(time.Second)}
 }
 
-// last is the last output of a kind.
+// last returns the last output of a type.
 func last[T keeper.Output](out []keeper.Output) T {
 	var found T
 	for _, o := range out {
@@ -82,7 +82,7 @@
 	return found
 }
 
-// sealed is a keeper that has read a head in an era, and its seal on the way.
+// sealed returns a keeper that has read a head in an era, and the seal that it writes.
 func sealed(now time.Time, era uint64, h keeper.Head) (*keeper.Keeper, keeper.WriteHead) {
 	k := keeper.New("a", 1, keeper.Settings{})
 	k.Handle(now, keeper.LoadRequested{})
@@ -90,62 +90,62 @@
 	return k, last[keeper.WriteHead](out)
 }
 
-// since is when a host became the partition's owner; zero where it is not.
-func (w *world) since(host string) time.Time {
+// ownerSince returns when a host became the partition's owner; zero if it isn't.
+func (w *world) ownerSince(host string) time.Time {
 	if w.owner != host {
 		return time.Time{}
 	}
-	return w.owned
+	return w.ownedSince
 }
 
-var both = map[string]time.Duration{"a": 50 * time.Millisecond, "b": 90 * time.Millisecond}
+var notifyDelays = map[string]time.Duration{"a": 50 * time.Millisecond, "b": 90 * time.Millisecond}
 
-var _ = Describe("A store that came back from an older copy", func() {
-	told := func(w *world, id string) keeper.Kind { return w.requests[id].told.Kind }
+var _ = Describe("A store restored from an older snapshot", func() {
+	kind := func(w *world, id string) keeper.Kind { return w.requests[id].verdict.Kind }
 
-	// Guards against a hold that is booked twice, as its record was lost with the copy and
-	// then with its keeper.
-	It("has again what its keeper knows, also for the next keeper", func() {
-		w := newWorld(keeper.Settings{MaxTailBytes: 300})
+	// Guards against a call that runs twice, as its record was lost in the restore and then
+	// with the memory of its keeper.
+	It("gets back the records in its keeper's memory, for the next keeper, too", func() {
+		w := newWorld(keeper.Settings{ArchiveTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
 		w.request(4*time.Second, "r2", "k2", "seat 5", "e1")
-		w.after(5*time.Second, func() { w.drill(300*time.Millisecond, 3*time.Second, both) })
+		w.after(5*time.Second, func() { w.restoreStore(300*time.Millisecond, 3*time.Second, notifyDelays) })
 		w.after(8*time.Second, func() { w.handOver() })
 		w.request(10*time.Second, "r3", "k2", "seat 5", "e2")
 		w.request(10*time.Second, "r4", "k1", "seat 4", "e2")
 		w.request(11*time.Second, "r5", "k3", "seat 6", "e2")
 		w.play(worldLength)
-		Expect(w.judge()).To(BeEmpty(), w.story)
+		Expect(w.checkHistory()).To(BeEmpty(), w.history)
 		for _, id := range []string{"r1", "r2", "r3", "r4", "r5"} {
-			Expect(told(w, id)).To(Equal(keeper.KindRan), "%s %s", id, w.story())
+			Expect(kind(w, id)).To(Equal(keeper.KindRan), "%s %s", id, w.history())
 		}
 	})
 
-	// Guards against the same where the keeper is lost with the copy: nobody knows any more.
-	It("has no key run of which all that lasted may be gone", func() {
-		w := newWorld(keeper.Settings{MaxTailBytes: 300})
+	// Guards against the same when the keeper fails during the restore: no record is left.
+	It("does not run keys whose records may all be lost", func() {
+		w := newWorld(keeper.Settings{ArchiveTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
 		w.request(4*time.Second, "r2", "k2", "seat 5", "e1")
 		w.after(5*time.Second, func() {
-			w.drill(300*time.Millisecond, 3*time.Second, both)
+			w.restoreStore(300*time.Millisecond, 3*time.Second, notifyDelays)
 			w.kill(w.hosts[w.owner])
 		})
 		w.request(10*time.Second, "r3", "k2", "seat 5", "e2")
 		w.request(10*time.Second, "r4", "k1", "seat 4", "e2")
 		w.play(worldLength)
-		Expect(w.judge()).To(BeEmpty(), w.story)
-		Expect(told(w, "r2")).To(Equal(keeper.KindRan))
-		Expect(told(w, "r3")).To(Equal(keeper.KindUnknown), w.story())
-		Expect(w.requests["r3"].told.Reason).To(Equal(keeper.ReasonRestored))
-		Expect(told(w, "r4")).To(Equal(keeper.KindRan), w.story())
+		Expect(w.checkHistory()).To(BeEmpty(), w.history)
+		Expect(kind(w, "r2")).To(Equal(keeper.KindRan))
+		Expect(kind(w, "r3")).To(Equal(keeper.KindUnknown), w.history())
+		Expect(w.requests["r3"].verdict.Reason).To(Equal(keeper.ReasonRestored))
+		Expect(kind(w, "r4")).To(Equal(keeper.KindRan), w.history())
 	})
 
-	// Guards against refusing keys that are certainly new for as long as records are kept.
-	It("runs a key all the same that carries a time after that", func() {
-		w := newWorld(keeper.Settings{MaxTailBytes: 300})
+	// Guards against refusing keys that are certainly new until the retention period ends.
+	It("runs a key that carries a time after the restore", func() {
+		w := newWorld(keeper.Settings{ArchiveTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
 		w.after(time.Second, func() {
-			w.drill(300*time.Millisecond, time.Second, both)
+			w.restoreStore(300*time.Millisecond, time.Second, notifyDelays)
 			w.kill(w.hosts[w.owner])
 		})
 		w.after(10*time.Second, func() { w.input(w.hosts["b"], keeper.LoadRequested{}) })
@@ -153,13 +153,13 @@
 		w.after(58*time.Minute, func() { w.request(0, "r2", key, "seat 5", "e2") })
 		w.after(58*time.Minute, func() { w.request(0, "r3", "k2", "seat 6", "e2") })
 		w.play(time.Hour)
-		Expect(told(w, "r2")).To(Equal(keeper.KindRan), w.story())
-		Expect(told(w, "r3")).To(Equal(keeper.KindUnknown), w.story())
+		Expect(kind(w, "r2")).To(Equal(keeper.KindRan), w.history())
+		Expect(kind(w, "r3")).To(Equal(keeper.KindUnknown), w.history())
 	})
 
-	// Guards against a partition that nobody can open, as its head names a segment that was
+	// Guards against a partition that no keeper can load, as its head names a segment that was
 	// lost.
-	It("opens without a segment that is gone, and takes its keys for run", func() {
+	It("can be loaded without a lost segment, whose keys may have run", func() {
 		now := time.Unix(1_800_000_000, 0)
 		segment := keeper.Segment{Epoch: 1, Sequence: 1, Newest: now.UnixMilli()}
 		k, seal := sealed(now, 0, keeper.Head{Epoch: 1, Segments: []keeper.Segment{segment}})
@@ -170,9 +170,9 @@
 		Expect(out).To(ContainElement(HaveField("Verdict.Reason", keeper.ReasonRestored)))
 	})
 
-	// Guards against keys that another keeper ran, and whose records a late write of this one
-	// replaced, as the revision of its condition was given out again.
-	It("takes keys for run where its own write of before landed after", func() {
+	// Guards against a second run of keys that another keeper ran: a late write of this keeper
+	// replaced their records, as the revision in its condition was assigned again.
+	It("treats keys as maybe run if the keeper's own earlier write took effect after the restore", func() {
 		now := time.Unix(1_800_000_000, 0)
 		k, seal := sealed(now, 0, keeper.Head{})
 		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: storer.NewVersion(0, 6), Result: keeper.Done})
@@ -185,9 +185,9 @@
 		Expect(last[keeper.WriteHead](out).Head.LostUntil).To(Equal(now.UnixMilli()))
 	})
 
-	// Guards against what a keeper recorded since the return, and that a late write of an
-	// earlier keeper replaced in the same way.
-	It("has again what such a write of another keeper replaced", func() {
+	// Guards against the loss of records that a keeper wrote since the restore, and that a late
+	// write of an earlier keeper replaced in the same way.
+	It("gets back the records that such a write of another keeper replaced", func() {
 		now := time.Unix(1_800_000_000, 0)
 		k, seal := sealed(now, 1, keeper.Head{Epoch: 1, Era: 2})
 		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: storer.NewVersion(1, 6), Result: keeper.Done})
@@ -195,7 +195,7 @@
 		k.Handle(now, keeper.CallReceived{Call: first})
 		w := last[keeper.WriteHead](k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
 		k.Handle(now, keeper.HeadWritten{Stamp: w.Head.Stamp, Version: storer.NewVersion(1, 7), Result: keeper.Done})
-		k.Handle(now, keeper.StoreRestored{Era: 1, OwnedSince: now.Add(-time.Minute)}) // it looks
+		k.Handle(now, keeper.StoreRestored{Era: 1, OwnedSince: now.Add(-time.Minute)}) // makes it read the head
 		theirs := keeper.Head{Epoch: 1, Era: 1, Stamp: keeper.Stamp{Keeper: "b", Incarnation: 1, Write: 3}}
 		out := k.Handle(now, keeper.HeadRead{Head: theirs, Version: storer.NewVersion(1, 8), Result: keeper.Done})
 		again := last[keeper.WriteHead](out)
@@ -203,26 +203,27 @@
 		Expect(again.Head.Tail).To(ContainElement(HaveField("ID", first.ID)))
 	})
 
-	// Drills of any age and length, one or two, over any schedule of faults, hand-overs and
-	// repeated holds; writes of before land after where their revision is given out again.
-	It("keeps at most once and true answers, whatever the schedule", func() {
+	// One or two restores of random age and outage, under random schedules of faults, hand-overs
+	// and repeated calls. Delayed writes from before a restore may take effect after it, where
+	// their revision is assigned again.
+	It("runs each key at most once, with true verdicts, under any schedule", func() {
 		Expect(flag.Set("rapid.seed", "20261203")).To(Succeed())
 		Expect(flag.Set("rapid.checks", "2000")).To(Succeed())
 		Expect(flag.Set("rapid.nofailfile", "true")).To(Succeed())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			w := randomWorld(t)
-			w.guarded = true
-			ms := func(least, most int, label string) time.Duration {
-				return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
+			w.ownerOnly = true
+			ms := func(minimum, maximum int, label string) time.Duration {
+				return time.Duration(rapid.IntRange(minimum, maximum).Draw(t, label)) * time.Millisecond
 			}
-			for range rapid.IntRange(1, 2).Draw(t, "drills") {
-				at, away, age := ms(500, 20_000, "at"), ms(200, 5000, "away"), ms(1000, 20_000, "age")
-				heard := map[string]time.Duration{"a": ms(0, 2000, "heard"), "b": ms(0, 2000, "heard")}
-				w.after(at, func() { w.drill(away, age, heard) })
+			for range rapid.IntRange(1, 2).Draw(t, "restores") {
+				at, outage, age := ms(500, 20_000, "at"), ms(200, 5000, "outage"), ms(1000, 20_000, "age")
+				notified := map[string]time.Duration{"a": ms(0, 2000, "notified"), "b": ms(0, 2000, "notified")}
+				w.after(at, func() { w.restoreStore(outage, age, notified) })
 			}
 			w.play(60 * time.Second)
-			if wrong := w.judge(); len(wrong) > 0 {
-				t.Fatalf("%v\n%s", wrong, w.story())
+			if violations := w.checkHistory(); len(violations) > 0 {
+				t.Fatalf("%v\n%s", violations, w.history())
 			}
 		})
 	})
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -12,18 +12,18 @@
 	"github.com/cicadawood/cicadawood/keeper"
 )
 
-// Many holds, many of them sent again, meet up to eight faults, hand-overs and
-// workers that refuse, in any order. Whatever the schedule, the promises hold.
+// Random calls, many of them repeated, under up to eight faults, with hand-overs, refusing
+// workers, rejoins and old rosters, in any order.
 var _ = Describe("Any schedule", func() {
-	It("keeps at most once, true answers and first answers", func() {
+	It("runs each key at most once, with true verdicts and the same answer for repeats", func() {
 		Expect(flag.Set("rapid.seed", "20261202")).To(Succeed())
 		Expect(flag.Set("rapid.checks", "400")).To(Succeed())
 		Expect(flag.Set("rapid.nofailfile", "true")).To(Succeed())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			w := randomWorld(t)
 			w.play(60 * time.Second)
-			if wrong := w.judge(); len(wrong) > 0 {
-				t.Fatalf("%v\n%s", wrong, w.story())
+			if violations := w.checkHistory(); len(violations) > 0 {
+				t.Fatalf("%v\n%s", violations, w.history())
 			}
 		})
 	})
@@ -36,10 +36,10 @@
 		c := rapid.SampledFrom(all).Draw(t, "cell")
 		nth := rapid.IntRange(0, 6).Draw(t, "nth")
 		late := rapid.Bool().Draw(t, "late")
-		faults = append(faults, &injection{step: c.step, fault: c.fault, nth: nth, late: late})
+		faults = append(faults, &injection{step: c.step, fault: c.fault, nth: nth, afterEffect: late})
 	}
-	w := newWorld(keeper.Settings{MaxTailBytes: rapid.SampledFrom([]int{1, 200, 1 << 15}).Draw(t, "tail")}, faults...)
-	w.refuse = rapid.IntRange(0, 6).Draw(t, "refused")
+	w := newWorld(keeper.Settings{ArchiveTailBytes: rapid.SampledFrom([]int{1, 200, 1 << 15}).Draw(t, "tail")}, faults...)
+	w.refusals = rapid.IntRange(0, 6).Draw(t, "refused")
 	for i := range rapid.IntRange(1, 20).Draw(t, "requests") {
 		after := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "at")) * time.Millisecond
 		key := fmt.Sprintf("k%d", rapid.IntRange(1, 6).Draw(t, "key"))
@@ -52,9 +52,9 @@
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "opened") {
 		after := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "at")) * time.Millisecond
-		name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host") // also one that owns nothing
+		name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host") // may own no partition
 		w.after(after, func() {
-			if !w.guarded || w.owner == name {
+			if !w.ownerOnly || w.owner == name {
 				w.input(w.hosts[name], keeper.LoadRequested{})
 			}
 		})
@@ -64,17 +64,17 @@
 		name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host")
 		w.after(after, func() { w.input(w.hosts[name], keeper.Rejoined{}) })
 	}
-	for range rapid.IntRange(0, 2).Draw(t, "full") { // the dispatcher refuses all
+	for range rapid.IntRange(0, 2).Draw(t, "full") { // the dispatcher refuses every place
 		after := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "at")) * time.Millisecond
-		w.after(after, func() { w.full = true })
-		w.after(after+2*time.Second, func() { w.full = false })
+		w.after(after, func() { w.placesRefused = true })
+		w.after(after+2*time.Second, func() { w.placesRefused = false })
 	}
-	for range rapid.IntRange(0, 2).Draw(t, "stale") { // an entry with an old roster
+	for range rapid.IntRange(0, 2).Draw(t, "stale") { // an entry host with an old roster
 		after := time.Duration(rapid.IntRange(0, 20_000).Draw(t, "at")) * time.Millisecond
 		entry := rapid.SampledFrom([]string{"e1", "e2", "e3"}).Draw(t, "entry")
 		name := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host")
-		w.after(after, func() { w.stale[entry] = name })
-		w.after(after+3*time.Second, func() { delete(w.stale, entry) })
+		w.after(after, func() { w.staleOwner[entry] = name })
+		w.after(after+3*time.Second, func() { delete(w.staleOwner, entry) })
 	}
 	return w
 }
--- a/keeper/waiter.go
+++ b/keeper/waiter.go
@@ -1,35 +1,35 @@
 package keeper
 
-// Waiter is the entry's side of one request: which keeper may run it, and which
-// verdict is the last. The zero value is ready to use.
+// Waiter is the entry host's side of one request: it decides which keeper may run the
+// request, and which verdict is final. The zero value is ready to use.
 //
-// An entry lets one keeper go on at a time, and only ever a later one after it.
-// A "not run" of an earlier keeper, or of one that has not read the log, says
-// nothing about the one that was let go on.
+// An entry host confirms a request to one keeper at a time, and after that only to later
+// ones. A "not run" of an earlier keeper, or of one that has not loaded the log, tells
+// nothing about the keeper that got the confirmation.
 type Waiter struct {
-	bound uint64 // order of the operation that was told to go on; 0 for none
+	allowedOrder uint64 // order number of the operation that was confirmed last; 0 if none
 }
 
-// Confirm answers a keeper's question whether the request still waits.
+// Confirm answers a keeper's Ready: it reports whether that keeper may run the request.
 func (w *Waiter) Confirm(r Ready) bool {
-	if r.Epoch < w.bound {
+	if r.Order < w.allowedOrder {
 		return false
 	}
-	w.bound = r.Epoch
+	w.allowedOrder = r.Order
 	return true
 }
 
-// Resolve takes a keeper's word. It returns what the caller is to be told, and
-// whether that is the last word; where not, the entry asks the owner again.
+// Resolve handles a keeper's verdict. It returns the verdict for the caller and whether it
+// is final; if not, the entry host asks the partition's owner again.
 func (w *Waiter) Resolve(v Verdict) (Verdict, bool) {
 	switch v.Kind {
 	case KindMoved:
 		return v, false
 	case KindNotRun, KindReused:
-		if v.Epoch >= w.bound {
+		if v.Order >= w.allowedOrder {
 			return v, true
 		}
-		if v.Epoch == 0 {
+		if v.Order == 0 {
 			return Verdict{Kind: KindUnknown, Reason: v.Reason}, true
 		}
 		return v, false
@@ -38,6 +38,6 @@
 	}
 }
 
-// Expired is what the caller is told when no keeper has spoken in time. The key
-// may be running for an earlier request of it, so it is never "not run".
+// Expired returns the verdict for the caller when none has arrived in time. It is never
+// "not run", as the key may be running for an earlier request.
 func (w *Waiter) Expired() Verdict { return Verdict{Kind: KindUnknown, Reason: ReasonDeadline} }
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -197,7 +197,7 @@
 	case keeper.Release:
 		k.release(now, p, o)
 	case keeper.Ready:
-		k.control.send(now, o.To, messenger.OnceReady{Request: o.Request, Partition: p.partition, ID: o.ID[:], Order: o.Epoch})
+		k.control.send(now, o.To, messenger.OnceReady{Request: o.Request, Partition: p.partition, ID: o.ID[:], Order: o.Order})
 	case keeper.Send:
 		k.send(now, p, o)
 	case keeper.Reply:
@@ -213,8 +213,8 @@
 	delete(p.payloads, o.Request)
 	k.metrics.verdict(v.Kind)
 	k.log.Info("once", zap.String("request", o.Request), zap.String("entry", o.To), zap.Int("partition", p.partition),
-		zap.String("verdict", v.Kind.String()), zap.String("reason", v.Reason), zap.Uint64("order", v.Epoch))
-	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, After: v.After, Order: v.Epoch}
+		zap.String("verdict", v.Kind.String()), zap.String("reason", v.Reason), zap.Uint64("order", v.Order))
+	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, After: v.After, Order: v.Order}
 	if v.Answer != nil {
 		m.Status, m.Header, m.Body = v.Answer.Status, v.Answer.Header, v.Answer.Body
 	}
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -116,7 +116,7 @@
 // ready answers a keeper whether the entry still waits for a request.
 func (k *keeping) ready(now time.Time, from string, m messenger.OnceReady) {
 	c := k.calls[m.Request]
-	ok := c != nil && c.waiter.Confirm(keeper.Ready{Epoch: m.Order})
+	ok := c != nil && c.waiter.Confirm(keeper.Ready{Order: m.Order})
 	k.control.send(now, from, messenger.OnceGo{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
 }
 
@@ -125,7 +125,7 @@
 	if c == nil {
 		return // late, or twice
 	}
-	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, After: m.After, Epoch: m.Order})
+	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, After: m.After, Order: m.Order})
 	if !last {
 		c.again, c.moved = now.Add(movedPause), true
 		return
--- a/runner/keeping_store.go
+++ b/runner/keeping_store.go
@@ -51,7 +51,7 @@
 	case keeper.ReadHead:
 		k.later(p, k.readHead(ctx, p))
 	case keeper.WriteSegment:
-		value, err := keeper.EncodeEntries(o.Entries)
+		value, err := keeper.EncodeRecords(o.Records)
 		if err == nil {
 			_, err = k.store.Put(ctx, o.Segment.Key(p.partition), value, storer.Condition{})
 		}
@@ -100,9 +100,9 @@
 
 func (k *keeping) readSegment(ctx context.Context, p *kept, s keeper.Segment) keeper.Input {
 	object, err := k.store.Get(ctx, s.Key(p.partition))
-	var entries []*keeper.Entry
+	var entries []*keeper.Record
 	if err == nil {
-		entries, err = keeper.DecodeEntries(object.Value)
+		entries, err = keeper.DecodeRecords(object.Value)
 	}
 	if err != nil {
 		k.warn("read segment", p, err)
@@ -111,7 +111,7 @@
 		}
 		return keeper.SegmentRead{Segment: s, Result: keeper.Down}
 	}
-	return keeper.SegmentRead{Segment: s, Entries: entries, Result: keeper.Done}
+	return keeper.SegmentRead{Segment: s, Records: entries, Result: keeper.Done}
 }
 
 // layout is how keys fall into partitions. It is written once and never again:
