--- a/runner/catching_test.go
+++ b/runner/catching_test.go
@@ -16,7 +16,7 @@
 // Guards against a host that starts, or begins to decide, knowing nothing of what is at workers.
 var _ = Describe("A host that has just started", func() {
 	workers := []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}}
-	quote := placer.Ask{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
+	quote := placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
 	roster := func(hosts ...int) registrar.Roster {
 		var records []registrar.Record
 		for _, i := range hosts {
@@ -36,7 +36,7 @@
 	told := func(out []sent) map[string]int {
 		n := map[string]int{}
 		for _, s := range out {
-			if m, ok := s.m.(messenger.Shared); ok {
+			if m, ok := s.m.(messenger.FlightUpdate); ok {
 				n[s.to] += len(m.Running)
 			}
 		}
@@ -76,7 +76,7 @@
 			var out []sent
 			c := runner.NewChoosing(h.Name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
 			c.Enroll(now, before)
-			c.Hear(now, owners[0].Name, messenger.Shared{Sent: []messenger.Sending{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
+			c.Hear(now, owners[0].Name, messenger.FlightUpdate{Sent: []messenger.Flight{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
 			out = nil
 			c.Enroll(now, registrar.NewRoster(left...))
 			if n := told(out); len(n) > 0 {
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -69,7 +69,7 @@
 type placing struct {
 	cancel  context.CancelFunc
 	place   *server.Place // nil while it waits
-	use     server.Use
+	use     server.Usage
 	granted time.Time
 }
 
@@ -122,7 +122,7 @@
 	switch m := m.(type) {
 	case messenger.Once:
 		k.asked(now, from, m)
-	case messenger.OnceGo:
+	case messenger.OnceReadyReply:
 		if p := k.keepers[m.Partition]; p != nil && len(m.ID) == len(keeper.ID{}) {
 			k.handle(now, p, keeper.ReadyAnswered{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
 		}
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -35,21 +35,21 @@
 
 func (onceAsked) event() {}
 
-var _ server.Once = (*control)(nil)
+var _ server.OnceRunner = (*control)(nil)
 
-// RunOnce implements server.Once.
+// RunOnce implements server.OnceRunner.
 func (c *control) RunOnce(ctx context.Context, m messenger.Once) (messenger.OnceVerdict, error) {
 	reply := make(chan messenger.OnceVerdict, 1)
 	if !c.post(onceAsked{message: m, reply: reply}) {
-		return messenger.OnceVerdict{}, server.ErrGone
+		return messenger.OnceVerdict{}, server.ErrCallerGone
 	}
 	select {
 	case <-c.ended:
-		return messenger.OnceVerdict{}, server.ErrGone
+		return messenger.OnceVerdict{}, server.ErrCallerGone
 	case v := <-reply:
 		return v, nil
 	case <-ctx.Done():
-		return messenger.OnceVerdict{}, server.ErrGone
+		return messenger.OnceVerdict{}, server.ErrCallerGone
 	}
 }
 
@@ -117,7 +117,7 @@
 func (k *keeping) ready(now time.Time, from string, m messenger.OnceReady) {
 	c := k.calls[m.Request]
 	ok := c != nil && c.waiter.Confirm(keeper.Ready{Order: m.Order})
-	k.control.send(now, from, messenger.OnceGo{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
+	k.control.send(now, from, messenger.OnceReadyReply{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
 }
 
 func (k *keeping) verdict(now time.Time, m messenger.OnceVerdict) {
--- a/server/request.go
+++ b/server/request.go
@@ -52,7 +52,7 @@
 // Fingerprint is the same for calls that are the same to a backend server; see
 // quarantiner.Fingerprint.
 func Fingerprint(organisation, service, method, path string, body []byte) quarantiner.Fingerprint {
-	return quarantiner.Of(organisation, method, service+" "+path, body)
+	return quarantiner.FingerprintOf(organisation, method, service+" "+path, body)
 }
 
 // ask is the request as its dispatcher sees it, for one place after the other.
@@ -70,7 +70,7 @@
 	return messenger.Ask{
 		Request: name, Made: made, Class: q.class, Organisation: q.organisation, Prompt: q.prompt, Output: output,
 		Deadline: max(q.deadline-time.Since(q.started), 0), Waited: time.Since(q.started), Prefix: q.prefix,
-		Exclude: exclude, Fixed: q.once || q.engine && q.stream && !q.resumable,
+		Exclude: exclude, NonPreemptible: q.once || q.engine && q.stream && !q.resumable,
 	}
 }
 
@@ -96,7 +96,7 @@
 func newID() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
-	return forwarder.RequestMark + hex.EncodeToString(b[:])
+	return forwarder.RequestIDPrefix + hex.EncodeToString(b[:])
 }
 
 // chooseClass is the route's class, or the one the header asks for where the
