--- a/cmd/oncebench/takeover.go
+++ b/cmd/oncebench/takeover.go
@@ -71,7 +71,7 @@
 		if err != nil {
 			return h, nil, err
 		}
-		h.Segments = append(h.Segments, keeper.Segment{Epoch: 1, Sequence: uint64(len(stored) + 1), Newest: int64(i + 1), Size: len(value), Level: 9})
+		h.Segments = append(h.Segments, keeper.Segment{Epoch: 1, Sequence: uint64(len(stored) + 1), NewestAt: int64(i + 1), Size: len(value), Level: 9})
 		stored, entries = append(stored, value), nil
 	}
 	return h, stored, nil
--- a/keeper/archive.go
+++ b/keeper/archive.go
@@ -34,7 +34,7 @@
 	k.sequence++
 	s := Segment{Epoch: k.head.Epoch, Sequence: k.sequence, Level: level, Size: sizeOf(records)}
 	for _, e := range records {
-		s.Newest, s.Dated = max(s.Newest, e.At), max(s.Dated, e.Dated)
+		s.NewestAt, s.NewestKeyTime = max(s.NewestAt, e.At), max(s.NewestKeyTime, e.KeyTime)
 	}
 	return s
 }
@@ -75,12 +75,12 @@
 	}
 	kept := c.head.Segments[:0:0]
 	for _, s := range c.head.Segments {
-		if s.Newest > limit {
+		if s.NewestAt > limit {
 			kept = append(kept, s)
 			continue
 		}
 		c.expired = append(c.expired, s)
-		c.head.Floor = max(c.head.Floor, s.Dated)
+		c.head.Floor = max(c.head.Floor, s.NewestKeyTime)
 	}
 	c.head.Segments = kept
 }
@@ -95,7 +95,7 @@
 	last := int64(0)
 	for _, d := range expired {
 		out.add(DropSegment{Segment: d})
-		last = max(last, d.Newest)
+		last = max(last, d.NewestAt)
 	}
 	for id, e := range k.records {
 		if e.At <= last {
--- a/keeper/commit.go
+++ b/keeper/commit.go
@@ -247,7 +247,7 @@
 // newRecord makes an operation's next record. Times are strictly increasing, so that they
 // also give the order of records in the log.
 func (k *Keeper) newRecord(now time.Time, op *operation, s State, a *Answer) *Record {
-	return &Record{ID: op.id, Hash: op.hash, Dated: op.dated, State: s, Answer: a, At: k.nextTime(now.UnixMilli())}
+	return &Record{ID: op.id, Hash: op.hash, KeyTime: op.keyTime, State: s, Answer: a, At: k.nextTime(now.UnixMilli())}
 }
 
 func (k *Keeper) nextTime(ms int64) int64 {
--- a/keeper/doubt.go
+++ b/keeper/doubt.go
@@ -41,7 +41,7 @@
 
 // replyUnknown replies that the key may have run, and when to ask again.
 func (k *Keeper) replyUnknown(out *outputs, c Call, v Verdict) {
-	out.reply(c, Verdict{Kind: KindUnknown, Reason: v.Reason, After: k.settings.RetryInterval, Order: v.Order})
+	out.reply(c, Verdict{Kind: KindUnknown, Reason: v.Reason, RetryAfter: k.settings.RetryInterval, Order: v.Order})
 }
 
 // readToConfirm reads the head if verdicts wait and no write is in flight that confirms
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -161,7 +161,7 @@
 // not run, but an earlier request with the same key may have, and its answer may have been
 // lost: on "not run", the caller would book a second time.
 func (k *Keeper) notLoaded(reason string) Verdict {
-	return Verdict{Kind: KindUnknown, Reason: reason, After: k.settings.RetryInterval}
+	return Verdict{Kind: KindUnknown, Reason: reason, RetryAfter: k.settings.RetryInterval}
 }
 
 // down reports whether the store was down when last tried and must not be retried yet.
@@ -205,7 +205,7 @@
 		case op.stage == stageAnswered:
 			k.finish(out, op)
 		case !op.recorded:
-			k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonStore, After: k.settings.RetryInterval})
+			k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonStore, RetryAfter: k.settings.RetryInterval})
 		}
 	}
 	k.abandonUnconfirmed(out, func(u *unconfirmed) bool {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -46,7 +46,7 @@
 		Expect(w.requests["r3"].verdictAt.Sub(w.requests["r3"].began)).To(BeNumerically("<", 10*time.Millisecond))
 		for _, r := range []string{"r2", "r3"} {
 			Expect(v[r].Kind).To(Equal(keeper.KindUnknown))
-			Expect(v[r].After).To(BeNumerically(">", 0))
+			Expect(v[r].RetryAfter).To(BeNumerically(">", 0))
 		}
 		Expect(v["r4"].Kind).To(Equal(keeper.KindRan), "a repeated key needs no store")
 		Expect(v["r5"].Kind).To(Equal(keeper.KindRan))
@@ -268,8 +268,8 @@
 	})
 })
 
-var _ = DescribeTable("DateOf", func(key string, want int64) {
-	Expect(keeper.DateOf(key)).To(Equal(want))
+var _ = DescribeTable("KeyTimeOf", func(key string, want int64) {
+	Expect(keeper.KeyTimeOf(key)).To(Equal(want))
 },
 	Entry("a UUID of version 7", "019a3f5e-8c00-7abc-8def-0123456789ab", int64(0x019a3f5e8c00)),
 	Entry("a UUID of version 4", "019a3f5e-8c00-4abc-8def-0123456789ab", int64(0)),
@@ -277,8 +277,8 @@
 )
 
 var _ = It("decodes stored heads and segments to equal values", func() {
-	e := &keeper.Record{ID: keeper.NewID("o", "s", "k"), Hash: keeper.Hash([]byte("b")), At: 7, Dated: 5, State: keeper.Ran, Answer: &keeper.Answer{Status: 201, Header: map[string][]string{"A": {"b"}}, Body: []byte("x")}}
-	h := keeper.Head{Epoch: 3, Stamp: keeper.Stamp{Keeper: "a", Incarnation: 1, Write: 2}, Floor: 4, Segments: []keeper.Segment{{Epoch: 2, Sequence: 1, Newest: 6, Dated: 5}}, Tail: []*keeper.Record{e, {State: keeper.Intended}}}
+	e := &keeper.Record{ID: keeper.NewID("o", "s", "k"), Hash: keeper.Hash([]byte("b")), At: 7, KeyTime: 5, State: keeper.Ran, Answer: &keeper.Answer{Status: 201, Header: map[string][]string{"A": {"b"}}, Body: []byte("x")}}
+	h := keeper.Head{Epoch: 3, Stamp: keeper.Stamp{Keeper: "a", Incarnation: 1, Write: 2}, Floor: 4, Segments: []keeper.Segment{{Epoch: 2, Sequence: 1, NewestAt: 6, NewestKeyTime: 5}}, Tail: []*keeper.Record{e, {State: keeper.Intended}}}
 	value, err := h.Encode()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(keeper.DecodeHead(value)).To(Equal(h))
--- a/keeper/merge.go
+++ b/keeper/merge.go
@@ -86,7 +86,7 @@
 	m.segment = k.newSegment(records, m.sources[0].Level+1)
 	// Newer records may have replaced the newest of a source; its ages must still count.
 	for _, s := range m.sources {
-		m.segment.Newest, m.segment.Dated = max(m.segment.Newest, s.Newest), max(m.segment.Dated, s.Dated)
+		m.segment.NewestAt, m.segment.NewestKeyTime = max(m.segment.NewestAt, s.NewestAt), max(m.segment.NewestKeyTime, s.NewestKeyTime)
 	}
 }
 
--- a/keeper/open.go
+++ b/keeper/open.go
@@ -73,7 +73,7 @@
 	k.phase, k.records, k.answers, k.pending = phaseReady, map[ID]*Record{}, fifo{}, newQueue()
 	for _, s := range k.head.Segments {
 		k.replay(k.loaded[s])
-		k.lastAt = max(k.lastAt, s.Newest)
+		k.lastAt = max(k.lastAt, s.NewestAt)
 	}
 	k.replay(k.head.Tail)
 	k.loadedAt = k.lastAt
--- a/keeper/operation.go
+++ b/keeper/operation.go
@@ -26,7 +26,7 @@
 type operation struct {
 	id       ID
 	hash     [16]byte
-	dated    int64
+	keyTime  int64
 	order    uint64
 	waiters  []Call
 	stage    stage
@@ -77,7 +77,7 @@
 		return
 	}
 	k.serial++
-	op := &operation{id: c.ID, hash: c.Hash, dated: c.Dated, order: k.latestOrder(), waiters: []Call{c}}
+	op := &operation{id: c.ID, hash: c.Hash, keyTime: c.KeyTime, order: k.latestOrder(), waiters: []Call{c}}
 	k.ops[c.ID] = op
 	k.acquire(out, op)
 }
@@ -104,7 +104,7 @@
 func (k *Keeper) known(c Call) (Verdict, bool) {
 	e := k.records[c.ID]
 	switch {
-	case e == nil && c.Dated != 0 && c.Dated <= k.head.Floor:
+	case e == nil && c.KeyTime != 0 && c.KeyTime <= k.head.Floor:
 		// Its record may have expired: the key must not run a second time.
 		return Verdict{Kind: KindUnknown, Reason: ReasonExpired}, true
 	case e == nil || e.State == Void:
@@ -123,7 +123,7 @@
 // checkLimits returns the refusal of a new operation that would exceed a limit.
 func (k *Keeper) checkLimits(now time.Time, c Call) (Verdict, bool) {
 	refuse := func(reason string) (Verdict, bool) {
-		return Verdict{Kind: KindNotRun, Reason: reason, After: k.settings.RetryInterval}, true
+		return Verdict{Kind: KindNotRun, Reason: reason, RetryAfter: k.settings.RetryInterval}, true
 	}
 	switch {
 	case !now.Before(c.Deadline):
@@ -134,7 +134,7 @@
 		return refuse(ReasonBusy)
 	case len(k.records)+len(k.ops) >= k.settings.MaxRecords:
 		return refuse(ReasonFull)
-	case c.Dated > now.Add(maxClockSkew).UnixMilli():
+	case c.KeyTime > now.Add(maxClockSkew).UnixMilli():
 		return refuse(ReasonFuture)
 	}
 	return Verdict{}, false
@@ -199,7 +199,7 @@
 		return
 	}
 	op.hasPlace = false
-	k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: u.Reason, After: u.After})
+	k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: u.Reason, RetryAfter: u.RetryAfter})
 }
 
 func (k *Keeper) readyAnswered(out *outputs, _ time.Time, w ReadyAnswered) {
@@ -284,7 +284,7 @@
 // it. The intent stays in the log, so no other keeper sends the call.
 func (k *Keeper) tryAnotherWorker(out *outputs, op *operation) {
 	if op.tries >= k.settings.MaxTries || len(op.waiters) == 0 || k.phase != phaseReady {
-		k.drop(out, op, Verdict{Kind: KindNotRun, Reason: ReasonWorkers, After: k.settings.RetryInterval})
+		k.drop(out, op, Verdict{Kind: KindNotRun, Reason: ReasonWorkers, RetryAfter: k.settings.RetryInterval})
 		return
 	}
 	k.acquire(out, op)
@@ -306,7 +306,7 @@
 		}
 	}
 	if len(over) > 0 && op.stage < stageSent && len(waiting) == 0 {
-		k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, After: k.settings.RetryInterval})
+		k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, RetryAfter: k.settings.RetryInterval})
 		return
 	}
 	if len(over) > 0 && op.stage == stageAnswered {
--- a/keeper/port.go
+++ b/keeper/port.go
@@ -49,7 +49,7 @@
 type Call struct {
 	ID       ID
 	Hash     [16]byte
-	Dated    int64  // Unix milliseconds that the key itself carries; 0 if none
+	KeyTime  int64  // Unix milliseconds that the key itself carries; 0 if none
 	Request  string // unique among all requests
 	From     string // entry host
 	Deadline time.Time
@@ -88,10 +88,10 @@
 
 // Unplaced reports that an Acquire got no place.
 type Unplaced struct {
-	ID      ID
-	Attempt int
-	Reason  string
-	After   time.Duration
+	ID         ID
+	Attempt    int
+	Reason     string
+	RetryAfter time.Duration
 }
 
 // Answered is the result of a Send.
@@ -263,11 +263,11 @@
 
 // Verdict is a keeper's decision about a request.
 type Verdict struct {
-	Kind   Kind
-	Reason string
-	After  time.Duration // to wait before asking again; 0 if not specified
-	Order  uint64        // order number of the operation or, without one, of the keeper's newest; 0 if the log was not loaded
-	Answer *Answer
+	Kind       Kind
+	Reason     string
+	RetryAfter time.Duration // to wait before asking again; 0 if not specified
+	Order      uint64        // order number of the operation or, without one, of the keeper's newest; 0 if the log was not loaded
+	Answer     *Answer
 }
 
 func (Acquire) output()      {}
--- a/keeper/record.go
+++ b/keeper/record.go
@@ -77,7 +77,7 @@
 	ID       ID
 	Hash     [16]byte // hash of the call's method, path and body
 	At       int64    // Unix milliseconds, by the keeper's clock; used for ordering and expiry only
-	Dated    int64    // Unix milliseconds that the key itself carries; 0 if none
+	KeyTime  int64    // Unix milliseconds that the key itself carries; 0 if none
 	State    State
 	Answer   *Answer // nil if it is too large to keep
 }
@@ -99,13 +99,13 @@
 // Segment refers to an archived part of the log: an immutable object that is written before
 // the head names it.
 type Segment struct {
-	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Epoch    uint64
-	Sequence uint64
-	Newest   int64 // latest At of its records
-	Dated    int64 // latest Dated of its records
-	Size     int   // approximate bytes
-	Level    uint8 // number of merges that its records went through
+	_msgpack      struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
+	Epoch         uint64
+	Sequence      uint64
+	NewestAt      int64 // latest At of its records
+	NewestKeyTime int64 // latest KeyTime of its records
+	Size          int   // approximate bytes
+	Level         uint8 // number of merges that its records went through
 }
 
 // Head is the authoritative state of a partition: its current keeper, the tail of its log,
@@ -160,9 +160,9 @@
 	return records, nil
 }
 
-// DateOf returns the time, in Unix milliseconds, that a key carries if it is a UUID of
+// KeyTimeOf returns the time, in Unix milliseconds, that a key carries if it is a UUID of
 // version 7 (RFC 9562), and 0 for any other key.
-func DateOf(key string) int64 {
+func KeyTimeOf(key string) int64 {
 	digits := strings.ReplaceAll(key, "-", "")
 	if len(key) != 36 || len(digits) != 32 || digits[12] != '7' {
 		return 0
--- a/keeper/refusal_test.go
+++ b/keeper/refusal_test.go
@@ -65,7 +65,7 @@
 		now = now.Add(200 * time.Millisecond)
 		v := verdictOn(k.Handle(now, keeper.Ticked{}), "r1")
 		Expect(v.Kind).To(Equal(keeper.KindUnknown))
-		Expect(v.After).To(BeNumerically(">", 0))
+		Expect(v.RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	// No place is granted before the call's deadline, and meanwhile another keeper has sealed
--- a/keeper/restore.go
+++ b/keeper/restore.go
@@ -156,8 +156,8 @@
 	switch {
 	case lost == 0 || now.UnixMilli() >= lost+k.settings.Retention.Milliseconds():
 		return false
-	case c.Dated != 0:
-		return c.Dated <= lost+maxClockSkew.Milliseconds()
+	case c.KeyTime != 0:
+		return c.KeyTime <= lost+maxClockSkew.Milliseconds()
 	}
 	return true
 }
--- a/keeper/restore_test.go
+++ b/keeper/restore_test.go
@@ -121,7 +121,7 @@
 		}
 	})
 
-	// Guards against the same when the keeper fails during the restore: no record is left.
+	// Guards against the same when the keeper fails during the restore: no record of the call is left.
 	It("does not run keys whose records may all be lost", func() {
 		w := newWorld(keeper.Settings{ArchiveTailBytes: 300})
 		w.request(0, "r1", "k1", "seat 4", "e1")
@@ -161,7 +161,7 @@
 	// lost.
 	It("can be loaded without a lost segment, whose keys may have run", func() {
 		now := time.Unix(1_800_000_000, 0)
-		segment := keeper.Segment{Epoch: 1, Sequence: 1, Newest: now.UnixMilli()}
+		segment := keeper.Segment{Epoch: 1, Sequence: 1, NewestAt: now.UnixMilli()}
 		k, seal := sealed(now, 0, keeper.Head{Epoch: 1, Segments: []keeper.Segment{segment}})
 		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: 6, Result: keeper.Done})
 		k.Handle(now, keeper.SegmentRead{Segment: segment, Result: keeper.Missing})
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -176,7 +176,7 @@
 
 func (w *world) call(q *request) keeper.Call {
 	return keeper.Call{
-		ID: keeper.NewID("org", "service", q.key), Hash: keeper.Hash([]byte(q.body)), Dated: keeper.DateOf(q.key),
+		ID: keeper.NewID("org", "service", q.key), Hash: keeper.Hash([]byte(q.body)), KeyTime: keeper.KeyTimeOf(q.key),
 		Request: q.id, From: q.entry,
 	}
 }
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -125,11 +125,11 @@
 	if c == nil {
 		return // late, or twice
 	}
-	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, After: m.After, Order: m.Order})
+	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, RetryAfter: m.After, Order: m.Order})
 	if !last {
 		c.again, c.moved = now.Add(movedPause), true
 		return
 	}
-	m.Kind, m.Reason, m.After = uint8(v.Kind), v.Reason, v.After
+	m.Kind, m.Reason, m.After = uint8(v.Kind), v.Reason, v.RetryAfter
 	k.tell(c, m)
 }
--- a/server/once.go
+++ b/server/once.go
@@ -54,7 +54,7 @@
 	id := keeper.NewID(q.organisation, q.service, key)
 	hash := keeper.Hash([]byte(c.Method), []byte(c.Path), c.Body)
 	v, err := s.once.RunOnce(ctx, messenger.Once{
-		Request: q.id, ID: id[:], Hash: hash[:], Dated: keeper.DateOf(key), Service: q.service, Ask: q.ask(0, 0, nil), Tier: q.tier,
+		Request: q.id, ID: id[:], Hash: hash[:], Dated: keeper.KeyTimeOf(key), Service: q.service, Ask: q.ask(0, 0, nil), Tier: q.tier,
 		Method: c.Method, Path: c.Path, Header: c.Header, Body: c.Body,
 	})
 	if err != nil { // the caller is gone; its call goes on
--- a/server/once_test.go
+++ b/server/once_test.go
@@ -168,7 +168,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		Expect(keys).To(HaveLen(1))
-		Expect(keeper.DateOf(keys[0])).To(BeNumerically("~", time.Now().UnixMilli(), 60_000))
+		Expect(keeper.KeyTimeOf(keys[0])).To(BeNumerically("~", time.Now().UnixMilli(), 60_000))
 	})
 
 	// A worker that is leaving, or that takes the fencing number for an old one,
