--- a/registrar/fleet_test.go
+++ b/registrar/fleet_test.go
@@ -79,7 +79,7 @@
 	n.roster = n.m.Roster()
 	f.nodes[self.Name] = n
 	f.store(self)
-	f.do(n, self.Name, func(now time.Time) []registrar.Output { return n.m.Stored(now, f.listed()) })
+	f.do(n, self.Name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, f.listed()) })
 	f.after(time.Duration(f.random.Int64N(int64(beat))), func() { f.tick(n, self.Name) })
 }
 
@@ -103,7 +103,7 @@
 	}
 	for _, name := range f.names {
 		if n := f.nodes[name]; n.up && !f.storeDown {
-			f.do(n, name, func(now time.Time) []registrar.Output { return n.m.Stored(now, f.listed()) })
+			f.do(n, name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, f.listed()) })
 		}
 	}
 	f.after(5*time.Second, f.relist)
@@ -125,7 +125,7 @@
 	for _, name := range f.names {
 		f.after(f.storeWait+latency, func() {
 			if n := f.nodes[name]; n != nil && n.up && !f.storeDown {
-				f.do(n, name, func(now time.Time) []registrar.Output { return n.m.Stored(now, []registrar.Record{r}) })
+				f.do(n, name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, []registrar.Record{r}) })
 			}
 		})
 	}
@@ -151,7 +151,7 @@
 	if !n.frozen {
 		f.do(n, name, n.m.Tick)
 	}
-	f.after(beat/registrar.TicksPerBeat, func() { f.tick(n, name) })
+	f.after(beat/registrar.TicksPerHeartbeat, func() { f.tick(n, name) })
 }
 
 // do runs an input on a host, or keeps it until the host thaws.
@@ -171,21 +171,21 @@
 		case registrar.Send:
 			n.sent++
 			f.send(n, name, o.To.Name, o.Message)
-		case registrar.Changed:
+		case registrar.RosterChanged:
 			n.roster = o.Roster
 			self, _ := o.Roster.Find(name)
 			n.selves = append(n.selves, self.Incarnation)
 		case registrar.Suspected:
 			n.accused++
-		case registrar.Doubted:
+		case registrar.CheckLease:
 			doubted := f.now
 			f.after(lease, func() { f.lapse(n, name, o.Host, doubted) })
-		case registrar.Died:
+		case registrar.DeclaredDead:
 			f.died = append(f.died, fmt.Sprintf("%s@%d", o.Host.Name, o.Host.Incarnation))
 			if r := f.records[o.Host.Name]; r.Incarnation <= o.Host.Incarnation && !f.storeDown {
 				delete(f.records, o.Host.Name)
 			}
-		case registrar.Succeeded:
+		case registrar.PredecessorFound:
 			if !f.storeDown {
 				delete(f.records, o.Host.Name)
 			}
@@ -200,7 +200,7 @@
 func (f *fleet) lapse(n *node, name string, h registrar.Record, since time.Duration) {
 	x := f.nodes[h.Name]
 	if !f.storeDown && (!x.up || x.frozen) && x.still <= since {
-		f.do(n, name, func(now time.Time) []registrar.Output { return n.m.Lapsed(now, h.Name, h.Incarnation) })
+		f.do(n, name, func(now time.Time) []registrar.Output { return n.m.LeaseExpired(now, h.Name, h.Incarnation) })
 	}
 }
 
@@ -210,7 +210,7 @@
 		f.links[from+">"+to] = true
 	}
 	reach := func(ok bool) {
-		f.do(n, from, func(now time.Time) []registrar.Output { return n.m.Reach(now, to, ok) })
+		f.do(n, from, func(now time.Time) []registrar.Output { return n.m.SetReachable(now, to, ok) })
 	}
 	if x == nil || !x.up || f.cut[from+">"+to] || f.cut[to+">"+from] {
 		f.after(500*time.Millisecond, func() { reach(false) })
@@ -228,7 +228,7 @@
 			d += time.Duration(f.random.Int64N(int64(50 * time.Millisecond)))
 		}
 		f.after(d, func() {
-			f.do(x, to, func(now time.Time) []registrar.Output { return x.m.Hear(now, from, m) })
+			f.do(x, to, func(now time.Time) []registrar.Output { return x.m.Receive(now, from, m) })
 		})
 	}
 	if !f.cut[to+">"+from] {
@@ -285,7 +285,7 @@
 
 func (f *fleet) left(name string) {
 	n := f.nodes[name]
-	f.do(n, name, n.m.Left)
+	f.do(n, name, n.m.Shutdown)
 	n.up = false
 	delete(f.records, name)
 }
--- a/registrar/follow.go
+++ b/registrar/follow.go
@@ -16,14 +16,14 @@
 const Prefix = "hosts/"
 
 const (
-	watchWait  = 20 * time.Second
-	relistWait = 60 * time.Second // at most between two lists, against changes that a watch lost
-	retryWait  = 500 * time.Millisecond
-	// joinWait is how long a watch rests after a change: hosts that start together
+	watchTimeout   = 20 * time.Second
+	relistInterval = 60 * time.Second // at most between two lists, against changes that a watch lost
+	retryDelay     = 500 * time.Millisecond
+	// batchDelay is how long a watch rests after a change: hosts that start together
 	// write their records one after the other, and each would wake every watch.
-	joinWait = 250 * time.Millisecond
-	// turnWait is the pause between looks at whose turn it is to watch.
-	turnWait = time.Second
+	batchDelay = 250 * time.Millisecond
+	// turnPollInterval is the pause between looks at whose turn it is to watch.
+	turnPollInterval = time.Second
 )
 
 // follow reads all records, then watches them, and starts anew where the watch
@@ -38,7 +38,7 @@
 				r.config.Log.Info("roster read again", zap.Duration("after", time.Since(away)))
 				away = time.Time{}
 			}
-			r.stored(objects, listed != 0 && revision.Era() > listed.Era())
+			r.handleObjects(objects, listed != 0 && revision.Era() > listed.Era())
 			listed = revision
 			err = r.watch(ctx, revision)
 		}
@@ -47,51 +47,51 @@
 				away = time.Now()
 				r.config.Log.Warn("roster", zap.Error(err))
 			}
-			wait(ctx, jitter(retryWait))
+			sleep(ctx, jitter(retryDelay))
 		}
 	}
 }
 
 // watch takes changes until it is time to list again.
 func (r *Registrar) watch(ctx context.Context, after storer.Version) error {
-	until := time.Now().Add(jitter(relistWait))
+	until := time.Now().Add(jitter(relistInterval))
 	for ctx.Err() == nil && time.Now().Before(until) {
 		if r.config.ShouldWatch != nil && !r.config.ShouldWatch() {
-			wait(ctx, turnWait)
+			sleep(ctx, turnPollInterval)
 			continue
 		}
-		objects, revision, err := r.config.Store.Watch(ctx, Prefix, after, watchWait)
+		objects, revision, err := r.config.Store.Watch(ctx, Prefix, after, watchTimeout)
 		if err != nil {
 			return err
 		}
-		r.stored(objects, false)
+		r.handleObjects(objects, false)
 		after = revision
 		if len(objects) > 0 {
-			wait(ctx, joinWait)
+			sleep(ctx, batchDelay)
 		}
 	}
 	return nil
 }
 
-// stored takes records; restored says that they are all that a store has which came back
+// handleObjects takes records; restored says that they are all that a store has which came back
 // from an older copy of itself.
-func (r *Registrar) stored(objects []storer.Object, restored bool) {
+func (r *Registrar) handleObjects(objects []storer.Object, restored bool) {
 	var records []Record
 	for _, o := range objects {
-		if h, ok := recordOf(o); ok && !o.Deleted {
+		if h, ok := decodeRecord(o); ok && !o.Deleted {
 			records = append(records, h)
 		}
 	}
 	switch {
 	case len(records) == 0:
 	case restored:
-		r.post(func(now time.Time) []Output { return r.members.Restored(now, records) })
+		r.post(func(now time.Time) []Output { return r.members.ApplyRestored(now, records) })
 	default:
-		r.post(func(now time.Time) []Output { return r.members.Stored(now, records) })
+		r.post(func(now time.Time) []Output { return r.members.ApplyRecords(now, records) })
 	}
 }
 
-func recordOf(o storer.Object) (Record, bool) {
+func decodeRecord(o storer.Object) (Record, bool) {
 	var h Record
 	err := json.Unmarshal(o.Value, &h)
 	h.Unreachable = false
@@ -102,7 +102,7 @@
 // back to the store in one instant.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/registrar/members_test.go
+++ b/registrar/members_test.go
@@ -250,7 +250,7 @@
 		f.run(time.Second)
 		n := f.nodes[victim]
 		f.freeze(victim)
-		f.act(n, victim, n.m.Left(epoch(f.now)))
+		f.act(n, victim, n.m.Shutdown(epoch(f.now)))
 		delete(f.records, victim)
 		f.run(10 * time.Second)
 		sent := n.sent
@@ -286,13 +286,13 @@
 			m := registrar.NewMembers(epoch(0), registrar.Record{Name: "a", Control: "a", Incarnation: 1}, beat)
 			fact := messenger.Fact{Name: "b", Control: "b", Incarnation: 1}
 			if status > 0 {
-				m.Hear(epoch(0), "c", messenger.News{Facts: []messenger.Fact{fact}})
+				m.Receive(epoch(0), "c", messenger.News{Facts: []messenger.Fact{fact}})
 				dead := fact
 				dead.Status = status
-				m.Hear(epoch(0), "c", messenger.News{Facts: []messenger.Fact{dead}})
+				m.Receive(epoch(0), "c", messenger.News{Facts: []messenger.Fact{dead}})
 			}
 			var answers []messenger.Message
-			for _, o := range m.Hear(epoch(beat), "b", messenger.Probe{Self: fact}) {
+			for _, o := range m.Receive(epoch(beat), "b", messenger.Probe{Self: fact}) {
 				if s, ok := o.(registrar.Send); ok {
 					answers = append(answers, s.Message)
 				}
@@ -317,7 +317,7 @@
 	It("keeps the roster of a superseded host up to date", func() {
 		m := registrar.NewMembers(epoch(0), registrar.Record{Name: "a", Control: "a", Incarnation: 1}, beat)
 		hear := func(name string, incarnation uint64) {
-			m.Hear(epoch(0), "c", messenger.News{Facts: []messenger.Fact{{Name: name, Control: name, Incarnation: incarnation}}})
+			m.Receive(epoch(0), "c", messenger.News{Facts: []messenger.Fact{{Name: name, Control: name, Incarnation: incarnation}}})
 		}
 		hear("a", 2)
 		for i := range 8 {
--- a/registrar/renewing.go
+++ b/registrar/rebuild.go
@@ -19,24 +19,24 @@
 	return !slices.ContainsFunc(m.roster.hosts, func(h Record) bool { return h.Name != m.self.fact.Name })
 }
 
-// enter takes a host that was not known.
-func (m *Members) enter(now time.Time, f messenger.Fact) *member {
-	x := &member{fact: f, heard: now, since: now, hash: xxhash.Sum64String(f.Name)}
+// addMember takes a host that was not known.
+func (m *Members) addMember(now time.Time, f messenger.Fact) *member {
+	x := &member{fact: f, lastSeen: now, factSince: now, nameHash: xxhash.Sum64String(f.Name)}
 	m.members[f.Name] = x
 	at, _ := slices.BinarySearchFunc(m.sorted, f.Name, func(y *member, name string) int { return strings.Compare(y.fact.Name, name) })
 	m.sorted = slices.Insert(m.sorted, at, x)
 	return x
 }
 
-// tick is the time between two ticks.
-func (m *Members) tick() time.Duration { return m.beat / TicksPerBeat }
+// tickInterval is the time between two ticks.
+func (m *Members) tickInterval() time.Duration { return m.heartbeatInterval / TicksPerHeartbeat }
 
-// renew has what follows from the facts renewed: now, or at the next tick where that was
+// scheduleRebuild has what follows from the facts renewed: now, or at the next tick where that was
 // done a few times since the last. Failure: all hosts restart, and each of hundreds of facts has each
 // host work through its whole roster; small hosts do nothing else for seconds.
 // A host that was superseded ticks no more.
-func (m *Members) renew(now time.Time) {
-	if m.rebuilds >= rebuildsPerTick && !m.ended && !m.replaced {
+func (m *Members) scheduleRebuild(now time.Time) {
+	if m.rebuilds >= rebuildsPerTick && !m.stopped && !m.superseded {
 		m.rosterStale = true
 		return
 	}
@@ -47,7 +47,7 @@
 func (m *Members) rebuild(now time.Time) {
 	m.rosterStale = false
 	m.rebuilds++
-	m.expire(now)
+	m.expireTombstones(now)
 	var digest uint64
 	r := Roster{hosts: make([]Record, 0, len(m.sorted)), hashes: make([]uint64, 0, len(m.sorted))}
 	for _, x := range m.sorted {
@@ -55,30 +55,30 @@
 			continue
 		}
 		digest += x.digest()
-		if x != m.self || m.counts() {
+		if x != m.self || m.countsAsAlive() {
 			r.hosts = append(r.hosts, x.record())
-			r.hashes = append(r.hashes, x.hash)
+			r.hashes = append(r.hashes, x.nameHash)
 		}
 	}
 	if digest != m.digest {
-		m.digest, m.digestAt, m.ringStale = digest, now, true
-		m.connect(now)
+		m.digest, m.digestChangedAt, m.ringStale = digest, now, true
+		m.rebuildRing(now)
 	}
 	if !slices.Equal(r.hosts, m.roster.hosts) {
 		m.roster = r
-		m.out = append(m.out, Changed{Roster: r})
+		m.outputs = append(m.outputs, RosterChanged{Roster: r})
 	}
 }
 
 // digest is a host's part of the digest: equal for the same incarnation and leaving.
 func (m *member) digest() uint64 {
-	return mix(m.hash ^ mix(m.fact.Incarnation<<1|uint64(m.fact.Status)))
+	return mix(m.nameHash ^ mix(m.fact.Incarnation<<1|uint64(m.fact.Status)))
 }
 
-// expire forgets hosts that have been gone for long.
-func (m *Members) expire(now time.Time) {
+// expireTombstones forgets hosts that have been gone for long.
+func (m *Members) expireTombstones(now time.Time) {
 	m.sorted = slices.DeleteFunc(m.sorted, func(x *member) bool {
-		old := x != m.self && x.fact.Status == gone && now.Sub(x.since) > tombstoneAge
+		old := x != m.self && x.fact.Status == gone && now.Sub(x.factSince) > tombstoneAge
 		if old {
 			delete(m.members, x.fact.Name)
 		}
@@ -86,13 +86,13 @@
 	})
 }
 
-// connect renews the ring, not more than once between two ticks: the next one does what
+// rebuildRing renews the ring, not more than once between two ticks: the next one does what
 // is left.
-func (m *Members) connect(now time.Time) {
-	if !m.ringStale || now.Sub(m.ringAt) < m.tick() {
+func (m *Members) rebuildRing(now time.Time) {
+	if !m.ringStale || now.Sub(m.ringBuiltAt) < m.tickInterval() {
 		return
 	}
-	m.ringStale, m.ringAt = false, now
+	m.ringStale, m.ringBuiltAt = false, now
 	var all []*member
 	for _, x := range m.sorted {
 		if x.fact.Status != gone {
@@ -103,16 +103,18 @@
 	m.introduce()
 }
 
-func (m *Members) counts() bool { return !m.outcast && !m.replaced && m.doubt.IsZero() }
+func (m *Members) countsAsAlive() bool {
+	return !m.declaredDead && !m.superseded && m.unconfirmedSince.IsZero()
+}
 
 // introduce sends this host's fact to observers that are new, or new under their
 // name: they may know nothing of it yet, and could not answer its heartbeats.
 func (m *Members) introduce() {
-	known := m.introduced
-	m.introduced = map[string]uint64{}
+	known := m.introducedTo
+	m.introducedTo = map[string]uint64{}
 	for _, o := range m.ring.observers[m.self.fact.Name] {
 		incarnation := m.members[o].fact.Incarnation
-		m.introduced[o] = incarnation
+		m.introducedTo[o] = incarnation
 		if known[o] != incarnation {
 			m.send(o, messenger.News{Facts: []messenger.Fact{m.self.fact}})
 		}
--- a/registrar/recorder.go
+++ b/registrar/recorder.go
@@ -21,13 +21,13 @@
 
 const removeTimeout = time.Second
 
-// restoreSpread is the time in which hosts look, one after the other, for what a store lost
+// restoreWindow is the time in which hosts look, one after the other, for what a store lost
 // that came back from an older copy.
-const restoreSpread = 2 * time.Second
+const restoreWindow = 2 * time.Second
 
-// recordEvery is how many renewals of the lease come for each look at the record: who took
+// renewalsPerCheck is how many renewals of the lease come for each look at the record: who took
 // it away tells this host so.
-const recordEvery = 4
+const renewalsPerCheck = 4
 
 // recorder writes this host's record and lease, and removes those of the dead.
 type recorder struct {
@@ -40,55 +40,55 @@
 	self         Record // to be stored; a zero Record stores nothing
 	dead         map[string]uint64
 	predecessors []string // names of processes that ran at this host's address
-	lost         bool     // the store may have lost the record and the lease
+	maybeLost    bool     // the store may have lost the record and the lease
 
 	// run's goroutine only
-	renewals uint64
-	stored   Record // as it was last seen in the store
-	tried    bool   // to create it
+	renewals    uint64
+	stored      Record // as it was last seen in the store
+	createTried bool   // to create it
 }
 
 func newRecorder(s storer.Store, self Record, lease time.Duration, log *zap.Logger) *recorder {
 	return &recorder{store: s, lease: lease, log: log, wake: make(chan struct{}, 1), self: self, dead: map[string]uint64{}}
 }
 
-// write has the record stored soon.
-func (c *recorder) write(self Record) {
+// setRecord has the record stored soon.
+func (c *recorder) setRecord(self Record) {
 	c.mu.Lock()
 	c.self = self
 	c.mu.Unlock()
-	c.poke()
+	c.notify()
 }
 
-// bury has a dead host's record and lease removed soon.
-func (c *recorder) bury(h Record) {
+// queueDead has a dead host's record and lease removed soon.
+func (c *recorder) queueDead(h Record) {
 	c.mu.Lock()
 	c.dead[h.Name] = h.Incarnation
 	c.mu.Unlock()
-	c.poke()
+	c.notify()
 }
 
-// succeed has the record and lease removed soon that a process at this host's address left
+// queuePredecessor has the record and lease removed soon that a process at this host's address left
 // behind. Nobody writes these any more, so that they need not be read first.
-func (c *recorder) succeed(name string) {
+func (c *recorder) queuePredecessor(name string) {
 	c.mu.Lock()
 	c.predecessors = append(c.predecessors, name)
 	c.mu.Unlock()
-	c.poke()
+	c.notify()
 }
 
-// restore has the record and the lease written soon where the store has lost them.
+// scheduleRestore has the record and the lease written soon where the store has lost them.
 // Failure: a store that has just come back is called by all hosts of a fleet in one moment.
-func (c *recorder) restore() {
-	time.AfterFunc(rand.N(restoreSpread), func() {
+func (c *recorder) scheduleRestore() {
+	time.AfterFunc(rand.N(restoreWindow), func() {
 		c.mu.Lock()
-		c.lost = true
+		c.maybeLost = true
 		c.mu.Unlock()
-		c.poke()
+		c.notify()
 	})
 }
 
-func (c *recorder) poke() {
+func (c *recorder) notify() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -99,9 +99,9 @@
 func (c *recorder) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := c.lease/4 + jitter(c.lease/4)
-		if err := c.pass(ctx); err != nil && ctx.Err() == nil {
+		if err := c.reconcile(ctx); err != nil && ctx.Err() == nil {
 			c.log.Warn("renew", zap.Error(err))
-			pause = jitter(retryWait)
+			pause = jitter(retryDelay)
 		}
 		t := time.NewTimer(pause)
 		select {
@@ -113,13 +113,13 @@
 	}
 }
 
-// pass does all that is due. Every step may be done again: a write whose reply
-// was lost is settled by the next pass, which reads before it writes.
-func (c *recorder) pass(ctx context.Context) error {
+// reconcile does all that is due. Every step may be done again: a write whose reply
+// was lost is settled by the next reconcile, which reads before it writes.
+func (c *recorder) reconcile(ctx context.Context) error {
 	c.mu.Lock()
 	self := c.self
-	if c.lost {
-		c.lost, c.stored = false, Record{}
+	if c.maybeLost {
+		c.maybeLost, c.stored = false, Record{}
 	}
 	dead := make(map[string]uint64, len(c.dead))
 	for name, incarnation := range c.dead {
@@ -127,7 +127,7 @@
 	}
 	c.mu.Unlock()
 	if self.Name != "" {
-		if err := c.renew(ctx, self); err != nil {
+		if err := c.renewLease(ctx, self); err != nil {
 			return err
 		}
 	}
@@ -147,11 +147,11 @@
 	return nil
 }
 
-// renew writes the lease, and now and then the record where the store has another.
-func (c *recorder) renew(ctx context.Context, self Record) error {
+// renewLease writes the lease, and now and then the record where the store has another.
+func (c *recorder) renewLease(ctx context.Context, self Record) error {
 	self.Unreachable = false
-	if c.stored != self || c.renewals%recordEvery == 0 {
-		if err := c.record(ctx, self); err != nil || c.stored != self {
+	if c.stored != self || c.renewals%renewalsPerCheck == 0 {
+		if err := c.writeRecord(ctx, self); err != nil || c.stored != self {
 			return err
 		}
 	}
@@ -171,14 +171,14 @@
 	return nil
 }
 
-// record writes the record where the store has another. Failure: a process that was frozen
-// while its name was given to a new one must not overwrite the new one's record; the
+// writeRecord writes the writeRecord where the store has another. Failure: a process that was frozen
+// while its name was given to a new one must not overwrite the new one's writeRecord; the
 // condition on what was read prevents it.
-func (c *recorder) record(ctx context.Context, self Record) error {
+func (c *recorder) writeRecord(ctx context.Context, self Record) error {
 	c.stored = Record{}
-	if !c.tried {
-		c.tried = true // most processes are new under their names
-		if created, err := c.create(ctx, self); created || err != nil {
+	if !c.createTried {
+		c.createTried = true // most processes are new under their names
+		if created, err := c.createRecord(ctx, self); created || err != nil {
 			return err
 		}
 	}
@@ -186,14 +186,14 @@
 	if err != nil && !errors.Is(err, storer.ErrNotFound) {
 		return fmt.Errorf("read record: %w", err)
 	}
-	stored, _ := recordOf(o)
+	stored, _ := decodeRecord(o)
 	if stored.Incarnation > self.Incarnation {
 		c.log.Warn("record has a newer incarnation", zap.Uint64("incarnation", stored.Incarnation))
 		return nil
 	}
 	if stored != self {
 		c.log.Info("write record", zap.Stringer("found", o.Version), zap.Uint64("incarnation", self.Incarnation))
-		if err := c.put(ctx, self, storer.Condition{Match: o.Version, Absent: o.Version == 0}); err != nil {
+		if err := c.putRecord(ctx, self, storer.Condition{Match: o.Version, Absent: o.Version == 0}); err != nil {
 			return err
 		}
 	}
@@ -201,9 +201,9 @@
 	return nil
 }
 
-// create writes the record where the store has none of this name.
-func (c *recorder) create(ctx context.Context, self Record) (bool, error) {
-	err := c.put(ctx, self, storer.Condition{Absent: true})
+// createRecord writes the record where the store has none of this name.
+func (c *recorder) createRecord(ctx context.Context, self Record) (bool, error) {
+	err := c.putRecord(ctx, self, storer.Condition{Absent: true})
 	if errors.Is(err, storer.ErrConflict) {
 		return false, nil
 	}
@@ -213,7 +213,7 @@
 	return err == nil, err
 }
 
-func (c *recorder) put(ctx context.Context, self Record, condition storer.Condition) error {
+func (c *recorder) putRecord(ctx context.Context, self Record, condition storer.Condition) error {
 	value, err := json.Marshal(self)
 	if err != nil {
 		return fmt.Errorf("write record: %w", err)
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// remove takes this host's own record and lease away, at its end.
-func (c *recorder) remove() {
+// removeSelf takes this host's own record and lease away, at its end.
+func (c *recorder) removeSelf() {
 	ctx, cancel := context.WithTimeout(context.Background(), removeTimeout)
 	defer cancel()
 	if c.self.Name == "" {
@@ -279,12 +279,12 @@
 	}
 }
 
-// lapsed watches a host's lease for as long as a lease runs, by this host's own
+// leaseExpired watches a host's lease for as long as a lease runs, by this host's own
 // clock, and says whether it was never renewed. While the store can't be read it says
 // nothing: an outage must kill nobody. One that is not there counts as one that is not
 // renewed. Failure: a host that came in an outage writes its lease when the store is back,
 // and is declared dead by who looks a moment before.
-func (c *recorder) lapsed(ctx context.Context, name string) bool {
+func (c *recorder) leaseExpired(ctx context.Context, name string) bool {
 	var version storer.Version
 	var since time.Time
 	for ctx.Err() == nil {
@@ -299,7 +299,7 @@
 		case time.Since(since) >= c.lease:
 			return true
 		}
-		wait(ctx, c.lease/4)
+		sleep(ctx, c.lease/4)
 	}
 	return false
 }
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -12,12 +12,12 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// inputBacklog is how many inputs wait for the registrar; what comes on top is
+// maxQueuedInputs is how many inputs wait for the registrar; what comes on top is
 // dropped, as heartbeats and news are repeated.
-const inputBacklog = 1024
+const maxQueuedInputs = 1024
 
-// seekEvery is how often a host that knows nobody asks its settings' peers.
-const seekEvery = 2 * time.Second
+// askPeersInterval is how often a host that knows nobody asks its settings' peers.
+const askPeersInterval = 2 * time.Second
 
 // Transport is the port to other hosts.
 type Transport interface {
@@ -61,13 +61,13 @@
 	inputs   chan func(now time.Time) []Output
 	recorder *recorder
 	tasks    sync.WaitGroup
-	ended    chan struct{}
+	done     chan struct{}
 
-	mu       sync.Mutex
-	roster   Roster
-	doubting map[string]bool // by host
+	mu          sync.Mutex
+	roster      Roster
+	leaseChecks map[string]bool // by host
 
-	sought time.Time // when the peers of the settings were last asked
+	peersAsked time.Time // when the peers of the settings were last asked
 
 	suspicions, deaths, rejoins atomic.Uint64
 }
@@ -75,8 +75,8 @@
 // New returns a registrar that does nothing yet.
 func New(c Config) *Registrar {
 	r := &Registrar{
-		config: c, members: NewMembers(time.Now(), c.Self, c.HeartbeatInterval), inputs: make(chan func(time.Time) []Output, inputBacklog),
-		ended: make(chan struct{}), doubting: map[string]bool{},
+		config: c, members: NewMembers(time.Now(), c.Self, c.HeartbeatInterval), inputs: make(chan func(time.Time) []Output, maxQueuedInputs),
+		done: make(chan struct{}), leaseChecks: map[string]bool{},
 	}
 	r.recorder = newRecorder(c.Store, c.Self, c.LeaseDuration, c.Log)
 	return r
@@ -84,37 +84,37 @@
 
 // Run keeps the roster until ctx ends, then takes this host off it.
 func (r *Registrar) Run(ctx context.Context) {
-	defer close(r.ended)
+	defer close(r.done)
 	inner, stop := context.WithCancel(ctx)
 	defer stop()
 	r.tasks.Go(func() { r.follow(inner) })
 	r.tasks.Go(func() { r.recorder.run(inner) })
-	r.act(inner, []Output{Changed{Roster: r.members.Roster()}})
-	ticker := time.NewTicker(r.config.HeartbeatInterval / TicksPerBeat)
+	r.execute(inner, []Output{RosterChanged{Roster: r.members.Roster()}})
+	ticker := time.NewTicker(r.config.HeartbeatInterval / TicksPerHeartbeat)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-			r.seek()
-			r.act(inner, r.members.Tick(time.Now()))
+			r.askPeers()
+			r.execute(inner, r.members.Tick(time.Now()))
 		case in := <-r.inputs:
-			r.act(inner, in(time.Now()))
+			r.execute(inner, in(time.Now()))
 		}
 	}
-	r.act(inner, r.members.Left(time.Now()))
+	r.execute(inner, r.members.Shutdown(time.Now()))
 	stop()
 	r.tasks.Wait()
-	r.recorder.remove()
+	r.recorder.removeSelf()
 }
 
-// seek asks the peers of the settings while this host knows nobody else. The
+// askPeers asks the peers of the settings while this host knows nobody else. The
 // fact goes first, so that the peer knows whom to answer.
-func (r *Registrar) seek() {
-	if len(r.Roster().hosts) > 1 || time.Since(r.sought) < seekEvery {
+func (r *Registrar) askPeers() {
+	if len(r.Roster().hosts) > 1 || time.Since(r.peersAsked) < askPeersInterval {
 		return
 	}
-	r.sought = time.Now()
+	r.peersAsked = time.Now()
 	for _, p := range r.config.Peers {
 		_ = r.config.Transport.Send(p, messenger.News{Facts: []messenger.Fact{factOf(r.members.Self())}})
 		_ = r.config.Transport.Send(p, messenger.Sync{})
@@ -122,17 +122,17 @@
 }
 
 // Leave marks this host as leaving: it takes no new roles.
-func (r *Registrar) Leave() { r.post(r.membersLeave) }
+func (r *Registrar) Leave() { r.post(r.leave) }
 
-func (r *Registrar) membersLeave(now time.Time) []Output {
+func (r *Registrar) leave(now time.Time) []Output {
 	out := r.members.Leave(now)
-	r.recorder.write(r.members.Self())
+	r.recorder.setRecord(r.members.Self())
 	return out
 }
 
 // StoreRestored takes that the store came back from an older copy of itself: this host's record
 // and lease are looked at soon, and written where they are lost.
-func (r *Registrar) StoreRestored() { r.recorder.restore() }
+func (r *Registrar) StoreRestored() { r.recorder.scheduleRestore() }
 
 // Receive takes a message of another host. It says whether the message is one of
 // membership. It does not block.
@@ -143,7 +143,7 @@
 		return false
 	}
 	select {
-	case r.inputs <- func(now time.Time) []Output { return r.members.Hear(now, from, m) }:
+	case r.inputs <- func(now time.Time) []Output { return r.members.Receive(now, from, m) }:
 	default:
 	}
 	return true
@@ -154,7 +154,7 @@
 func (r *Registrar) SetReachable(address string, reachable bool) {
 	for _, h := range r.Roster().hosts {
 		if h.Control == address {
-			r.post(func(now time.Time) []Output { return r.members.Reach(now, h.Name, reachable) })
+			r.post(func(now time.Time) []Output { return r.members.SetReachable(now, h.Name, reachable) })
 		}
 	}
 }
@@ -181,20 +181,20 @@
 func (r *Registrar) post(in func(time.Time) []Output) {
 	select {
 	case r.inputs <- in:
-	case <-r.ended:
+	case <-r.done:
 	}
 }
 
-// act does what was decided.
-func (r *Registrar) act(ctx context.Context, out []Output) {
+// execute does what was decided.
+func (r *Registrar) execute(ctx context.Context, out []Output) {
 	for _, o := range out {
 		switch o := o.(type) {
 		case Send:
-			if o.Fresh {
+			if o.NewConnection {
 				r.config.Transport.Renew(o.To.Control)
 			}
 			_ = r.config.Transport.Send(o.To.Control, o.Message) // a full queue is counted there
-		case Changed:
+		case RosterChanged:
 			r.mu.Lock()
 			r.roster = o.Roster
 			r.mu.Unlock()
@@ -202,44 +202,44 @@
 		case Suspected:
 			r.suspicions.Add(1)
 			r.config.Log.Info("suspect", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-		case Doubted:
-			r.doubted(ctx, o.Host)
-		case Died:
+		case CheckLease:
+			r.checkLease(ctx, o.Host)
+		case DeclaredDead:
 			r.deaths.Add(1)
 			r.config.Log.Warn("dead", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-			r.recorder.bury(o.Host)
-		case Succeeded:
+			r.recorder.queueDead(o.Host)
+		case PredecessorFound:
 			r.config.Log.Info("succeeded", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-			r.recorder.succeed(o.Host.Name)
-		case Returned:
+			r.recorder.queuePredecessor(o.Host.Name)
+		case StaleRecord:
 			r.config.Log.Info("record of a host that is gone is back", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-			r.recorder.bury(o.Host)
+			r.recorder.queueDead(o.Host)
 		case Rejoined:
 			r.rejoins.Add(1)
 			r.config.Log.Warn("rejoined", zap.Uint64("incarnation", o.Self.Incarnation))
-			r.recorder.write(o.Self)
+			r.recorder.setRecord(o.Self)
 		case Superseded:
 			r.config.Log.Error("superseded", zap.Uint64("incarnation", o.Self.Incarnation))
-			r.recorder.write(Record{})
+			r.recorder.setRecord(Record{})
 		}
 	}
 }
 
-// doubted checks a suspect's lease, once at a time.
-func (r *Registrar) doubted(ctx context.Context, h Record) {
+// checkLease checks a suspect's lease, once at a time.
+func (r *Registrar) checkLease(ctx context.Context, h Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.doubting[h.Name] {
+	if r.leaseChecks[h.Name] {
 		return
 	}
-	r.doubting[h.Name] = true
+	r.leaseChecks[h.Name] = true
 	r.tasks.Go(func() {
-		lapsed := r.recorder.lapsed(ctx, h.Name)
+		lapsed := r.recorder.leaseExpired(ctx, h.Name)
 		r.mu.Lock()
-		delete(r.doubting, h.Name)
+		delete(r.leaseChecks, h.Name)
 		r.mu.Unlock()
 		if lapsed {
-			r.post(func(now time.Time) []Output { return r.members.Lapsed(now, h.Name, h.Incarnation) })
+			r.post(func(now time.Time) []Output { return r.members.LeaseExpired(now, h.Name, h.Incarnation) })
 		}
 	})
 }
--- a/registrar/ring.go
+++ b/registrar/ring.go
@@ -42,14 +42,14 @@
 		} else if region == self.fact.Region {
 			order = interleave(members)
 		}
-		r.place(region, order, self)
+		r.setObservers(region, order, self)
 	}
 	return r
 }
 
-// place takes the observers of this host, and of those that it observes itself, of the
+// setObservers takes the observers of this host, and of those that it observes itself, of the
 // hosts of a region in an order.
-func (r *ring) place(region string, order []*member, self *member) {
+func (r *ring) setObservers(region string, order []*member, self *member) {
 	at := slices.Index(order, self)
 	if at < 0 {
 		return
@@ -60,15 +60,15 @@
 		if h.fact.Region != region {
 			continue
 		}
-		r.observers[h.fact.Name] = namesOf(next(order, at+i+len(order), n))
+		r.observers[h.fact.Name] = namesOf(successors(order, at+i+len(order), n))
 		if i < 0 {
 			r.observed = append(r.observed, h.fact.Name)
 		}
 	}
 }
 
-// next is the n hosts that come after one.
-func next(order []*member, at, n int) []*member {
+// successors is the n hosts that come after one.
+func successors(order []*member, at, n int) []*member {
 	var out []*member
 	for i := 1; i <= n; i++ {
 		out = append(out, order[(at+i)%len(order)])
@@ -87,11 +87,11 @@
 // neighboursOf is the hosts that have the highest rendezvous weights for one: who comes
 // or goes changes few of them, so that connections are kept.
 func neighboursOf(hosts []*member, self *member) []string {
-	return namesOf(highest(hosts, fanout, func(h *member) (uint64, bool) { return mix(self.hash ^ mix(h.hash)), h != self }))
+	return namesOf(heaviest(hosts, fanout, func(h *member) (uint64, bool) { return mix(self.nameHash ^ mix(h.nameHash)), h != self }))
 }
 
-// highest is up to n of a list, those with the highest weights first; false leaves one out.
-func highest[T any](list []T, n int, weight func(T) (uint64, bool)) []T {
+// heaviest is up to n of a list, those with the heaviest weights first; false leaves one out.
+func heaviest[T any](list []T, n int, weight func(T) (uint64, bool)) []T {
 	var out []T
 	var weights []uint64
 	for _, x := range list {
@@ -121,7 +121,7 @@
 	places := make([]place, 0, len(hosts))
 	for _, z := range zones {
 		slices.SortFunc(z, func(a, b *member) int {
-			return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.fact.Name, b.fact.Name))
+			return cmp.Or(cmp.Compare(a.nameHash, b.nameHash), cmp.Compare(a.fact.Name, b.fact.Name))
 		})
 		for i, h := range z {
 			places = append(places, place{h, (float64(i) + 0.5) / float64(len(z))})
--- a/registrar/roster.go
+++ b/registrar/roster.go
@@ -91,7 +91,7 @@
 		}
 	}
 	pick := func(n int, large bool) []int {
-		return highest(at, n, func(i int) (uint64, bool) {
+		return heaviest(at, n, func(i int) (uint64, bool) {
 			return mix(hash ^ r.hashes[i]), (2*r.hosts[i].Weight >= most) == large
 		})
 	}
--- a/registrar/spreading.go
+++ b/registrar/spread.go
@@ -7,44 +7,46 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// news is a host whose fact is to be passed on.
-type news struct {
-	host string
-	from string // who told it; "" for the store and for this host itself
+// pendingFact is a host whose fact is to be passed on.
+type pendingFact struct {
+	host   string
+	source string // who told it; "" for the store and for this host itself
 }
 
-// spread has a host's fact passed on.
-func (m *Members) spread(host, from string) { m.pending = append(m.pending, news{host, from}) }
+// queueFact has a host's fact passed on.
+func (m *Members) queueFact(host, from string) {
+	m.pending = append(m.pending, pendingFact{host, from})
+}
 
-// passSoon passes on what is to be: now, or at the next tick where that was done since the
+// scheduleSpread passes on what is to be: now, or at the next tick where that was done since the
 // last. Failure: all hosts restart, and each passes on hundreds of facts in as many
 // messages to each of its neighbours.
-func (m *Members) passSoon(now time.Time) {
-	if now.Sub(m.passedAt) >= m.tick() {
-		m.pass(now)
+func (m *Members) scheduleSpread(now time.Time) {
+	if now.Sub(m.lastSpread) >= m.tickInterval() {
+		m.spreadPending(now)
 	}
 }
 
-// pass passes facts on to this host's observers and its neighbours. Every host does so
+// spreadPending passes facts on to this host's observers and its neighbours. Every host does so
 // once for each fact, so it reaches all in a few steps, at a constant cost for each.
-func (m *Members) pass(now time.Time) {
+func (m *Members) spreadPending(now time.Time) {
 	if len(m.pending) == 0 {
 		return
 	}
 	for _, to := range m.ring.targets() {
-		if facts := m.factsFor(to); len(facts) > 0 {
+		if facts := m.pendingFor(to); len(facts) > 0 {
 			m.send(to, messenger.News{Facts: facts})
 		}
 	}
-	m.pending, m.passedAt = nil, now
+	m.pending, m.lastSpread = nil, now
 }
 
-// factsFor is the facts to pass on that a host did not tell itself.
-func (m *Members) factsFor(to string) []messenger.Fact {
+// pendingFor is the facts to pass on that a host did not tell itself.
+func (m *Members) pendingFor(to string) []messenger.Fact {
 	var out []messenger.Fact
 	known := map[string]bool{}
 	for _, n := range m.pending {
-		if n.from == to {
+		if n.source == to {
 			known[n.host] = true
 		}
 	}
