--- a/registrar/rejoin.go
+++ b/registrar/rejoin.go
@@ -20,7 +20,7 @@
 	switch {
 	case m.stopped || m.superseded:
 	case f.Incarnation < m.self.fact.Incarnation:
-		m.send(from, messenger.News{Facts: []messenger.Fact{m.self.fact}})
+		m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}})
 	case f.Incarnation > m.self.fact.Incarnation:
 		m.superseded = true
 		m.outputs = append(m.outputs, Superseded{Self: m.self.record()})
@@ -51,7 +51,7 @@
 	m.rebuild(now)
 	m.queueFact(m.self.fact.Name, "")
 	m.spreadPending(now)
-	m.send(from, messenger.News{Facts: []messenger.Fact{m.self.fact}}) // which may be gone in turn, as seen from here
+	m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}}) // which may be gone in turn, as seen from here
 	m.outputs = append(m.outputs, Rejoined{Self: m.self.record()})
 }
 
--- a/registrar/spread.go
+++ b/registrar/spread.go
@@ -35,7 +35,7 @@
 	}
 	for _, to := range m.ring.targets() {
 		if facts := m.pendingFor(to); len(facts) > 0 {
-			m.send(to, messenger.News{Facts: facts})
+			m.send(to, messenger.RosterUpdate{Facts: facts})
 		}
 	}
 	m.pending, m.lastSpread = nil, now
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -75,7 +75,7 @@
 
 // Done gives a place back.
 func (k Control) Done(now time.Time, p server.Place) {
-	k.c.take(now, placeDone{place: p, use: server.Use{Tokens: 10, First: 50 * time.Millisecond}})
+	k.c.take(now, placeDone{place: p, use: server.Usage{Tokens: 10, FirstByte: 50 * time.Millisecond}})
 }
 
 // Advance tells how far a call has come.
@@ -151,34 +151,34 @@
 func (x Choosing) Enroll(now time.Time, r registrar.Roster) { x.c.take(now, rosterChanged{roster: r}) }
 
 // Ask asks for a worker; the result comes at once or later.
-func (x Choosing) Ask(now time.Time, a placer.Ask) <-chan string {
+func (x Choosing) Ask(now time.Time, a placer.Request) <-chan string {
 	reply, out := make(chan workerReply, 1), make(chan string, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	go func() {
 		if r := <-reply; r.refused != nil {
-			out <- "refused " + r.refused.Why
+			out <- "refused " + r.refused.Reason
 		} else {
-			out <- r.place.Worker.Name + " by " + r.place.By
+			out <- r.place.Worker.Name + " by " + r.place.PlacedBy
 		}
 	}()
 	return out
 }
 
 // Place asks for a worker and returns what came at once; false where nothing did.
-func (x Choosing) Place(now time.Time, a placer.Ask) (router.Place, bool) {
+func (x Choosing) Place(now time.Time, a placer.Request) (router.Placement, bool) {
 	reply := make(chan workerReply, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	select {
 	case r := <-reply:
 		return r.place, r.refused == nil
 	default:
-		return router.Place{}, false
+		return router.Placement{}, false
 	}
 }
 
 // End ends a request at its place.
-func (x Choosing) End(now time.Time, p router.Place) {
-	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.Filling})
+func (x Choosing) End(now time.Time, p router.Placement) {
+	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.HalfFull})
 }
 
 // Due is how long after now the others are told of what happened.
@@ -205,14 +205,14 @@
 func (x Choosing) Patience() time.Duration { return x.c.deciding.within() }
 
 // AskOf is the request that a question of another host is about.
-func AskOf(s messenger.Seek) placer.Ask { return askOf(s) }
+func AskOf(s messenger.PlacementRequest) placer.Request { return askOf(s) }
 
 // Tell tells the others what happened since it last did.
 func (x Choosing) Tell() { x.c.tell() }
 
 // Flights is the requests that the host counts at a worker.
 func (x Choosing) Flights(now time.Time, worker string) int {
-	for _, b := range x.c.view.Beliefs(now) {
+	for _, b := range x.c.view.WorkerStates(now) {
 		if b.Worker == worker {
 			return b.Flights
 		}
@@ -234,7 +234,7 @@
 
 // Sweep lets it make the call that is due, and returns what was read, and the errors; false
 // where none was due.
-func (s QuarantineStore) Sweep(now time.Time, owns bool, held []quarantiner.Held) (read []quarantiner.Held, bad, err error, due bool) {
+func (s QuarantineStore) Sweep(now time.Time, owns bool, held []quarantiner.Entry) (read []quarantiner.Entry, bad, err error, due bool) {
 	s.q.sweep(now, owns, held)
 	select {
 	case job := <-s.q.jobs:
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -22,7 +22,7 @@
 
 // keepQuarantine has the host count which calls end workers.
 func (c *control) keepQuarantine(s sender, store storer.Store, r prometheus.Registerer) {
-	c.quarantine = newQuarantining(c.self, s, store, &quarantiner.Book{AliveWithin: restartLeast}, c.log)
+	c.quarantine = newQuarantining(c.self, s, store, &quarantiner.Tracker{MinRestartTime: restartLeast}, c.log)
 	c.quarantine.store.tell = func(e quarantineStored) { c.post(e) }
 	c.quarantine.register(r)
 	c.quarantine.due = time.Now()
@@ -30,19 +30,19 @@
 
 // use takes how a request of this host ended at a worker, and has the owner of the role
 // know, which counts for all hosts.
-func (q *quarantining) use(now time.Time, worker string, u server.Use) {
+func (q *quarantining) use(now time.Time, worker string, u server.Usage) {
 	if q == nil || u.Took == 0 {
 		return
 	}
-	m := messenger.Mark{Fingerprint: uint64(u.Fingerprint), Worker: worker, Took: u.Took}
-	answered := u.First > 0 && !u.Failed
+	m := messenger.WorkerReport{Fingerprint: uint64(u.Fingerprint), Worker: worker, Took: u.Took}
+	answered := u.FirstByte > 0 && !u.Failed
 	switch {
-	case u.Ended:
-		m.What = messenger.MarkEnded
+	case u.ClosedByPeer:
+		m.Event = messenger.WorkerEnded
 	case answered && q.book.Suspected(u.Fingerprint):
-		m.What, m.Took = messenger.MarkAnswered, u.Took-u.First
-	case answered && q.book.Alive(now, worker, now.Add(u.First-u.Took)):
-		m.What, m.Took = messenger.MarkAlive, u.Took-u.First
+		m.Event, m.Took = messenger.WorkerAnswered, u.Took-u.FirstByte
+	case answered && q.book.Alive(now, worker, now.Add(u.FirstByte-u.Took)):
+		m.Event, m.Took = messenger.WorkerAlive, u.Took-u.FirstByte
 	default:
 		return
 	}
@@ -56,17 +56,17 @@
 }
 
 // mark counts what this host or another saw.
-func (q *quarantining) mark(now time.Time, m messenger.Mark) {
+func (q *quarantining) mark(now time.Time, m messenger.WorkerReport) {
 	if q == nil {
 		return
 	}
 	f := quarantiner.Fingerprint(m.Fingerprint)
-	switch m.What {
-	case messenger.MarkEnded:
-		q.book.Ended(now, f, m.Worker, now.Add(-m.Took))
-	case messenger.MarkAnswered:
+	switch m.Event {
+	case messenger.WorkerEnded:
+		q.book.WorkerCrashed(now, f, m.Worker, now.Add(-m.Took))
+	case messenger.WorkerAnswered:
 		q.book.Answered(f)
-	case messenger.MarkAlive:
+	case messenger.WorkerAlive:
 		q.book.Alive(now, m.Worker, now.Add(-m.Took))
 	}
 	q.notice(now)
