--- a/registrar/bench_test.go
+++ b/registrar/bench_test.go
@@ -24,8 +24,8 @@
 	benchLength = 8 * time.Second
 )
 
-// BenchmarkHeartbeat measures what membership costs a host in fleets of 2 to 32
-// hosts, each with its own messenger on loopback, all in this process.
+// BenchmarkHeartbeat measures the cost of membership per host in fleets of 2 to 32 hosts, in
+// this process, each with its own messenger on loopback.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, hosts := range []int{2, 4, 8, 16, 32} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// bench is one host of the benchmark.
-type bench struct {
+// benchHost is one host of the benchmark.
+type benchHost struct {
 	m     *messenger.Messenger
 	r     *registrar.Registrar
 	ready chan struct{}
@@ -49,11 +49,11 @@
 	defer server.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
-	fleet := make([]*bench, hosts)
+	fleet := make([]*benchHost, hosts)
 	for i := range fleet {
 		store, clean := adapter.NewStore(server.URL)
 		defer clean()
-		h := &bench{ready: make(chan struct{})}
+		h := &benchHost{ready: make(chan struct{})}
 		name := fmt.Sprintf("host-%02d", i)
 		m, cleanMessenger, err := messenger.Open(messenger.Config{Name: name, Incarnation: 1, Address: "127.0.0.1:0"}, func(e messenger.Envelope, msg messenger.Message) {
 			<-h.ready
@@ -95,8 +95,8 @@
 	b.ReportMetric(float64(writesAfter-writes)/per, "store-writes/s/host")
 }
 
-// traffic is the bytes sent and received by all hosts.
-func traffic(fleet []*bench) uint64 {
+// traffic returns the number of bytes sent and received by all hosts.
+func traffic(fleet []*benchHost) uint64 {
 	var total uint64
 	for _, h := range fleet {
 		sent, received := h.m.Traffic()
@@ -111,8 +111,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkFleet plays fleets up to the size to design for with a clock of its
-// own, and counts the messages of membership at rest, and after a death.
+// BenchmarkFleet simulates fleets up to the size to design for in virtual time, and counts
+// the membership messages at rest and after the failure of a host.
 func BenchmarkFleet(b *testing.B) {
 	for _, hosts := range []int{9, 36, 120, 360} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
@@ -126,7 +126,7 @@
 				sent = f.sent()
 				f.kill(victim)
 				died := f.now
-				for f.now-died < 10*time.Second && (len(f.views()) > 1 || f.views()[0] != f.up()) {
+				for f.now-died < 10*time.Second && (len(f.rosters()) > 1 || f.rosters()[0] != f.running()) {
 					f.run(10 * time.Millisecond)
 				}
 				b.ReportMetric(float64((f.now-died)/time.Millisecond), "ms-to-know")
@@ -137,7 +137,7 @@
 	}
 }
 
-// sent is the messages sent by all hosts so far.
+// sent returns the number of messages sent by all hosts so far.
 func (f *fleet) sent() int {
 	total := 0
 	for _, n := range f.nodes {
--- a/registrar/churn_test.go
+++ b/registrar/churn_test.go
@@ -12,29 +12,29 @@
 	"github.com/cicadawood/cicadawood/registrar"
 )
 
-// restartEvery is the pause between two restarts where a fleet restarts host by host.
-const restartEvery = 200 * time.Millisecond
+// restartInterval is the time between two restarts when a fleet restarts host by host.
+const restartInterval = 200 * time.Millisecond
 
-// replace has a host leave, and a new process start at its address.
-func (f *fleet) replace(name string, turn int) {
+// restart makes a host leave and starts a new process at its address.
+func (f *fleet) restart(name string, turn int) {
 	f.leave(name)
-	f.after(restartEvery, func() {
+	f.after(restartInterval, func() {
 		self := f.nodes[name].m.Self()
-		f.left(name)
-		f.remove(name)
-		f.after(restartEvery, func() {
+		f.shutdown(name)
+		f.forget(name)
+		f.after(restartInterval, func() {
 			fresh := fmt.Sprintf("%s.%d", self.Control, turn)
 			f.names = append(f.names, fresh)
 			f.records[fresh] = registrar.Record{
-				Name: fresh, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: uint64(epoch(f.now).UnixNano()),
+				Name: fresh, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: uint64(timeAt(f.now).UnixNano()),
 			}
 			f.start(f.records[fresh])
 		})
 	})
 }
 
-// remove forgets the name of a host that is gone for good.
-func (f *fleet) remove(name string) {
+// forget removes the name of a host that is gone for good.
+func (f *fleet) forget(name string) {
 	for i, n := range f.names {
 		if n == name {
 			f.names = append(f.names[:i:i], f.names[i+1:]...)
@@ -43,23 +43,23 @@
 	}
 }
 
-// churn restarts hosts one after another for a time.
-func (f *fleet) churn(length time.Duration) {
+// restartInTurn restarts hosts one after another for the given time.
+func (f *fleet) restartInTurn(length time.Duration) {
 	turn := 0
 	var next func()
 	next = func() {
 		turn++
-		f.replace(f.names[0], turn)
-		if time.Duration(turn)*restartEvery < length {
-			f.after(restartEvery, next)
+		f.restart(f.names[0], turn)
+		if time.Duration(turn)*restartInterval < length {
+			f.after(restartInterval, next)
 		}
 	}
 	next()
 	f.run(length)
 }
 
-// BenchmarkRestarts measures what a restart elsewhere costs a host, in fleets that restart
-// host by host.
+// BenchmarkRestarts measures the cost per host of the restart of another host, in fleets
+// that restart host by host.
 func BenchmarkRestarts(b *testing.B) {
 	const length = 10 * time.Second
 	for _, hosts := range []int{30, 100, 195, 360} {
@@ -68,14 +68,14 @@
 				f := newFleet(hosts, 6, 1)
 				f.run(5 * time.Second)
 				started, sent, links := time.Now(), f.sent(), len(f.links)
-				f.churn(length)
-				restarts := length.Seconds() / restartEvery.Seconds()
+				f.restartInTurn(length)
+				restarts := length.Seconds() / restartInterval.Seconds()
 				per := float64(hosts) * restarts
 				b.ReportMetric(float64(time.Since(started).Microseconds())/per, "us/host/restart")
 				b.ReportMetric(float64(f.sent()-sent)/per, "msg/host/restart")
 				b.ReportMetric(float64(len(f.links)-links)/per, "links/host/restart")
 				f.run(5 * time.Second)
-				if views := f.views(); len(views) != 1 {
+				if views := f.rosters(); len(views) != 1 {
 					b.Fatalf("%d views after the last restart", len(views))
 				}
 			}
@@ -83,33 +83,33 @@
 	}
 }
 
-// lose has all hosts lose their power, and come back under new names after a time: first
-// their records are read, then written.
-func (f *fleet) lose(away time.Duration, step time.Duration) {
+// losePower stops all hosts at once and later restarts them under new names. Each reads the
+// records of the previous processes after it has written its own.
+func (f *fleet) losePower(away time.Duration, step time.Duration) {
 	before := slices.Clone(f.names)
 	for _, name := range before {
 		f.kill(name)
 	}
 	f.after(away, func() {
 		for i, name := range before {
-			f.after(time.Duration(i)*step, func() { f.back(name, uint64(epoch(f.now).UnixNano())) })
+			f.after(time.Duration(i)*step, func() { f.restartAs(name, uint64(timeAt(f.now).UnixNano())) })
 		}
 	})
 }
 
-// back starts a process at the address of one that is no more.
-func (f *fleet) back(name string, incarnation uint64) string {
+// restartAs starts a new process at the address of one that has stopped.
+func (f *fleet) restartAs(name string, incarnation uint64) string {
 	self := f.nodes[name].m.Self()
 	fresh := fmt.Sprintf("%s.%d", self.Control, incarnation)
-	f.remove(name)
-	f.past = append(f.past, name)
+	f.forget(name)
+	f.previous = append(f.previous, name)
 	f.names = append(f.names, fresh)
 	f.start(registrar.Record{Name: fresh, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: incarnation})
 	return fresh
 }
 
-// old is the names on rosters of running hosts that do not run any more.
-func (f *fleet) old() int {
+// staleEntries counts the entries for stopped hosts on the rosters of running ones.
+func (f *fleet) staleEntries() int {
 	n := 0
 	for _, name := range f.names {
 		for _, h := range f.nodes[name].roster.Hosts() {
@@ -121,62 +121,62 @@
 	return n
 }
 
-var _ = Describe("A fleet that comes back under new names", func() {
-	// Guards against the processes of before a loss of power counting as alive, and being
-	// asked, until they are found silent.
-	DescribeTable("counts nobody of before", func(hosts int) {
+var _ = Describe("A fleet that restarts under new names", func() {
+	// Guards against the processes that ran before a power failure counting as alive, and being
+	// asked for decisions, until their heartbeats are found missing.
+	DescribeTable("counts no previous process as alive", func(hosts int) {
 		f := newFleet(hosts, 6, 1)
 		f.run(2 * time.Second)
-		f.lose(1300*time.Millisecond, 2*time.Millisecond)
+		f.losePower(1300*time.Millisecond, 2*time.Millisecond)
 		f.run(1300*time.Millisecond + time.Duration(hosts)*2*time.Millisecond)
 		f.run(300 * time.Millisecond)
-		Expect(f.old()).To(Equal(0))
-		Expect(f.views()).To(HaveLen(1))
-		Expect(f.died).To(BeEmpty(), "nobody has to be found silent")
+		Expect(f.staleEntries()).To(Equal(0))
+		Expect(f.rosters()).To(HaveLen(1))
+		Expect(f.deaths).To(BeEmpty(), "no failure had to be detected")
 	},
 		Entry("of 23 hosts", 23),
 		Entry("of 195 hosts", 195),
 	)
 
-	// Guards against a clock that was set back making the process of before look newer.
-	It("counts the new process where the old one looks newer", func() {
+	// Guards against the previous process looking newer because the clock was set back.
+	It("counts the new process as alive if the previous one looks newer", func() {
 		f := newFleet(9, 3, 1)
 		f.kill(victim)
 		f.run(50 * time.Millisecond)
-		fresh := f.back(victim, 0)
+		fresh := f.restartAs(victim, 0)
 		f.run(beat)
-		Expect(f.old()).To(Equal(0))
+		Expect(f.staleEntries()).To(Equal(0))
 		_, there := f.nodes["h00"].roster.Find(fresh)
 		Expect(there).To(BeTrue())
-		Expect(f.views()).To(HaveLen(1))
+		Expect(f.rosters()).To(HaveLen(1))
 	})
 
-	// Guards against a host that restarts being held for two, when its old process says late
-	// that it is leaving.
-	It("is not led astray by a late word of the process of before", func() {
+	// Guards against a restarted host being counted twice because its previous process is
+	// reported as leaving late.
+	It("ignores a late record of the previous process", func() {
 		f := newFleet(9, 3, 1)
 		old := f.nodes[victim].m.Self()
 		f.kill(victim)
-		fresh := f.back(victim, uint64(epoch(f.now).UnixNano()))
+		fresh := f.restartAs(victim, uint64(timeAt(f.now).UnixNano()))
 		f.run(beat / 2)
 		old.Leaving = true
-		f.store(old)
+		f.storeRecord(old)
 		f.run(beat / 2)
-		Expect(f.old()).To(Equal(0))
+		Expect(f.staleEntries()).To(Equal(0))
 		_, there := f.nodes["h00"].roster.Find(fresh)
 		Expect(there).To(BeTrue())
 	})
 })
 
-// Guards against a restart elsewhere costing a host the more the larger the fleet is.
+// Guards against the cost per host of a restart elsewhere growing with the size of the fleet.
 var _ = Describe("Hosts that restart one after another", func() {
 	It("send as much for each restart in a large fleet as in a small one, and to the same hosts", func() {
 		const length = 6 * time.Second
 		cost := func(hosts int) (messages, links float64) {
 			f := newFleet(hosts, 6, 1)
 			sent, linked := f.sent(), len(f.links)
-			f.churn(length)
-			per := float64(hosts) * length.Seconds() / restartEvery.Seconds()
+			f.restartInTurn(length)
+			per := float64(hosts) * length.Seconds() / restartInterval.Seconds()
 			return float64(f.sent()-sent) / per, float64(len(f.links)-linked) / per
 		}
 		small, _ := cost(30)
--- a/registrar/fleet_test.go
+++ b/registrar/fleet_test.go
@@ -16,49 +16,50 @@
 	beat    = 250 * time.Millisecond
 	lease   = 5 * time.Second
 	latency = 2 * time.Millisecond
-	// bound is in how long a death must be known everywhere.
-	bound = 1300 * time.Millisecond
+	// detectionBound is the time within which all hosts must detect a failed one.
+	detectionBound = 1300 * time.Millisecond
 )
 
-// node is one fake host around real Members.
+// node simulates a host around real Members.
 type node struct {
-	m       *registrar.Members
-	up      bool
-	frozen  bool
-	waiting []func() // what came while it was frozen
-	roster  registrar.Roster
-	sent    int
-	selves  []uint64      // incarnation of itself in each roster it has had
-	accused int           // suspicions it began
-	still   time.Duration // since when it is down or frozen
+	m               *registrar.Members
+	up              bool
+	frozen          bool
+	queued          []func() // inputs that arrived while it was frozen
+	roster          registrar.Roster
+	sent            int
+	ownIncarnations []uint64      // its own incarnation on each of its rosters, 0 if absent
+	suspicions      int           // suspicions that it began
+	stoppedAt       time.Duration // when it went down or was frozen
 }
 
-// fleet plays hosts, links and the store with a clock of its own.
+// fleet simulates hosts, links and the store in virtual time.
 type fleet struct {
-	now    time.Duration
-	agenda faker.Agenda
-	names  []string
-	past   []string // names of processes that left their records behind
-	nodes  map[string]*node
-	random *rand.Rand
+	now      time.Duration
+	agenda   faker.Agenda
+	names    []string
+	previous []string // names of processes that left their records behind
+	nodes    map[string]*node
+	random   *rand.Rand
 
-	cut     map[string]bool // "from>to"
-	delay   time.Duration
-	doubled bool // frames come twice, and out of order
+	cut        map[string]bool // by "from>to"
+	delay      time.Duration
+	duplicated bool // frames may arrive twice, and out of order
 
-	records   map[string]registrar.Record
-	storeDown bool
-	storeWait time.Duration
-	gap       bool // watches lose changes; lists do not
+	records    map[string]registrar.Record
+	storeDown  bool
+	storeDelay time.Duration
+	watchGap   bool // watches lose changes; lists don't
 
-	links   map[string]bool // from and to, of processes that ever spoke
-	died    []string        // host@incarnation, as concluded by others
+	links   map[string]bool // by "from>to", of all processes that ever sent anything
+	deaths  []string        // host@incarnation, as declared by others
 	rejoins int
 }
 
-func epoch(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
+func timeAt(d time.Duration) time.Time { return time.Unix(1_000_000, 0).Add(d) }
 
-// newFleet starts hosts spread over zones and regions, and lets them settle.
+// newFleet starts hosts spread over zones and regions, and runs them until they have
+// converged.
 func newFleet(hosts, zones, regions int) *fleet {
 	f := &fleet{nodes: map[string]*node{}, random: rand.New(rand.NewPCG(1, 2)), cut: map[string]bool{}, delay: latency, records: map[string]registrar.Record{}, links: map[string]bool{}}
 	for i := range hosts {
@@ -75,17 +76,17 @@
 }
 
 func (f *fleet) start(self registrar.Record) {
-	n := &node{up: true, m: registrar.NewMembers(epoch(f.now), self, beat)}
+	n := &node{up: true, m: registrar.NewMembers(timeAt(f.now), self, beat)}
 	n.roster = n.m.Roster()
 	f.nodes[self.Name] = n
-	f.store(self)
-	f.do(n, self.Name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, f.listed()) })
+	f.storeRecord(self)
+	f.input(n, self.Name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, f.storedRecords()) })
 	f.after(time.Duration(f.random.Int64N(int64(beat))), func() { f.tick(n, self.Name) })
 }
 
-func (f *fleet) listed() []registrar.Record {
+func (f *fleet) storedRecords() []registrar.Record {
 	var out []registrar.Record
-	for _, name := range slices.Concat(f.names, f.past) {
+	for _, name := range slices.Concat(f.names, f.previous) {
 		if r, ok := f.records[name]; ok && !f.storeDown {
 			out = append(out, r)
 		}
@@ -93,52 +94,52 @@
 	return out
 }
 
-// relist is the list that every host reads now and then, after it has renewed
-// its record where the store has lost it, as the recorder does.
+// relist has every host list the records periodically, after it has restored its own
+// record if the store has lost it, as the recorder does.
 func (f *fleet) relist() {
 	for _, name := range f.names {
 		if n := f.nodes[name]; n.up && !n.frozen && f.records[name].Incarnation < n.m.Self().Incarnation {
-			f.store(n.m.Self())
+			f.storeRecord(n.m.Self())
 		}
 	}
 	for _, name := range f.names {
 		if n := f.nodes[name]; n.up && !f.storeDown {
-			f.do(n, name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, f.listed()) })
+			f.input(n, name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, f.storedRecords()) })
 		}
 	}
 	f.after(5*time.Second, f.relist)
 }
 
-// store writes a record; watches tell the others.
-func (f *fleet) store(r registrar.Record) {
+// storeRecord writes a record and notifies the watches of the other hosts.
+func (f *fleet) storeRecord(r registrar.Record) {
 	if f.storeDown {
-		f.after(time.Second, func() { f.store(r) })
+		f.after(time.Second, func() { f.storeRecord(r) })
 		return
 	}
 	if f.records[r.Name].Incarnation > r.Incarnation {
 		return
 	}
 	f.records[r.Name] = r
-	if f.gap {
+	if f.watchGap {
 		return
 	}
 	for _, name := range f.names {
-		f.after(f.storeWait+latency, func() {
+		f.after(f.storeDelay+latency, func() {
 			if n := f.nodes[name]; n != nil && n.up && !f.storeDown {
-				f.do(n, name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, []registrar.Record{r}) })
+				f.input(n, name, func(now time.Time) []registrar.Output { return n.m.ApplyRecords(now, []registrar.Record{r}) })
 			}
 		})
 	}
 }
 
 func (f *fleet) after(d time.Duration, do func()) {
-	f.agenda.Add(epoch(f.now+d), do)
+	f.agenda.Add(timeAt(f.now+d), do)
 }
 
 func (f *fleet) run(d time.Duration) {
 	end := f.now + d
-	for at, do, ok := f.agenda.Next(epoch(end)); ok; at, do, ok = f.agenda.Next(epoch(end)) {
-		f.now = at.Sub(epoch(0))
+	for at, do, ok := f.agenda.Next(timeAt(end)); ok; at, do, ok = f.agenda.Next(timeAt(end)) {
+		f.now = at.Sub(timeAt(0))
 		do()
 	}
 	f.now = end
@@ -149,23 +150,23 @@
 		return
 	}
 	if !n.frozen {
-		f.do(n, name, n.m.Tick)
+		f.input(n, name, n.m.Tick)
 	}
 	f.after(beat/registrar.TicksPerHeartbeat, func() { f.tick(n, name) })
 }
 
-// do runs an input on a host, or keeps it until the host thaws.
-func (f *fleet) do(n *node, name string, in func(time.Time) []registrar.Output) {
+// input applies an input to a host, or queues it until the host thaws.
+func (f *fleet) input(n *node, name string, in func(time.Time) []registrar.Output) {
 	switch {
 	case !n.up:
 	case n.frozen:
-		n.waiting = append(n.waiting, func() { f.do(n, name, in) })
+		n.queued = append(n.queued, func() { f.input(n, name, in) })
 	default:
-		f.act(n, name, in(epoch(f.now)))
+		f.execute(n, name, in(timeAt(f.now)))
 	}
 }
 
-func (f *fleet) act(n *node, name string, out []registrar.Output) {
+func (f *fleet) execute(n *node, name string, out []registrar.Output) {
 	for _, o := range out {
 		switch o := o.(type) {
 		case registrar.Send:
@@ -174,14 +175,14 @@
 		case registrar.RosterChanged:
 			n.roster = o.Roster
 			self, _ := o.Roster.Find(name)
-			n.selves = append(n.selves, self.Incarnation)
+			n.ownIncarnations = append(n.ownIncarnations, self.Incarnation)
 		case registrar.Suspected:
-			n.accused++
+			n.suspicions++
 		case registrar.CheckLease:
 			doubted := f.now
-			f.after(lease, func() { f.lapse(n, name, o.Host, doubted) })
+			f.after(lease, func() { f.expireLease(n, name, o.Host, doubted) })
 		case registrar.DeclaredDead:
-			f.died = append(f.died, fmt.Sprintf("%s@%d", o.Host.Name, o.Host.Incarnation))
+			f.deaths = append(f.deaths, fmt.Sprintf("%s@%d", o.Host.Name, o.Host.Incarnation))
 			if r := f.records[o.Host.Name]; r.Incarnation <= o.Host.Incarnation && !f.storeDown {
 				delete(f.records, o.Host.Name)
 			}
@@ -191,16 +192,16 @@
 			}
 		case registrar.Rejoined:
 			f.rejoins++
-			f.store(o.Self)
+			f.storeRecord(o.Self)
 		}
 	}
 }
 
-// lapse is a lease that was not renewed: its host has been down or frozen since.
-func (f *fleet) lapse(n *node, name string, h registrar.Record, since time.Duration) {
+// expireLease reports an expired lease if its host has been down or frozen since then.
+func (f *fleet) expireLease(n *node, name string, h registrar.Record, since time.Duration) {
 	x := f.nodes[h.Name]
-	if !f.storeDown && (!x.up || x.frozen) && x.still <= since {
-		f.do(n, name, func(now time.Time) []registrar.Output { return n.m.LeaseExpired(now, h.Name, h.Incarnation) })
+	if !f.storeDown && (!x.up || x.frozen) && x.stoppedAt <= since {
+		f.input(n, name, func(now time.Time) []registrar.Output { return n.m.LeaseExpired(now, h.Name, h.Incarnation) })
 	}
 }
 
@@ -210,7 +211,7 @@
 		f.links[from+">"+to] = true
 	}
 	reach := func(ok bool) {
-		f.do(n, from, func(now time.Time) []registrar.Output { return n.m.SetReachable(now, to, ok) })
+		f.input(n, from, func(now time.Time) []registrar.Output { return n.m.SetReachable(now, to, ok) })
 	}
 	if x == nil || !x.up || f.cut[from+">"+to] || f.cut[to+">"+from] {
 		f.after(500*time.Millisecond, func() { reach(false) })
@@ -219,16 +220,16 @@
 		return
 	}
 	copies := 1
-	if f.doubled {
+	if f.duplicated {
 		copies = 1 + f.random.IntN(2)
 	}
 	for range copies {
 		d := f.delay
-		if f.doubled {
+		if f.duplicated {
 			d += time.Duration(f.random.Int64N(int64(50 * time.Millisecond)))
 		}
 		f.after(d, func() {
-			f.do(x, to, func(now time.Time) []registrar.Output { return x.m.Receive(now, from, m) })
+			f.input(x, to, func(now time.Time) []registrar.Output { return x.m.Receive(now, from, m) })
 		})
 	}
 	if !f.cut[to+">"+from] {
@@ -236,19 +237,19 @@
 	}
 }
 
-func (f *fleet) kill(name string) { f.nodes[name].up, f.nodes[name].still = false, f.now }
+func (f *fleet) kill(name string) { f.nodes[name].up, f.nodes[name].stoppedAt = false, f.now }
 
-// revive starts a host that is down, as a new incarnation.
+// revive restarts a host that is down under a new incarnation.
 func (f *fleet) revive(name string) {
 	if f.nodes[name].up {
 		return
 	}
 	r := f.nodes[name].m.Self()
-	r.Incarnation, r.Leaving = uint64(epoch(f.now).UnixNano()), false
+	r.Incarnation, r.Leaving = uint64(timeAt(f.now).UnixNano()), false
 	f.start(r)
 }
 
-func (f *fleet) freeze(name string) { f.nodes[name].frozen, f.nodes[name].still = true, f.now }
+func (f *fleet) freeze(name string) { f.nodes[name].frozen, f.nodes[name].stoppedAt = true, f.now }
 
 func (f *fleet) thaw(name string) {
 	n := f.nodes[name]
@@ -256,17 +257,17 @@
 		return
 	}
 	n.frozen = false
-	f.do(n, name, n.m.Tick)
-	waiting := n.waiting
-	n.waiting = nil
+	f.input(n, name, n.m.Tick)
+	waiting := n.queued
+	n.queued = nil
 	for _, w := range waiting {
 		w()
 	}
 }
 
-// part cuts hosts off from all others, or joins them again: both ways, or only
-// what they send.
-func (f *fleet) part(cut, both bool, hosts ...string) {
+// setCut cuts hosts off from all others, or reconnects them: in both directions, or only
+// for what they send.
+func (f *fleet) setCut(cut, both bool, hosts ...string) {
 	for _, a := range hosts {
 		for _, b := range f.names {
 			if !slices.Contains(hosts, b) {
@@ -279,19 +280,19 @@
 
 func (f *fleet) leave(name string) {
 	n := f.nodes[name]
-	f.do(n, name, n.m.Leave)
-	f.store(n.m.Self())
+	f.input(n, name, n.m.Leave)
+	f.storeRecord(n.m.Self())
 }
 
-func (f *fleet) left(name string) {
+func (f *fleet) shutdown(name string) {
 	n := f.nodes[name]
-	f.do(n, name, n.m.Shutdown)
+	f.input(n, name, n.m.Shutdown)
 	n.up = false
 	delete(f.records, name)
 }
 
-// sees is the hosts on a host's roster; ! marks a leaving one.
-func (f *fleet) sees(name string) string {
+// rosterOf returns the hosts on a host's roster; ! marks a leaving one.
+func (f *fleet) rosterOf(name string) string {
 	var out []string
 	for _, h := range f.nodes[name].roster.Hosts() {
 		mark := ""
@@ -303,8 +304,8 @@
 	return strings.Join(out, " ")
 }
 
-// up is the hosts that run, as every roster should show them.
-func (f *fleet) up() string {
+// running returns the hosts that run, as every roster should show them.
+func (f *fleet) running() string {
 	var out []string
 	for _, name := range f.names {
 		if f.nodes[name].up {
@@ -315,12 +316,12 @@
 	return strings.Join(out, " ")
 }
 
-// views is the different rosters that running hosts hold.
-func (f *fleet) views() []string {
+// rosters returns the distinct rosters of the running hosts.
+func (f *fleet) rosters() []string {
 	var out []string
 	for _, name := range f.names {
 		if f.nodes[name].up {
-			out = append(out, f.sees(name))
+			out = append(out, f.rosterOf(name))
 		}
 	}
 	slices.Sort(out)
--- a/registrar/follow.go
+++ b/registrar/follow.go
@@ -11,40 +11,40 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// Prefix is where host records live in the Object API. They change only when a
-// host joins, leaves or rejoins, so a watch of all of them stays quiet.
+// Prefix is the key prefix of host records in the Object API. A record changes only when
+// its host joins, leaves or rejoins, so a watch of all records is quiet.
 const Prefix = "hosts/"
 
 const (
 	watchTimeout   = 20 * time.Second
-	relistInterval = 60 * time.Second // at most between two lists, against changes that a watch lost
+	relistInterval = 60 * time.Second // mean interval between lists; they recover changes that a watch lost
 	retryDelay     = 500 * time.Millisecond
-	// batchDelay is how long a watch rests after a change: hosts that start together
-	// write their records one after the other, and each would wake every watch.
+	// batchDelay is the pause of a watch after a change: hosts that start together write
+	// their records one after another, and each write would wake every watch.
 	batchDelay = 250 * time.Millisecond
-	// turnPollInterval is the pause between looks at whose turn it is to watch.
+	// turnPollInterval is how often a host that need not watch asks ShouldWatch again.
 	turnPollInterval = time.Second
 )
 
-// follow reads all records, then watches them, and starts anew where the watch
-// has a gap.
+// follow lists all records, then watches them, and lists them again periodically and
+// after each error.
 func (r *Registrar) follow(ctx context.Context) {
-	var away time.Time // since when the store does not answer
-	var listed storer.Version
+	var unavailableSince time.Time // zero while the store answers
+	var lastRevision storer.Version
 	for ctx.Err() == nil {
 		objects, revision, err := r.config.Store.List(ctx, Prefix)
 		if err == nil {
-			if !away.IsZero() {
-				r.config.Log.Info("roster read again", zap.Duration("after", time.Since(away)))
-				away = time.Time{}
+			if !unavailableSince.IsZero() {
+				r.config.Log.Info("host records read again", zap.Duration("after", time.Since(unavailableSince)))
+				unavailableSince = time.Time{}
 			}
-			r.handleObjects(objects, listed != 0 && revision.Era() > listed.Era())
-			listed = revision
+			r.handleObjects(objects, lastRevision != 0 && revision.Era() > lastRevision.Era())
+			lastRevision = revision
 			err = r.watch(ctx, revision)
 		}
 		if err != nil && ctx.Err() == nil {
-			if away.IsZero() {
-				away = time.Now()
+			if unavailableSince.IsZero() {
+				unavailableSince = time.Now()
 				r.config.Log.Warn("roster", zap.Error(err))
 			}
 			sleep(ctx, jitter(retryDelay))
@@ -52,10 +52,10 @@
 	}
 }
 
-// watch takes changes until it is time to list again.
+// watch applies changes of records until the next list is due.
 func (r *Registrar) watch(ctx context.Context, after storer.Version) error {
-	until := time.Now().Add(jitter(relistInterval))
-	for ctx.Err() == nil && time.Now().Before(until) {
+	relistAt := time.Now().Add(jitter(relistInterval))
+	for ctx.Err() == nil && time.Now().Before(relistAt) {
 		if r.config.ShouldWatch != nil && !r.config.ShouldWatch() {
 			sleep(ctx, turnPollInterval)
 			continue
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// handleObjects takes records; restored says that they are all that a store has which came back
-// from an older copy of itself.
+// handleObjects passes records to the members. If restored is set, the objects are the
+// complete list of a store that was restored from an older snapshot.
 func (r *Registrar) handleObjects(objects []storer.Object, restored bool) {
 	var records []Record
 	for _, o := range objects {
@@ -98,8 +98,8 @@
 	return h, err == nil && h.Name != "" && Prefix+h.Name == o.Key
 }
 
-// jitter is d with a random half taken or added, so that a fleet does not come
-// back to the store in one instant.
+// jitter returns a random duration from d/2 to 3d/2, so that the hosts of a fleet don't
+// all call the store at the same instant.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/registrar/receive.go
+++ b/registrar/hearing.go
@@ -6,45 +6,45 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// Receive takes a message of another host.
+// Receive handles a message of another host.
 func (m *Members) Receive(now time.Time, from string, msg messenger.Message) []Output {
 	switch msg := msg.(type) {
-	case messenger.Beat:
+	case messenger.Heartbeat:
 		if m.handleHeartbeat(now, from, msg.Incarnation, msg.Digest) && msg.Reply {
 			m.confirmAlive(now)
 		}
 	case messenger.Probe:
 		m.merge(now, from, []messenger.Fact{msg.Self})
 		if m.handleHeartbeat(now, from, msg.Self.Incarnation, msg.Digest) {
-			m.send(from, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest, Reply: true})
+			m.send(from, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest, Reply: true})
 		}
 	case messenger.Suspect:
 		m.handleSuspect(now, from, msg)
-	case messenger.Vouch:
+	case messenger.Refute:
 		if x := m.members[msg.Host]; x != nil && x.fact.Incarnation == msg.Incarnation {
 			x.markAlive(now)
 		}
-	case messenger.News:
+	case messenger.RosterUpdate:
 		m.merge(now, from, msg.Facts)
-		if msg.Whole {
+		if msg.Full {
 			m.sendMissing(from, msg.Facts)
 		}
 	case messenger.Sync:
-		m.send(from, messenger.News{Facts: m.allFacts(), Whole: true})
+		m.send(from, messenger.RosterUpdate{Facts: m.allFacts(), Full: true})
 	}
 	return m.takeOutputs()
 }
 
-// handleHeartbeat takes a sign of life and says whether it counts. A host that comes
-// back under an incarnation that is gone is told so, at each try.
+// handleHeartbeat handles a heartbeat and reports whether it counts as a sign of life. A
+// host that sends under an incarnation that is gone is notified of that each time.
 func (m *Members) handleHeartbeat(now time.Time, from string, incarnation, digest uint64) bool {
 	x := m.members[from]
 	if x == nil || x == m.self || incarnation > x.fact.Incarnation {
-		m.requestSync(now, from) // its news is still on the way
+		m.requestSync(now, from) // the update about it has not arrived yet
 		return false
 	}
 	if incarnation < x.fact.Incarnation || x.fact.Status == gone {
-		m.outputs = append(m.outputs, Send{To: x.record(), Message: messenger.News{Facts: []messenger.Fact{x.fact}}})
+		m.outputs = append(m.outputs, Send{To: x.record(), Message: messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}}})
 		return false
 	}
 	x.lastDirect = now
@@ -59,9 +59,9 @@
 	return true
 }
 
-// allowedMismatches is how many heartbeats with another digest are borne. Failure: while hosts
-// restart one after another digests always differ for a moment, and all hosts send one
-// another all they know.
+// allowedMismatches returns the number of successive heartbeats with a different digest
+// that are tolerated before a Sync. While hosts restart one after another, digests always
+// differ briefly; without a higher limit all hosts would send one another all their facts.
 func (m *Members) allowedMismatches(now time.Time) int {
 	if now.Sub(m.digestChangedAt) < m.intervals(maxMismatches) {
 		return maxChurnMismatches
@@ -69,7 +69,8 @@
 	return maxMismatches
 }
 
-// confirmAlive ends this host's doubt whether it still counts.
+// confirmAlive ends the period in which this host does not know whether it still counts as
+// alive.
 func (m *Members) confirmAlive(now time.Time) {
 	if !m.unconfirmedSince.IsZero() {
 		m.unconfirmedSince = time.Time{}
@@ -77,8 +78,8 @@
 	}
 }
 
-// requestSync asks a host whose roster differs for all it knows, not more often than
-// every few heartbeats.
+// requestSync asks a host with a different roster for all its facts, at most once every
+// syncBeats.
 func (m *Members) requestSync(now time.Time, from string) {
 	if now.Sub(m.lastSync) >= m.intervals(syncBeats) {
 		m.lastSync = now
@@ -86,23 +87,23 @@
 	}
 }
 
-// handleSuspect answers another observer's suspicion: only what this host heard
-// itself refutes it. Were a vouched host vouched for in turn, two observers could
-// keep a dead host alive between them for ever.
+// handleSuspect answers another observer's suspicion. Only messages that this host received
+// from the suspect itself refute it: if a Refute were a reason to send another one, two
+// observers could keep a dead host alive forever.
 func (m *Members) handleSuspect(now time.Time, from string, s messenger.Suspect) {
 	x := m.members[s.Host]
 	switch {
 	case x == nil || s.Incarnation > x.fact.Incarnation:
 	case x == m.self || x.fact.Status == gone || s.Incarnation < x.fact.Incarnation:
-		m.send(from, messenger.News{Facts: []messenger.Fact{x.fact}})
+		m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}})
 	case now.Sub(x.lastDirect) < m.intervals(suspectBeats):
-		m.send(from, messenger.Vouch{Host: s.Host, Incarnation: s.Incarnation})
+		m.send(from, messenger.Refute{Host: s.Host, Incarnation: s.Incarnation})
 	default:
-		x.vote(now, from)
+		x.addVote(now, from)
 	}
 }
 
-// allFacts is all allFacts, in order.
+// allFacts returns all facts, sorted by name.
 func (m *Members) allFacts() []messenger.Fact {
 	var out []messenger.Fact
 	for _, x := range m.sortedMembers() {
@@ -111,19 +112,19 @@
 	return out
 }
 
-// sendMissing sends a host the facts that it lacks.
-func (m *Members) sendMissing(to string, had []messenger.Fact) {
+// sendMissing sends a host the facts that are missing from the ones received from it.
+func (m *Members) sendMissing(to string, received []messenger.Fact) {
 	known := map[string]messenger.Fact{}
-	for _, f := range had {
+	for _, f := range received {
 		known[f.Name] = f
 	}
-	var lacking []messenger.Fact
+	var missing []messenger.Fact
 	for _, f := range m.allFacts() {
 		if h, ok := known[f.Name]; newer(f, h) && (ok || f.Status != gone) {
-			lacking = append(lacking, f)
+			missing = append(missing, f)
 		}
 	}
-	if len(lacking) > 0 {
-		m.send(to, messenger.News{Facts: lacking})
+	if len(missing) > 0 {
+		m.send(to, messenger.RosterUpdate{Facts: missing})
 	}
 }
--- a/registrar/members.go
+++ b/registrar/members.go
@@ -14,61 +14,63 @@
 	gone // dead or left; final for the incarnation
 )
 
-// Bounds in heartbeat intervals.
+// Time limits and rates, in heartbeat intervals.
 const (
-	suspectBeats     = 3   // unheard before a host is suspected
+	suspectBeats     = 3   // without a heartbeat before a host is suspected
 	confirmBeats     = 1.5 // for a suspicion to be refuted
-	unconfirmedBeats = 4   // for a host that was paused to hear whether it still counts
-	voteValidBeats   = 8   // that another observer's suspicion counts
-	syncBeats        = 4   // least between two Syncs
-	maxMismatches    = 2   // beats with another digest before a Sync
-	// maxChurnMismatches is the same while this host's own digest changes.
+	unconfirmedBeats = 4   // after a pause, for a peer to contradict that this host is alive
+	voteValidBeats   = 8   // validity of another observer's vote; also of a direct contact
+	syncBeats        = 4   // min between two Syncs
+	maxMismatches    = 2   // heartbeats with a different digest before a Sync
+	// maxChurnMismatches replaces maxMismatches while this host's own digest changes.
 	maxChurnMismatches = 12
-	remoteBeats        = 4   // beats between those to another region
-	partnerBeats       = 240 // beats with one partner in another region
+	remoteBeats        = 4   // between two heartbeats to another region
+	partnerBeats       = 240 // before the next host of another region gets the heartbeats
 )
 
 // tombstoneAge is how long a host that is gone is remembered.
 const tombstoneAge = time.Hour
 
-// goneNoticeAge is how long a host that is gone is told so.
+// goneNoticeAge is how long after it was marked as gone a host is still notified of that.
 const goneNoticeAge = 10 * time.Minute
 
-// leaseVoter is the vote of a lapsed lease in the Object API.
+// leaseVoter is the voter name of an expired lease in the Object API.
 const leaseVoter = "\x00lease"
 
-// Output is what Members decides. It is one of the types below.
+// Output is a decision of Members, to be carried out by the caller. It is one of the types
+// below.
 type Output interface{ output() }
 
-// Send sends a message to a host, on a new connection where Fresh.
+// Send sends a message to a host, on a new connection if NewConnection is set.
 type Send struct {
 	To            Record
 	Message       messenger.Message
 	NewConnection bool
 }
 
-// RosterChanged is a new roster.
+// RosterChanged reports a new roster.
 type RosterChanged struct{ Roster Roster }
 
-// Suspected says that this host began to suspect another.
+// Suspected reports that this host began to suspect another one.
 type Suspected struct{ Host Record }
 
-// CheckLease asks whether a host's lease has lapsed: no second observer decides.
+// CheckLease asks whether a host's lease has expired, as no second observer has decided.
 type CheckLease struct{ Host Record }
 
-// DeclaredDead says that this host concluded that another is dead.
+// DeclaredDead reports that this host declared another one dead.
 type DeclaredDead struct{ Host Record }
 
-// PredecessorFound says that a process that ran at this host's address before it is no more.
+// PredecessorFound reports a record of an earlier process at this host's address.
 type PredecessorFound struct{ Host Record }
 
-// Rejoined says that this host was declared dead and is back under a new incarnation.
+// Rejoined reports that this host has a new incarnation: it had been declared dead, or an
+// earlier process at its address had a higher incarnation.
 type Rejoined struct{ Self Record }
 
-// StaleRecord says that the record of a host that is gone is in the Object API again.
+// StaleRecord reports that the record of a host that is gone is in the Object API again.
 type StaleRecord struct{ Host Record }
 
-// Superseded says that another process runs under this host's name.
+// Superseded reports that another process runs under this host's name.
 type Superseded struct{ Self Record }
 
 func (Send) output()             {}
@@ -81,61 +83,61 @@
 func (StaleRecord) output()      {}
 func (Superseded) output()       {}
 
-// member is one host, this one included.
+// member is the state of one host, this one included.
 type member struct {
 	fact         messenger.Fact
-	lastDirect   time.Time // last heard by this host itself
-	lastSeen     time.Time // last heard, or vouched for
-	suspectedAt  time.Time // zero where it is not
-	factSince    time.Time // of the fact
-	votes        map[string]time.Time
-	nameHash     uint64 // of the name
-	noConnection bool   // the messenger gets no connection
-	unreachable  bool   // counts as out of reach
-	mismatches   int    // beats with another digest than ours
+	lastDirect   time.Time            // last message from the host itself
+	lastSeen     time.Time            // last sign of life, direct or by a peer's Refute
+	suspectedAt  time.Time            // zero if not suspected
+	factSince    time.Time            // when fact was set
+	votes        map[string]time.Time // of those that agree with the suspicion, by voter
+	nameHash     uint64
+	noConnection bool // the messenger can't connect to the host
+	unreachable  bool // as in Record
+	mismatches   int  // successive heartbeats with a digest other than ours
 }
 
-// Members decides who is alive, as one host sees it. It is pure: time comes in
-// as an argument and what is to be done comes out. It is not safe for
+// Members decides which hosts are alive, as seen by one host. It does no I/O: the time is
+// an argument, and the actions to take are returned as outputs. It is not safe for
 // concurrent use.
 type Members struct {
 	heartbeatInterval time.Duration
 	self              *member
-	members           map[string]*member // this host included
-	sorted            []*member          // the same, by name
+	members           map[string]*member // by name, this host included
+	sorted            []*member          // the same, sorted by name
 	byControl         map[string]*member // those that are not gone, by control address
 	roster            Roster
-	rebuilds          int  // how often the roster was made since the last tick
-	rosterStale       bool // it is to be made at the next tick
+	rebuilds          int  // rebuilds since the last tick
+	rosterStale       bool // the roster is rebuilt at the next tick
 	ring              ring
-	ringBuiltAt       time.Time // when the ring was last made
-	ringStale         bool      // the ring is to be made anew
+	ringBuiltAt       time.Time
+	ringStale         bool // the ring must be rebuilt
 	digest            uint64
-	digestChangedAt   time.Time     // when the digest last changed
-	pending           []pendingFact // to be passed on
-	lastSpread        time.Time     // when news were last passed on
-	// introducedTo is the incarnation of each observer that was sent this host's fact.
+	digestChangedAt   time.Time
+	pending           []pendingFact // facts to send on
+	lastSpread        time.Time     // when pending facts were last sent
+	// introducedTo is the incarnation of each observer to which this host's fact was sent.
 	introducedTo     map[string]uint64
 	lastTick         time.Time
 	lastSync         time.Time
-	unconfirmedSince time.Time     // since when this host does not know whether it still counts
-	declaredDead     bool          // declared dead, not yet back
-	nextRejoin       time.Time     // not before
-	rejoinBackoff    time.Duration // until the rejoin after that
-	superseded       bool          // another process has the name
+	unconfirmedSince time.Time     // after a pause, until it is known that this host still counts as alive
+	declaredDead     bool          // and has not rejoined yet
+	nextRejoin       time.Time     // earliest time
+	rejoinBackoff    time.Duration // from the next rejoin to the one after it
+	superseded       bool          // another process has this host's name
 	stopped          bool
-	beatsSent        int       // heartbeats sent so far
-	nextBeat         time.Time // of the next heartbeat
+	beatsSent        int // heartbeats sent so far
+	nextBeat         time.Time
 	outputs          []Output
 }
 
-// NewMembers returns the members as a host that knows only itself sees them.
-func NewMembers(now time.Time, self Record, beat time.Duration) *Members {
-	m := &Members{heartbeatInterval: beat, members: map[string]*member{}, byControl: map[string]*member{}, lastTick: now}
+// NewMembers returns the Members of a host that knows no other host yet.
+func NewMembers(now time.Time, self Record, heartbeatInterval time.Duration) *Members {
+	m := &Members{heartbeatInterval: heartbeatInterval, members: map[string]*member{}, byControl: map[string]*member{}, lastTick: now}
 	m.self = m.addMember(now, factOf(self))
 	m.holdAddress(m.self)
 	m.rebuild(now)
-	m.ringBuiltAt = time.Time{} // the first hosts that it hears of are told of it at once
+	m.ringBuiltAt = time.Time{} // so that the first hosts that it learns of get its fact without delay
 	return m
 }
 
@@ -152,19 +154,19 @@
 	return Record{Name: f.Name, Zone: f.Zone, Region: f.Region, Control: f.Control, Admin: f.Admin, Incarnation: f.Incarnation, Weight: f.Weight, Leaving: f.Status == leaving, Unreachable: m.unreachable}
 }
 
-// Roster is the hosts that count as alive. A host that was declared dead, or
-// does not know whether it was, is not on its own roster: it takes no role.
+// Roster returns the hosts that count as alive. A host that was declared dead, or that does
+// not know whether it was, is not on its own roster, so it takes no role.
 func (m *Members) Roster() Roster { return m.roster }
 
-// Self is this host's record.
+// Self returns this host's record.
 func (m *Members) Self() Record { return m.self.record() }
 
-// intervals is a number of heartbeat intervals.
+// intervals returns the length of a number of heartbeat intervals.
 func (m *Members) intervals(beats float64) time.Duration {
 	return time.Duration(beats * float64(m.heartbeatInterval))
 }
 
-// takeOutputs returns what was decided.
+// takeOutputs returns the pending outputs and clears them.
 func (m *Members) takeOutputs() []Output {
 	out := m.outputs
 	m.outputs = nil
@@ -183,7 +185,7 @@
 	return m.takeOutputs()
 }
 
-// Shutdown takes this host out of the roster, for good.
+// Shutdown removes this host from the roster for good.
 func (m *Members) Shutdown(now time.Time) []Output {
 	m.stopped = true
 	m.setOwnStatus(now, gone)
@@ -197,9 +199,9 @@
 	m.rebuild(now)
 }
 
-// SetReachable takes the messenger's outcome for a host. Failure: two hosts lose each
-// other while the rest hear both, so neither is dead; it shows as a dispatcher
-// that an entry can't reach. The entry then goes to the next host in order.
+// SetReachable records whether the messenger could reach a host. Two hosts may lose their
+// connection while all others still reach both. Neither is dead then, but an entry host may
+// be unable to reach a dispatcher; it goes to the next host in order instead.
 func (m *Members) SetReachable(now time.Time, host string, reachable bool) []Output {
 	if x := m.members[host]; x != nil && x != m.self && x.noConnection == reachable {
 		x.noConnection = !reachable
@@ -208,8 +210,8 @@
 	return m.takeOutputs()
 }
 
-// ApplyRecords takes the records of the Object API: all of them, or those changed.
-// What is missing in the store is no proof of death.
+// ApplyRecords applies records of the Object API: all of them, or those that changed. A
+// missing record does not prove that its host is dead.
 func (m *Members) ApplyRecords(now time.Time, records []Record) []Output {
 	var facts []messenger.Fact
 	for _, r := range records {
@@ -219,7 +221,8 @@
 	return m.takeOutputs()
 }
 
-// ApplyRestored takes all records of an Object API that came back from an older copy of itself.
+// ApplyRestored applies all records of an Object API that was restored from an older
+// snapshot.
 func (m *Members) ApplyRestored(now time.Time, records []Record) []Output {
 	for _, r := range records {
 		if x := m.members[r.Name]; x != nil && x != m.self && x.fact.Status == gone && x.fact.Incarnation >= r.Incarnation {
@@ -229,16 +232,16 @@
 	return m.ApplyRecords(now, records)
 }
 
-// LeaseExpired takes that a host's lease in the Object API has lapsed, or is gone.
-// It is one vote: peers that hear the host outvote it.
+// LeaseExpired records that a host's lease in the Object API has expired or is missing. It
+// counts as one vote; a peer that receives the host's heartbeats refutes the suspicion.
 func (m *Members) LeaseExpired(now time.Time, host string, incarnation uint64) []Output {
 	if x := m.members[host]; x != nil && x.fact.Incarnation == incarnation && !x.suspectedAt.IsZero() {
-		x.vote(now, leaseVoter)
+		x.addVote(now, leaseVoter)
 	}
 	return m.takeOutputs()
 }
 
-func (m *member) vote(now time.Time, by string) {
+func (m *member) addVote(now time.Time, by string) {
 	if m.votes == nil {
 		m.votes = map[string]time.Time{}
 	}
@@ -249,28 +252,28 @@
 	m.lastSeen, m.suspectedAt, m.votes = now, time.Time{}, nil
 }
 
-// newer says whether fact a holds against b.
+// newer reports whether fact a supersedes b.
 func newer(a, b messenger.Fact) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Status, b.Status)) > 0
 }
 
-// merge takes facts from a host, or from the store (""), and passes on what is
-// new. Facts only ever grow, so hosts that hear each other converge whatever
-// the order in which facts reach them.
+// merge applies facts from a host, or from the store if from is empty, and sends on those
+// that are new. A fact is only ever replaced by a newer one, so connected hosts converge in
+// whatever order they receive facts.
 func (m *Members) merge(now time.Time, from string, facts []messenger.Fact) {
-	fresh := false
+	changed := false
 	for _, f := range facts {
 		switch x := m.members[f.Name]; {
 		case x == m.self:
 			m.mergeOwnFact(now, from, f)
-		case x == nil && f.Status == gone: // else tombstones would go round for ever
+		case x == nil && f.Status == gone: // ignored, otherwise hosts would send each other tombstones forever
 		case x == nil:
 			x = m.addMember(now, f)
 			m.queueFact(f.Name, from)
 			m.assignAddress(now, x)
-			fresh = true
+			changed = true
 		case newer(f, x.fact):
-			if f.Control == "" { // a bare death notice
+			if f.Control == "" { // notice without addresses that the host is gone
 				f.Zone, f.Region, f.Control, f.Admin = x.fact.Zone, x.fact.Region, x.fact.Control, x.fact.Admin
 			}
 			if f.Incarnation > x.fact.Incarnation {
@@ -282,15 +285,15 @@
 			x.fact, x.factSince = f, now
 			m.queueFact(f.Name, from)
 			m.assignAddress(now, x)
-			fresh = true
+			changed = true
 		}
 	}
-	if fresh {
+	if changed {
 		m.scheduleRebuild(now)
 		m.scheduleSpread(now)
 	}
 }
 
-// sortedMembers is every member in name order, so that decisions come out the
-// same each time.
+// sortedMembers returns all members sorted by name, so that the order of decisions is
+// deterministic.
 func (m *Members) sortedMembers() []*member { return m.sorted }
--- a/registrar/recorder.go
+++ b/registrar/recorder.go
@@ -15,44 +15,46 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// LeasePrefix is where leases live in the Object API. They are apart from the
-// records and nobody watches them: else every renewal would wake every host.
+// LeasePrefix is the key prefix of leases in the Object API. Leases are separate from the
+// records and nobody watches them; otherwise every renewal would wake every host.
 const LeasePrefix = "leases/"
 
 const removeTimeout = time.Second
 
-// restoreWindow is the time in which hosts look, one after the other, for what a store lost
-// that came back from an older copy.
+// restoreWindow is the time over which the hosts of a fleet spread their checks for what
+// was lost after the store was restored from an older snapshot.
 const restoreWindow = 2 * time.Second
 
-// renewalsPerCheck is how many renewals of the lease come for each look at the record: who took
-// it away tells this host so.
+// renewalsPerCheck is the number of lease renewals per check of the stored record. A host
+// that removes the record because it declared this one dead also notifies it, so frequent
+// checks are not needed.
 const renewalsPerCheck = 4
 
-// recorder writes this host's record and lease, and removes those of the dead.
+// recorder writes this host's record and lease, and removes those of dead hosts and of
+// predecessors.
 type recorder struct {
-	store storer.Store
-	lease time.Duration
-	log   *zap.Logger
-	wake  chan struct{}
+	store         storer.Store
+	leaseDuration time.Duration
+	log           *zap.Logger
+	wake          chan struct{}
 
 	mu           sync.Mutex
-	self         Record // to be stored; a zero Record stores nothing
-	dead         map[string]uint64
-	predecessors []string // names of processes that ran at this host's address
-	maybeLost    bool     // the store may have lost the record and the lease
+	self         Record            // to be stored; nothing is stored while it is zero
+	dead         map[string]uint64 // incarnations of dead hosts whose record and lease are to be removed, by name
+	predecessors []string          // names of earlier processes at this host's address, to be removed
+	maybeLost    bool              // the store may have lost the record and the lease
 
-	// run's goroutine only
+	// Used by the goroutine of run only.
 	renewals    uint64
-	stored      Record // as it was last seen in the store
-	createTried bool   // to create it
+	stored      Record // last known content in the store; zero if unknown
+	createTried bool   // creating the record was attempted
 }
 
 func newRecorder(s storer.Store, self Record, lease time.Duration, log *zap.Logger) *recorder {
-	return &recorder{store: s, lease: lease, log: log, wake: make(chan struct{}, 1), self: self, dead: map[string]uint64{}}
+	return &recorder{store: s, leaseDuration: lease, log: log, wake: make(chan struct{}, 1), self: self, dead: map[string]uint64{}}
 }
 
-// setRecord has the record stored soon.
+// setRecord sets the record and wakes run to store it.
 func (c *recorder) setRecord(self Record) {
 	c.mu.Lock()
 	c.self = self
@@ -60,7 +62,7 @@
 	c.notify()
 }
 
-// queueDead has a dead host's record and lease removed soon.
+// queueDead schedules the removal of a dead host's record and lease.
 func (c *recorder) queueDead(h Record) {
 	c.mu.Lock()
 	c.dead[h.Name] = h.Incarnation
@@ -68,8 +70,8 @@
 	c.notify()
 }
 
-// queuePredecessor has the record and lease removed soon that a process at this host's address left
-// behind. Nobody writes these any more, so that they need not be read first.
+// queuePredecessor schedules the removal of the record and lease of an earlier process at
+// this host's address. Nobody writes them any more, so they are deleted without being read.
 func (c *recorder) queuePredecessor(name string) {
 	c.mu.Lock()
 	c.predecessors = append(c.predecessors, name)
@@ -77,8 +79,9 @@
 	c.notify()
 }
 
-// scheduleRestore has the record and the lease written soon where the store has lost them.
-// Failure: a store that has just come back is called by all hosts of a fleet in one moment.
+// scheduleRestore has the record and the lease checked, and written again if the store has
+// lost them. The random delay keeps the hosts of a fleet from all calling a store at the
+// moment it is available again.
 func (c *recorder) scheduleRestore() {
 	time.AfterFunc(rand.N(restoreWindow), func() {
 		c.mu.Lock()
@@ -95,10 +98,11 @@
 	}
 }
 
-// run keeps the store in step until ctx ends: half a lease between renewals.
+// run keeps the record and the lease in the store up to date until ctx ends. The pause
+// between renewals is half a lease on average.
 func (c *recorder) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := c.lease/4 + jitter(c.lease/4)
+		pause := c.leaseDuration/4 + jitter(c.leaseDuration/4)
 		if err := c.reconcile(ctx); err != nil && ctx.Err() == nil {
 			c.log.Warn("renew", zap.Error(err))
 			pause = jitter(retryDelay)
@@ -113,8 +117,8 @@
 	}
 }
 
-// reconcile does all that is due. Every step may be done again: a write whose reply
-// was lost is settled by the next reconcile, which reads before it writes.
+// reconcile carries out all pending writes and removals. Each step may be repeated: if the
+// reply to a write was lost, the next call reads before it writes.
 func (c *recorder) reconcile(ctx context.Context) error {
 	c.mu.Lock()
 	self := c.self
@@ -147,7 +151,8 @@
 	return nil
 }
 
-// renewLease writes the lease, and now and then the record where the store has another.
+// renewLease writes the lease. It first checks the record, if it changed or every
+// renewalsPerCheck renewals, and writes it if the store has a different one.
 func (c *recorder) renewLease(ctx context.Context, self Record) error {
 	self.Unreachable = false
 	if c.stored != self || c.renewals%renewalsPerCheck == 0 {
@@ -155,29 +160,29 @@
 			return err
 		}
 	}
-	// A write that changes nothing may leave the version as it was, and the lease
-	// would look as if nobody renewed it: so each renewal has its number.
+	// The store may keep the version if a write changes nothing, and the lease would look as
+	// if it had not been renewed. So each renewal is numbered.
 	c.renewals++
-	lease, err := json.Marshal(struct {
+	value, err := json.Marshal(struct {
 		Incarnation uint64 `json:"incarnation"`
 		Renewal     uint64 `json:"renewal"`
 	}{self.Incarnation, c.renewals})
 	if err != nil {
 		return fmt.Errorf("renew lease: %w", err)
 	}
-	if _, err := c.store.Put(ctx, LeasePrefix+self.Name, lease, storer.Condition{}); err != nil {
+	if _, err := c.store.Put(ctx, LeasePrefix+self.Name, value, storer.Condition{}); err != nil {
 		return fmt.Errorf("renew lease: %w", err)
 	}
 	return nil
 }
 
-// writeRecord writes the writeRecord where the store has another. Failure: a process that was frozen
-// while its name was given to a new one must not overwrite the new one's writeRecord; the
-// condition on what was read prevents it.
+// writeRecord writes the record if the store has a different one. A process that was frozen
+// while its name was given to a new process must not overwrite the new one's record; the
+// condition on the version that was read prevents this.
 func (c *recorder) writeRecord(ctx context.Context, self Record) error {
 	c.stored = Record{}
 	if !c.createTried {
-		c.createTried = true // most processes are new under their names
+		c.createTried = true // most processes have a new name, for which no record exists
 		if created, err := c.createRecord(ctx, self); created || err != nil {
 			return err
 		}
@@ -201,7 +206,8 @@
 	return nil
 }
 
-// createRecord writes the record where the store has none of this name.
+// createRecord writes the record if the store has none under this name, and reports
+// whether it did.
 func (c *recorder) createRecord(ctx context.Context, self Record) (bool, error) {
 	err := c.putRecord(ctx, self, storer.Condition{Absent: true})
 	if errors.Is(err, storer.ErrConflict) {
@@ -224,7 +230,7 @@
 	return nil
 }
 
-// removePredecessors removes what processes before this one left behind.
+// removePredecessors removes the records and leases of earlier processes at this address.
 func (c *recorder) removePredecessors(ctx context.Context) error {
 	c.mu.Lock()
 	names := slices.Clone(c.predecessors)
@@ -242,8 +248,8 @@
 	return nil
 }
 
-// removeDead removes the record and lease of an incarnation that is gone, and
-// nothing of a newer one.
+// removeDead removes the record and lease of a dead incarnation. Those of a newer
+// incarnation stay.
 func (c *recorder) removeDead(ctx context.Context, name string, incarnation uint64) error {
 	for _, prefix := range []string{Prefix, LeasePrefix} {
 		o, err := c.store.Get(ctx, prefix+name)
@@ -267,7 +273,7 @@
 	return nil
 }
 
-// removeSelf takes this host's own record and lease away, at its end.
+// removeSelf removes this host's own record and lease at shutdown.
 func (c *recorder) removeSelf() {
 	ctx, cancel := context.WithTimeout(context.Background(), removeTimeout)
 	defer cancel()
@@ -279,16 +285,16 @@
 	}
 }
 
-// leaseExpired watches a host's lease for as long as a lease runs, by this host's own
-// clock, and says whether it was never renewed. While the store can't be read it says
-// nothing: an outage must kill nobody. One that is not there counts as one that is not
-// renewed. Failure: a host that came in an outage writes its lease when the store is back,
-// and is declared dead by who looks a moment before.
+// leaseExpired observes a host's lease for one lease duration by the local clock, and
+// reports whether it was not renewed. It returns false while the store can't be read: an
+// outage must not make hosts look dead. A missing lease counts as one that was not renewed
+// yet, not as expired: a host that joined during an outage writes its lease only when the
+// store is available again, and would be declared dead by a host that looks just before.
 func (c *recorder) leaseExpired(ctx context.Context, name string) bool {
 	var version storer.Version
 	var since time.Time
 	for ctx.Err() == nil {
-		o, err := c.store.Get(ctx, LeasePrefix+name) // version 0 where it is not there
+		o, err := c.store.Get(ctx, LeasePrefix+name) // the version is 0 if there is no lease
 		switch {
 		case err != nil && !errors.Is(err, storer.ErrNotFound):
 			return false
@@ -296,10 +302,10 @@
 			version, since = o.Version, time.Now()
 		case o.Version != version:
 			return false
-		case time.Since(since) >= c.lease:
+		case time.Since(since) >= c.leaseDuration:
 			return true
 		}
-		sleep(ctx, c.lease/4)
+		sleep(ctx, c.leaseDuration/4)
 	}
 	return false
 }
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -12,49 +12,49 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// maxQueuedInputs is how many inputs wait for the registrar; what comes on top is
-// dropped, as heartbeats and news are repeated.
+// maxQueuedInputs is the capacity of the input queue. Messages that arrive while it is full
+// are dropped, because heartbeats and roster updates are repeated.
 const maxQueuedInputs = 1024
 
-// askPeersInterval is how often a host that knows nobody asks its settings' peers.
+// askPeersInterval is how often a host that knows no other host asks its configured peers.
 const askPeersInterval = 2 * time.Second
 
-// Transport is the port to other hosts.
+// Transport sends messages to other hosts.
 type Transport interface {
 	Send(address string, m messenger.Message) error
 	// Reconnect makes the next Send to address use a new connection.
 	Reconnect(address string)
 }
 
-// Config is what a Registrar is made with.
+// Config configures a Registrar.
 type Config struct {
 	Self              Record
-	HeartbeatInterval time.Duration // between heartbeats
+	HeartbeatInterval time.Duration
 	LeaseDuration     time.Duration // of this host's lease in the Object API
 	Store             storer.Store
 	Transport         Transport
 	Log               *zap.Logger
-	// Peers is control addresses of other hosts: whom to ask for the roster while
-	// this host knows nobody, as when it starts while the platform is down.
+	// Peers are the control addresses of other hosts, which are asked for the roster while
+	// this host knows no other host, such as when it starts while the store is down.
 	Peers []string
-	// ShouldWatch says whether this host is to watch the records: those that do pass on what
-	// they learn with their facts. Nil is always.
+	// ShouldWatch reports whether this host is to watch the records. Hosts that watch send
+	// what they learn to the others as roster updates. Nil means always.
 	ShouldWatch func() bool
 	// Notify is called with each new roster. It must not block for long.
 	Notify func(Roster)
 }
 
-// Counts is what a Registrar has seen so far.
+// Counts are a Registrar's statistics: hosts on the roster now, and events since the start.
 type Counts struct {
-	Alive       int    `json:"alive"`
+	Alive       int    `json:"alive"` // hosts on the roster, unreachable ones included
 	Unreachable int    `json:"parted"`
 	Suspicions  uint64 `json:"suspicions"`
-	Deaths      uint64 `json:"deaths"` // concluded by this host
+	Deaths      uint64 `json:"deaths"` // hosts that this host declared dead
 	Rejoins     uint64 `json:"rejoins"`
 }
 
-// Registrar runs Members: one goroutine owns them, others do the calls of the
-// Object API, so that a slow store never delays a heartbeat.
+// Registrar runs Members. One goroutine owns them; others call the Object API, so that a
+// slow store never delays a heartbeat.
 type Registrar struct {
 	config   Config
 	members  *Members
@@ -65,14 +65,14 @@
 
 	mu          sync.Mutex
 	roster      Roster
-	leaseChecks map[string]bool // by host
+	leaseChecks map[string]bool // lease checks in progress, by host
 
-	peersAsked time.Time // when the peers of the settings were last asked
+	peersAsked time.Time // when the configured peers were last asked
 
 	suspicions, deaths, rejoins atomic.Uint64
 }
 
-// New returns a registrar that does nothing yet.
+// New returns a Registrar; Run starts it.
 func New(c Config) *Registrar {
 	r := &Registrar{
 		config: c, members: NewMembers(time.Now(), c.Self, c.HeartbeatInterval), inputs: make(chan func(time.Time) []Output, maxQueuedInputs),
@@ -82,7 +82,7 @@
 	return r
 }
 
-// Run keeps the roster until ctx ends, then takes this host off it.
+// Run maintains the roster until ctx ends, then removes this host from it.
 func (r *Registrar) Run(ctx context.Context) {
 	defer close(r.done)
 	inner, stop := context.WithCancel(ctx)
@@ -108,8 +108,8 @@
 	r.recorder.removeSelf()
 }
 
-// askPeers asks the peers of the settings while this host knows nobody else. The
-// fact goes first, so that the peer knows whom to answer.
+// askPeers asks the configured peers for the roster while this host knows no other host.
+// Its own fact is sent first, so that the peer knows where to send the answer.
 func (r *Registrar) askPeers() {
 	if len(r.Roster().hosts) > 1 || time.Since(r.peersAsked) < askPeersInterval {
 		return
@@ -130,12 +130,12 @@
 	return out
 }
 
-// StoreRestored takes that the store came back from an older copy of itself: this host's record
-// and lease are looked at soon, and written where they are lost.
+// StoreRestored reports that the store was restored from an older snapshot. This host's
+// record and lease are checked within restoreWindow and written again if they are lost.
 func (r *Registrar) StoreRestored() { r.recorder.scheduleRestore() }
 
-// Receive takes a message of another host. It says whether the message is one of
-// membership. It does not block.
+// Receive handles a message of another host and reports whether it is one of membership.
+// It does not block.
 func (r *Registrar) Receive(from string, m messenger.Message) bool {
 	switch m.(type) {
 	case messenger.Heartbeat, messenger.Probe, messenger.Suspect, messenger.Refute, messenger.RosterUpdate, messenger.Sync:
@@ -149,8 +149,8 @@
 	return true
 }
 
-// SetReachable takes the messenger's outcome for an address. It waits for the
-// registrar, so that outcomes keep their order.
+// SetReachable reports whether the messenger could reach an address. It blocks until the
+// registrar accepts the input, so that successive results stay in order.
 func (r *Registrar) SetReachable(address string, reachable bool) {
 	for _, h := range r.Roster().hosts {
 		if h.Control == address {
@@ -159,14 +159,14 @@
 	}
 }
 
-// Roster is the present roster.
+// Roster returns the current roster.
 func (r *Registrar) Roster() Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roster
 }
 
-// Counts is what the registrar has seen so far.
+// Counts returns the current statistics.
 func (r *Registrar) Counts() Counts {
 	c := Counts{Suspicions: r.suspicions.Load(), Deaths: r.deaths.Load(), Rejoins: r.rejoins.Load()}
 	for _, h := range r.Roster().hosts {
@@ -178,6 +178,7 @@
 	return c
 }
 
+// post queues an input and blocks while the queue is full, until Run has returned.
 func (r *Registrar) post(in func(time.Time) []Output) {
 	select {
 	case r.inputs <- in:
@@ -185,7 +186,7 @@
 	}
 }
 
-// execute does what was decided.
+// execute carries out the outputs of the members.
 func (r *Registrar) execute(ctx context.Context, out []Output) {
 	for _, o := range out {
 		switch o := o.(type) {
@@ -193,7 +194,7 @@
 			if o.NewConnection {
 				r.config.Transport.Reconnect(o.To.Control)
 			}
-			_ = r.config.Transport.Send(o.To.Control, o.Message) // a full queue is counted there
+			_ = r.config.Transport.Send(o.To.Control, o.Message) // a message dropped because of a full queue is counted by the transport
 		case RosterChanged:
 			r.mu.Lock()
 			r.roster = o.Roster
@@ -225,7 +226,8 @@
 	}
 }
 
-// checkLease checks a suspect's lease, once at a time.
+// checkLease checks the lease of a suspected host, with at most one check per host at a
+// time.
 func (r *Registrar) checkLease(ctx context.Context, h Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -234,11 +236,11 @@
 	}
 	r.leaseChecks[h.Name] = true
 	r.tasks.Go(func() {
-		lapsed := r.recorder.leaseExpired(ctx, h.Name)
+		expired := r.recorder.leaseExpired(ctx, h.Name)
 		r.mu.Lock()
 		delete(r.leaseChecks, h.Name)
 		r.mu.Unlock()
-		if lapsed {
+		if expired {
 			r.post(func(now time.Time) []Output { return r.members.LeaseExpired(now, h.Name, h.Incarnation) })
 		}
 	})
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -21,23 +21,23 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// wire joins registrars in this process by control address.
-type wire struct {
-	mu    sync.Mutex
-	hosts map[string]*registrar.Registrar
-	cut   bool
-	lease time.Duration
-	turn  func() bool // of hosts that join from now on
+// network connects registrars in this process by control address.
+type network struct {
+	mu            sync.Mutex
+	hosts         map[string]*registrar.Registrar
+	cut           bool
+	leaseDuration time.Duration
+	shouldWatch   func() bool // of hosts that join from now on
 }
 
-type end struct {
-	w    *wire
+type endpoint struct {
+	w    *network
 	name string
 }
 
-func (e end) Reconnect(string) {}
+func (e endpoint) Reconnect(string) {}
 
-func (e end) Send(address string, m messenger.Message) error {
+func (e endpoint) Send(address string, m messenger.Message) error {
 	e.w.mu.Lock()
 	to, cut := e.w.hosts[address], e.w.cut
 	e.w.mu.Unlock()
@@ -47,14 +47,14 @@
 	return nil
 }
 
-// peers is whom each host of a test is told to ask.
+// peers are the configured peers of each host in a test.
 var peers = []string{"a"}
 
-// join starts a registrar; the result ends it and waits until it has left.
-func (w *wire) join(store storer.Store, name string, incarnation uint64) (*registrar.Registrar, func()) {
+// join starts a registrar. The returned function stops it and waits until it has left.
+func (w *network) join(store storer.Store, name string, incarnation uint64) (*registrar.Registrar, func()) {
 	r := registrar.New(registrar.Config{
 		Self:              registrar.Record{Name: name, Zone: name, Control: name, Incarnation: incarnation},
-		HeartbeatInterval: 50 * time.Millisecond, LeaseDuration: w.lease, ShouldWatch: w.turn, Store: store, Transport: end{w, name},
+		HeartbeatInterval: 50 * time.Millisecond, LeaseDuration: w.leaseDuration, ShouldWatch: w.shouldWatch, Store: store, Transport: endpoint{w, name},
 		Log: zap.NewNop(), Peers: peers, Notify: func(registrar.Roster) {},
 	})
 	w.mu.Lock()
@@ -86,7 +86,7 @@
 	var (
 		platform *faker.Platform
 		store    storer.Store
-		w        *wire
+		w        *network
 	)
 
 	BeforeEach(func() {
@@ -95,7 +95,7 @@
 		DeferCleanup(server.Close)
 		client, clean := adapter.NewStore(server.URL)
 		DeferCleanup(clean)
-		store, w = client, &wire{hosts: map[string]*registrar.Registrar{}, lease: time.Second}
+		store, w = client, &network{hosts: map[string]*registrar.Registrar{}, leaseDuration: time.Second}
 	})
 
 	stored := func(name string) registrar.Record {
@@ -106,12 +106,13 @@
 		return r
 	}
 
-	// Story: hosts that start together wake the watches of all others with each record.
-	// A host that others watch for makes no call for it, and still learns who joins.
-	It("learns of others without a watch where they watch for it", func() {
-		w.lease = time.Minute
+	// Guards against every host watching the records: when many hosts start together, each
+	// record would wake all watches. A host for which others watch must make no watch call and
+	// still learn of hosts that join.
+	It("learns of other hosts without a watch if others watch for it", func() {
+		w.leaseDuration = time.Minute
 		w.join(store, "a", 7)
-		w.turn = func() bool { return false }
+		w.shouldWatch = func() bool { return false }
 		var watches atomic.Int32
 		b, _ := w.join(storer.Metered{Store: store, Count: func(call, _, _ string) {
 			if call == "watch" {
@@ -119,16 +120,16 @@
 			}
 		}}, "b", 9)
 		Eventually(func() map[string]uint64 { return incarnations(b) }).WithTimeout(10 * time.Second).Should(HaveLen(2))
-		w.turn = nil
+		w.shouldWatch = nil
 		w.join(store, "c", 3)
 		Eventually(func() map[string]uint64 { return incarnations(b) }).WithTimeout(10 * time.Second).Should(HaveLen(3))
 		Expect(watches.Load()).To(BeZero())
 	})
 
-	// Story: a host joins, leaves its record and goes while replies of the store are
-	// lost. A record that stays behind would make others look for a host that is not
-	// there; one that is missing would hide a host that is.
-	DescribeTable("keeps its record in step with itself",
+	// Guards against a wrong record after a host joined, left or stopped while replies of the
+	// store were lost. A record that stays behind makes others look for a host that is gone; a
+	// missing one hides a host that runs.
+	DescribeTable("keeps its stored record up to date",
 		func(faults faker.Faults) {
 			platform.SetFaults(faults)
 			a, leave := w.join(store, "a", 7)
@@ -147,10 +148,10 @@
 		Entry("with the store slow", faker.Faults{Delay: 100 * time.Millisecond}),
 	)
 
-	// Guards against a lease costing the store twice what it must: at 195 hosts that is a
-	// quarter of its calls.
-	It("reads its record for few of its lease's renewals", func() {
-		w.lease = 800 * time.Millisecond
+	// Guards against a lease costing the store twice the necessary calls: at 195 hosts that is a
+	// quarter of all calls.
+	It("reads its record only for some of its lease's renewals", func() {
+		w.leaseDuration = 800 * time.Millisecond
 		var reads, renewals atomic.Int32
 		w.join(storer.Metered{Store: store, Count: func(call, kind, _ string) {
 			switch {
@@ -164,9 +165,9 @@
 		Expect(reads.Load()).To(BeNumerically("<=", 1+renewals.Load()/3))
 	})
 
-	// Story: a process was frozen while its name was given to a new one. It comes
-	// back and renews: it must neither overwrite the new record nor count as it.
-	It("an old process does not overwrite the record of its successor", Label(
+	// Guards against a process that was frozen while its name was given to a new one: when it
+	// resumes, it must neither overwrite the new record nor count as the new process.
+	It("a previous process does not overwrite the record of its successor", Label(
 		prover.Pair(prover.Renewed, prover.Freeze, prover.Renewed, prover.Kill)), func() {
 		value, err := json.Marshal(registrar.Record{Name: "a", Control: "elsewhere", Incarnation: 9})
 		Expect(err).NotTo(HaveOccurred())
@@ -177,9 +178,9 @@
 		Consistently(func() uint64 { return stored("a").Incarnation }).Should(BeEquivalentTo(9))
 	})
 
-	// Story: the platform is down for as long as one likes; leases lapse. Peers hear
-	// each other, so nobody is dead.
-	It("outlives an outage of the store", Label(prover.Cell(prover.Renewed, prover.StoreDown)), func() {
+	// Guards against a long outage of the store making hosts look dead: their leases expire, but
+	// their peers still receive their heartbeats.
+	It("keeps the roster during an outage of the store", Label(prover.Cell(prover.Renewed, prover.StoreDown)), func() {
 		members := []string{"a", "b", "c", "d"}
 		all := map[string]uint64{}
 		for i, name := range members {
@@ -193,11 +194,12 @@
 		Consistently(func() map[string]uint64 { return incarnations(w.hosts["a"]) }).WithTimeout(2 * time.Second).Should(Equal(all))
 	})
 
-	// Story: two hosts lose each other, with the store down and then up. A lease that
-	// can't be read has not lapsed, and one that is renewed has not either: nobody dies.
-	It("declares nobody dead by a lease that it can't read", Label(
+	// Guards against two hosts that lose their connection declaring each other dead, first with
+	// the store down and then up: neither a lease that can't be read nor one that is renewed has
+	// expired.
+	It("declares no host dead for a lease that it can't read", Label(
 		prover.Pair(prover.Renewed, prover.StoreDown, prover.Renewed, prover.CutBoth)), func() {
-		w.lease = 3 * time.Second
+		w.leaseDuration = 3 * time.Second
 		a, _ := w.join(store, "a", 7)
 		b, _ := w.join(store, "b", 9)
 		both := map[string]uint64{"a": 7, "b": 9}
@@ -214,12 +216,12 @@
 		Consistently(deaths).WithTimeout(5 * time.Second).Should(BeZero())
 	})
 
-	// Story: a host comes while the store is down, so that its lease is not written, and
-	// loses the other ones. The store is back, and the first who looks finds no lease. It
-	// comes a moment later: nobody dies.
-	It("declares nobody dead by a lease that was not written yet", Label(
+	// Guards against a host being declared dead for a missing lease. It joined while the store
+	// was down, so its lease was not written, and then lost its connections. When the store is
+	// up again, another host looks for the lease just before it is written.
+	It("declares no host dead for a lease that was not written yet", Label(
 		prover.Pair(prover.Renewed, prover.StoreDown, prover.Renewed, prover.CutBoth)), func() {
-		w.lease = 3 * time.Second
+		w.leaseDuration = 3 * time.Second
 		platform.SetFaults(faker.Faults{Down: true})
 		a, _ := w.join(store, "a", 7)
 		b, _ := w.join(store, "b", 9)
@@ -234,8 +236,8 @@
 		Consistently(func() uint64 { return a.Counts().Deaths + b.Counts().Deaths }).WithTimeout(5 * time.Second).Should(BeZero())
 	})
 
-	// Story: a host is replaced while the platform is down. The new one can read no
-	// record; it must find the others through the peers of its settings.
+	// Guards against a host that is replaced while the store is down finding no other host: it
+	// can read no records and must use its configured peers.
 	It("joins through its peers while the store is down", Label(prover.Cell(prover.Taken, prover.StoreDown)), func() {
 		platform.SetFaults(faker.Faults{Down: true})
 		a, _ := w.join(store, "a", 7)
@@ -245,9 +247,9 @@
 		Eventually(func() map[string]uint64 { return incarnations(b) }).WithTimeout(5 * time.Second).Should(Equal(both))
 	})
 
-	// Guards against records and leases of processes of before a loss of power staying in the
-	// store, which drops nothing by itself.
-	It("takes away what a process at its address left behind, and no more", func() {
+	// Guards against records and leases of processes from before a power failure staying in the
+	// store, which removes nothing by itself.
+	It("removes the record and the lease of an earlier process at its address, and no others", func() {
 		leave := func(name, control string) {
 			value, err := json.Marshal(registrar.Record{Name: name, Control: control, Incarnation: 1})
 			Expect(err).NotTo(HaveOccurred())
@@ -271,7 +273,7 @@
 		Expect(there(registrar.LeasePrefix + "elsewhere")).To(BeTrue())
 	})
 
-	It("a new host does not believe in records that dead hosts left behind", func() {
+	It("a new host removes records that dead hosts left behind", func() {
 		for _, name := range []string{"x", "y"} {
 			value, err := json.Marshal(registrar.Record{Name: name, Control: name, Incarnation: 1})
 			Expect(err).NotTo(HaveOccurred())
--- a/registrar/rejoin.go
+++ b/registrar/rejoining.go
@@ -7,15 +7,15 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// Bounds, in heartbeat intervals, between two rejoins of one host.
+// Bounds of the backoff between two rejoins of one host, in heartbeat intervals.
 const (
 	minRejoinBeats = 8
 	maxRejoinBeats = 120
 )
 
-// mergeOwnFact takes what others say of this host. Failure: this host was frozen, others
-// declared it dead and took its roles; it shows as a fact "gone" of its present
-// incarnation. That is final, so it comes back as a new one.
+// mergeOwnFact applies a fact about this host. If this host was frozen, others may have
+// declared it dead and taken its roles; it then receives a fact that its own incarnation
+// is gone. As that is final, it rejoins under a new incarnation.
 func (m *Members) mergeOwnFact(now time.Time, from string, f messenger.Fact) {
 	switch {
 	case m.stopped || m.superseded:
@@ -27,15 +27,15 @@
 		m.rebuild(now)
 	case f.Status == gone:
 		m.declaredDead = true
-		m.rebuild(now) // it loses its roles before it gets a new incarnation
+		m.rebuild(now) // gives up its roles before it gets a new incarnation
 		m.rejoin(now, from)
 	}
 }
 
-// rejoin brings a host that was declared dead back as a new incarnation, where
-// that may last. Failure: the host hears the others, but they can't hear it; it
-// would be declared dead and come back without end. So it stays out while it
-// reaches nobody, and waits longer each time.
+// rejoin gives a host that was declared dead a new incarnation, if it is likely to stay
+// alive. A host that receives messages but whose own don't arrive would be declared dead
+// and rejoin without end. So it does not rejoin while it reaches none of its observers, and
+// the time between two rejoins doubles up to maxRejoinBeats.
 func (m *Members) rejoin(now time.Time, from string) {
 	if now.Before(m.nextRejoin) || !m.reachesObservers() {
 		return
@@ -51,12 +51,12 @@
 	m.rebuild(now)
 	m.queueFact(m.self.fact.Name, "")
 	m.spreadPending(now)
-	m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}}) // which may be gone in turn, as seen from here
+	m.send(from, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}}) // spreadPending may not include it: it may be gone as seen from here
 	m.outputs = append(m.outputs, Rejoined{Self: m.self.record()})
 }
 
-// reachesObservers says whether the messenger reachesObservers any of this host's observers, as
-// far as is known: those get its heartbeats, so it is known of each.
+// reachesObservers reports whether the messenger reaches any of this host's observers, as
+// far as known. Each of them gets heartbeats, so a lost connection is noticed.
 func (m *Members) reachesObservers() bool {
 	observers := m.ring.observers[m.self.fact.Name]
 	return len(observers) == 0 || slices.ContainsFunc(observers, func(o string) bool { return !m.members[o].noConnection })
--- a/registrar/rebuild.go
+++ b/registrar/renewing.go
@@ -10,16 +10,16 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// rebuildsPerTick is how often a roster is made between two ticks: once for a host, and again
-// where word of it is corrected.
+// rebuildsPerTick is the number of roster rebuilds between two ticks after which further
+// ones are postponed: one for a new fact about a host, and others for its corrections.
 const rebuildsPerTick = 3
 
-// alone says that no other host counts as alive.
+// alone reports whether no other host counts as alive.
 func (m *Members) alone() bool {
 	return !slices.ContainsFunc(m.roster.hosts, func(h Record) bool { return h.Name != m.self.fact.Name })
 }
 
-// addMember takes a host that was not known.
+// addMember adds a host that was not known.
 func (m *Members) addMember(now time.Time, f messenger.Fact) *member {
 	x := &member{fact: f, lastSeen: now, factSince: now, nameHash: xxhash.Sum64String(f.Name)}
 	m.members[f.Name] = x
@@ -28,13 +28,14 @@
 	return x
 }
 
-// tickInterval is the time between two ticks.
+// tickInterval returns the time between two ticks.
 func (m *Members) tickInterval() time.Duration { return m.heartbeatInterval / TicksPerHeartbeat }
 
-// scheduleRebuild has what follows from the facts renewed: now, or at the next tick where that was
-// done a few times since the last. Failure: all hosts restart, and each of hundreds of facts has each
-// host work through its whole roster; small hosts do nothing else for seconds.
-// A host that was superseded ticks no more.
+// scheduleRebuild rebuilds the roster now, or at the next tick if it was already rebuilt
+// rebuildsPerTick times since the last one. Otherwise, when all hosts restart, each of
+// hundreds of facts would make every host go through its whole roster, and small hosts
+// would do nothing else for seconds. A host that has stopped or was superseded gets no
+// further ticks and rebuilds now.
 func (m *Members) scheduleRebuild(now time.Time) {
 	if m.rebuilds >= rebuildsPerTick && !m.stopped && !m.superseded {
 		m.rosterStale = true
@@ -43,7 +44,7 @@
 	m.rebuild(now)
 }
 
-// rebuild renews what follows from the facts.
+// rebuild derives the roster, the digest and, if hosts changed, the ring from the facts.
 func (m *Members) rebuild(now time.Time) {
 	m.rosterStale = false
 	m.rebuilds++
@@ -70,24 +71,25 @@
 	}
 }
 
-// digest is a host's part of the digest: equal for the same incarnation and leaving.
+// digest returns a host's contribution to the digest, which depends on its name,
+// incarnation and status.
 func (m *member) digest() uint64 {
 	return mix(m.nameHash ^ mix(m.fact.Incarnation<<1|uint64(m.fact.Status)))
 }
 
-// expireTombstones forgets hosts that have been gone for long.
+// expireTombstones forgets hosts that have been gone for longer than tombstoneAge.
 func (m *Members) expireTombstones(now time.Time) {
 	m.sorted = slices.DeleteFunc(m.sorted, func(x *member) bool {
-		old := x != m.self && x.fact.Status == gone && now.Sub(x.factSince) > tombstoneAge
-		if old {
+		expired := x != m.self && x.fact.Status == gone && now.Sub(x.factSince) > tombstoneAge
+		if expired {
 			delete(m.members, x.fact.Name)
 		}
-		return old
+		return expired
 	})
 }
 
-// rebuildRing renews the ring, not more than once between two ticks: the next one does what
-// is left.
+// rebuildRing rebuilds a stale ring, at most once per tick interval; otherwise the next
+// tick does it.
 func (m *Members) rebuildRing(now time.Time) {
 	if !m.ringStale || now.Sub(m.ringBuiltAt) < m.tickInterval() {
 		return
@@ -103,19 +105,20 @@
 	m.introduce()
 }
 
+// countsAsAlive reports whether this host may be on its own roster.
 func (m *Members) countsAsAlive() bool {
 	return !m.declaredDead && !m.superseded && m.unconfirmedSince.IsZero()
 }
 
-// introduce sends this host's fact to observers that are new, or new under their
-// name: they may know nothing of it yet, and could not answer its heartbeats.
+// introduce sends this host's fact to observers that are new or have a new incarnation:
+// they may not know this host yet, and would not accept its heartbeats.
 func (m *Members) introduce() {
-	known := m.introducedTo
+	previous := m.introducedTo
 	m.introducedTo = map[string]uint64{}
 	for _, o := range m.ring.observers[m.self.fact.Name] {
 		incarnation := m.members[o].fact.Incarnation
 		m.introducedTo[o] = incarnation
-		if known[o] != incarnation {
+		if previous[o] != incarnation {
 			m.send(o, messenger.RosterUpdate{Facts: []messenger.Fact{m.self.fact}})
 		}
 	}
--- a/registrar/ring.go
+++ b/registrar/ring.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// observersPerHost is how many hosts hear each host's heartbeats: two must
-	// agree that one is dead, and one of the three may die with it.
+	// observersPerHost is the number of hosts that receive each host's heartbeats: two
+	// must agree that it is dead, and one of the three may fail together with it.
 	observersPerHost = 3
-	// fanout is how many hosts, besides its observers, each host passes news on to.
+	// fanout is the number of hosts, besides its observers, to which each host sends
+	// roster updates.
 	fanout = 2
 )
 
-// ring says who observes whom: the next hosts after each one, on a ring of its
-// region where that is large enough, else of all hosts. So a host sends and
-// gets a constant number of heartbeats in a fleet of any size, and regions that
-// lose each other suspect nobody. It knows of one host, of those that this one
-// observes, and whom else it passes news on to.
+// ring assigns observers to hosts: the hosts that follow each one on a ring of its region
+// if the region is large enough, else on a ring of all hosts. So the number of heartbeats
+// that a host sends and receives doesn't depend on the size of the fleet, and regions that
+// lose their connections to each other don't suspect each other's hosts. The ring holds
+// only what concerns this host: its own observers, the hosts that it observes with their
+// observers, and its neighbours for roster updates.
 type ring struct {
 	self       string
 	observers  map[string][]string // by host
-	observed   []string            // by this one
+	observed   []string            // hosts that this host observes
 	neighbours []string
 }
 
@@ -47,8 +49,8 @@
 	return r
 }
 
-// setObservers takes the observers of this host, and of those that it observes itself, of the
-// hosts of a region in an order.
+// setObservers records, from the order of a ring, the observers of this host and of the
+// hosts that it observes, as far as they are in the given region.
 func (r *ring) setObservers(region string, order []*member, self *member) {
 	at := slices.Index(order, self)
 	if at < 0 {
@@ -67,7 +69,7 @@
 	}
 }
 
-// successors is the n hosts that come after one.
+// successors returns the n hosts that follow position at on the ring.
 func successors(order []*member, at, n int) []*member {
 	var out []*member
 	for i := 1; i <= n; i++ {
@@ -84,18 +86,19 @@
 	return out
 }
 
-// neighboursOf is the hosts that have the highest rendezvous weights for one: who comes
-// or goes changes few of them, so that connections are kept.
+// neighboursOf returns the hosts with the highest rendezvous weights for self. A host that
+// joins or leaves changes few of them, so most connections are kept.
 func neighboursOf(hosts []*member, self *member) []string {
 	return namesOf(heaviest(hosts, fanout, func(h *member) (uint64, bool) { return mix(self.nameHash ^ mix(h.nameHash)), h != self }))
 }
 
-// heaviest is up to n of a list, those with the heaviest weights first; false leaves one out.
-func heaviest[T any](list []T, n int, weight func(T) (uint64, bool)) []T {
+// heaviest returns up to n elements of list in descending order of weight, without those
+// for which weightOf returns false.
+func heaviest[T any](list []T, n int, weightOf func(T) (uint64, bool)) []T {
 	var out []T
 	var weights []uint64
 	for _, x := range list {
-		w, ok := weight(x)
+		w, ok := weightOf(x)
 		if n == 0 || !ok || len(out) == n && w <= weights[n-1] {
 			continue
 		}
@@ -106,9 +109,9 @@
 	return out
 }
 
-// interleave orders hosts so that neighbours are of different zones where zones
-// are of near equal size: a zone that fails must not take a host's observers
-// with it.
+// interleave orders hosts so that neighbours on the ring are in different zones if the
+// zones are of about equal size: the failure of a zone must not take a host and its
+// observers down together.
 func interleave(hosts []*member) []*member {
 	type place struct {
 		host *member
--- a/registrar/roster.go
+++ b/registrar/roster.go
@@ -1,9 +1,9 @@
-// Package registrar keeps the roster: which hosts are there, and which of them
-// owns a role. Ownership follows from the roster by rendezvous hashing, so no
-// host is set aside and no vote is taken.
+// Package registrar maintains the roster: which hosts are alive, and which of them
+// owns a role. Ownership follows from the roster by rendezvous hashing, so there
+// are no dedicated hosts and no elections.
 //
-// Members decides, and is pure; Registrar joins it to the Object API and to the
-// messenger.
+// Members makes the decisions and does no I/O; Registrar connects it to the Object
+// API and to the messenger.
 package registrar
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record is one host as the others see it.
+// Record describes one host to the others.
 type Record struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
@@ -22,20 +22,20 @@
 	Admin       string `json:"admin"`
 	Incarnation uint64 `json:"incarnation"`
 	Leaving     bool   `json:"leaving"`
-	// Weight is the hundredths of a core that the host has; 0 where it does not say.
+	// Weight is the host's processor capacity in hundredths of a core; 0 if unknown.
 	Weight int `json:"weight,omitempty"`
-	// Unreachable says that the host lives but can't be reached from here. It is this
-	// host's own view and never leaves it.
+	// Unreachable is set if the host is alive but can't be reached from this host. It is
+	// a local view and is never sent to other hosts or stored.
 	Unreachable bool `json:"parted,omitempty"`
 }
 
-// Roster is the hosts known to be alive, by name. It is never changed once made.
+// Roster is an immutable set of the hosts known to be alive, sorted by name.
 type Roster struct {
 	hosts  []Record
-	hashes []uint64 // of the names
+	hashes []uint64 // hashes of the names, in the order of hosts
 }
 
-// NewRoster returns the roster of these hosts.
+// NewRoster returns the roster of the given hosts.
 func NewRoster(hosts ...Record) Roster {
 	hosts = slices.Clone(hosts)
 	slices.SortFunc(hosts, func(a, b Record) int { return strings.Compare(a.Name, b.Name) })
@@ -46,10 +46,10 @@
 	return r
 }
 
-// Hosts is every host of the roster, in name order.
+// Hosts returns all hosts of the roster, sorted by name.
 func (r Roster) Hosts() []Record { return slices.Clone(r.hosts) }
 
-// Find is the record of a host.
+// Find returns the record of the named host.
 func (r Roster) Find(name string) (Record, bool) {
 	i, ok := slices.BinarySearchFunc(r.hosts, name, func(h Record, n string) int { return strings.Compare(h.Name, n) })
 	if !ok {
@@ -58,8 +58,8 @@
 	return r.hosts[i], true
 }
 
-// Owner is the host that owns a role: the highest rendezvous weight among the
-// hosts that are not leaving and can be reached from here.
+// Owner returns the owner of a role: the host with the highest rendezvous weight among
+// those that are neither leaving nor unreachable from this host.
 func (r Roster) Owner(role string) (Record, bool) {
 	best, weight := -1, uint64(0)
 	hash := xxhash.Sum64String(role)
@@ -77,22 +77,22 @@
 	return r.hosts[best], true
 }
 
-// Owners is up to n hosts that own a role in turn: should the first die, the second
-// owns it, and so on. Hosts with half the most processor or more go first: a role for
-// the whole fleet is no burden that the smallest should bear.
+// Owners returns up to n owners of a role in order of precedence: if the first fails, the
+// second takes over, and so on. Hosts with at least half the processor capacity of the
+// largest one come first, because a role for the whole fleet would overload the smallest.
 func (r Roster) Owners(role string, n int) []Record {
 	hash := xxhash.Sum64String(role)
-	most := 0
-	at := make([]int, 0, len(r.hosts))
+	maxWeight := 0
+	eligible := make([]int, 0, len(r.hosts))
 	for i := range r.hosts {
 		if h := &r.hosts[i]; !h.Leaving && !h.Unreachable {
-			at = append(at, i)
-			most = max(most, h.Weight)
+			eligible = append(eligible, i)
+			maxWeight = max(maxWeight, h.Weight)
 		}
 	}
 	pick := func(n int, large bool) []int {
-		return heaviest(at, n, func(i int) (uint64, bool) {
-			return mix(hash ^ r.hashes[i]), (2*r.hosts[i].Weight >= most) == large
+		return heaviest(eligible, n, func(i int) (uint64, bool) {
+			return mix(hash ^ r.hashes[i]), (2*r.hosts[i].Weight >= maxWeight) == large
 		})
 	}
 	owners := pick(n, true)
@@ -104,9 +104,9 @@
 	return out
 }
 
-// mix spreads the bits of x evenly (the finaliser of splitmix64). Two hashes
-// joined so give each pair of role and host a weight of its own at a fraction of
-// a hash's cost.
+// mix is the finaliser of splitmix64; it spreads the bits of x evenly. Applied to the
+// XOR of two hashes it yields an independent weight for each pair of role and host, at a
+// fraction of the cost of hashing the pair.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/registrar/roster_test.go
+++ b/registrar/roster_test.go
@@ -27,9 +27,9 @@
 		return out
 	}
 
-	// The host that decides for all dies. The next one must be the one that has listened
-	// all along, and the others must not change.
-	It("hands a role of several owners to the next in turn", func() {
+	// Guards against an unnecessary change of owners when the first one fails: the next one must
+	// be the one that was second all along, and the others must not change.
+	It("passes a role with several owners to the next one in order", func() {
 		five := names(fleet(func(int, *registrar.Record) {}).Owners("decide", 5))
 		Expect(five).To(HaveLen(5))
 		without := names(fleet(func(_ int, h *registrar.Record) { h.Leaving = h.Name == five[0] }).Owners("decide", 4))
@@ -38,7 +38,7 @@
 		Expect(owner.Name).To(Equal(five[0]))
 	})
 
-	It("gives such a role to large hosts first, and to small ones where these are too few", func() {
+	It("gives such a role to large hosts first, and to small ones if there are too few large ones", func() {
 		r := fleet(func(i int, h *registrar.Record) {
 			if i < 4 {
 				h.Weight = 80 - 10*i
--- a/registrar/spread.go
+++ b/registrar/spreading.go
@@ -7,28 +7,29 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// pendingFact is a host whose fact is to be passed on.
+// pendingFact is a host whose fact is to be sent on.
 type pendingFact struct {
 	host   string
-	source string // who told it; "" for the store and for this host itself
+	source string // the host that sent it; "" for the store and for this host itself
 }
 
-// queueFact has a host's fact passed on.
+// queueFact queues a host's fact to be sent on.
 func (m *Members) queueFact(host, from string) {
 	m.pending = append(m.pending, pendingFact{host, from})
 }
 
-// scheduleSpread passes on what is to be: now, or at the next tick where that was done since the
-// last. Failure: all hosts restart, and each passes on hundreds of facts in as many
-// messages to each of its neighbours.
+// scheduleSpread sends the pending facts now, or at the next tick if some were already
+// sent within the last tick interval. Otherwise, when all hosts restart, each would send
+// hundreds of facts to each of its neighbours in as many messages.
 func (m *Members) scheduleSpread(now time.Time) {
 	if now.Sub(m.lastSpread) >= m.tickInterval() {
 		m.spreadPending(now)
 	}
 }
 
-// spreadPending passes facts on to this host's observers and its neighbours. Every host does so
-// once for each fact, so it reaches all in a few steps, at a constant cost for each.
+// spreadPending sends the pending facts to this host's observers and neighbours. Every host
+// sends each fact once, so it reaches all hosts in a few steps, and the cost per fact and
+// host is constant.
 func (m *Members) spreadPending(now time.Time) {
 	if len(m.pending) == 0 {
 		return
@@ -41,7 +42,7 @@
 	m.pending, m.lastSpread = nil, now
 }
 
-// pendingFor is the facts to pass on that a host did not tell itself.
+// pendingFor returns the pending facts for a host, without those that it sent itself.
 func (m *Members) pendingFor(to string) []messenger.Fact {
 	var out []messenger.Fact
 	known := map[string]bool{}
@@ -59,7 +60,7 @@
 	return out
 }
 
-// targets is whom a host passes news on to.
+// targets returns the hosts to which this host sends facts on.
 func (r ring) targets() []string {
 	out := slices.Clone(r.observers[r.self])
 	for _, n := range r.neighbours {
--- a/registrar/address.go
+++ b/registrar/succeeding.go
@@ -4,12 +4,13 @@
 	"time"
 )
 
-// assignAddress takes that a host's fact is new: one that is not gone holds its address. Failure:
-// a fleet loses its power and comes back under new names. Those that ran before stand in
-// the store, count as alive until they are found silent, and are asked for what they would
-// have to decide. An address has one process, so that of two the older one is no more.
-// Which is older is told by the incarnation; a host that finds one at its own address that
-// looks newer, as a clock was set back, goes above it.
+// assignAddress updates the holder of an address after a host's fact changed. An address
+// has one process: of two hosts with the same address, the one with the lower incarnation
+// is gone. This matters when all hosts of a fleet lose power and restart under new names.
+// The records of the previous processes are still in the store, and would count as alive,
+// and be asked for decisions, until their heartbeats are found missing. If a host finds
+// one at its own address with a higher incarnation, as its clock was set back, it takes an
+// even higher one.
 func (m *Members) assignAddress(now time.Time, x *member) {
 	if x.fact.Status == gone {
 		m.releaseAddress(x)
@@ -32,20 +33,20 @@
 	}
 }
 
-// endPredecessor takes that a process before this one ran at its address.
+// endPredecessor marks an earlier process at this host's address as gone.
 func (m *Members) endPredecessor(now time.Time, x *member) {
-	before := x.record()
+	predecessor := x.record()
 	m.markGone(now, x)
-	m.outputs = append(m.outputs, PredecessorFound{Host: before})
-	if m.self.fact.Incarnation > before.Incarnation {
+	m.outputs = append(m.outputs, PredecessorFound{Host: predecessor})
+	if m.self.fact.Incarnation > predecessor.Incarnation {
 		return
 	}
-	m.self.fact.Incarnation, m.self.factSince = before.Incarnation+1, now
+	m.self.fact.Incarnation, m.self.factSince = predecessor.Incarnation+1, now
 	m.queueFact(m.self.fact.Name, "")
 	m.outputs = append(m.outputs, Rejoined{Self: m.self.record()})
 }
 
-// markGone takes that a host is gone.
+// markGone marks a host as gone and releases its address.
 func (m *Members) markGone(now time.Time, x *member) {
 	x.fact.Status, x.factSince = gone, now
 	m.releaseAddress(x)
--- a/registrar/tick.go
+++ b/registrar/ticking.go
@@ -8,11 +8,11 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// TicksPerHeartbeat is how often Tick is called in a heartbeat interval: a host that
-// is not heard is found out sooner than its observers' heartbeats are due.
+// TicksPerHeartbeat is the number of calls of Tick per heartbeat interval. With more than
+// one, a missing heartbeat is detected before the next one is due.
 const TicksPerHeartbeat = 4
 
-// Tick sends heartbeats that are due and judges those that did not come.
+// Tick sends the heartbeats that are due and checks the observed hosts for missing ones.
 func (m *Members) Tick(now time.Time) []Output {
 	if m.stopped || m.superseded {
 		return nil
@@ -26,7 +26,7 @@
 	m.rebuildRing(now)
 	m.spreadPending(now)
 	if !m.unconfirmedSince.IsZero() && now.Sub(m.unconfirmedSince) > m.intervals(unconfirmedBeats) {
-		m.confirmAlive(now) // nobody contradicts
+		m.confirmAlive(now) // no peer has contradicted
 	}
 	if !now.Before(m.nextBeat) {
 		if m.nextBeat = m.nextBeat.Add(m.heartbeatInterval); m.nextBeat.Before(now) {
@@ -39,7 +39,7 @@
 	}
 	for _, host := range m.ring.observed {
 		if x := m.members[host]; x != nil && x.fact.Status != gone {
-			m.check(now, x)
+			m.checkMember(now, x)
 		}
 	}
 	return m.takeOutputs()
@@ -48,7 +48,7 @@
 func (m *Members) sendHeartbeats(now time.Time) {
 	m.beatsSent++
 	for _, o := range m.ring.observers[m.self.fact.Name] {
-		m.send(o, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
+		m.send(o, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
 	}
 	if m.beatsSent%remoteBeats == 0 {
 		m.sendRemoteHeartbeats()
@@ -57,28 +57,28 @@
 	}
 }
 
-// notifyGone tells one host that is gone that it is, in turn. Failure: hosts lost
-// each other in two groups, each of which declared the other dead. When the
-// connections work again nobody would speak to the other side; this way both
-// rejoin, also without the store. Where another process has the address since, there is
-// nobody to tell.
+// notifyGone notifies hosts that are gone, one at a time in turn. If a network partition
+// splits the hosts into two groups, each group declares the other dead, and nobody sends
+// anything to the other side after the connections are restored. The notification makes
+// both sides rejoin, even without the store. Hosts whose address now belongs to another
+// process are left out.
 func (m *Members) notifyGone(now time.Time) {
-	var dead []*member
+	var goneMembers []*member
 	for _, x := range m.sortedMembers() {
 		if x != m.self && x.fact.Status == gone && m.byControl[x.fact.Control] == nil && x.fact.Control != "" && now.Sub(x.factSince) < goneNoticeAge {
-			dead = append(dead, x)
+			goneMembers = append(goneMembers, x)
 		}
 	}
-	if len(dead) > 0 {
-		x := dead[(m.beatsSent/remoteBeats)%len(dead)]
-		m.send(x.fact.Name, messenger.News{Facts: []messenger.Fact{x.fact}})
+	if len(goneMembers) > 0 {
+		x := goneMembers[(m.beatsSent/remoteBeats)%len(goneMembers)]
+		m.send(x.fact.Name, messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}})
 	}
 }
 
-// detectPause finds out that this host itself stood still. Failure: the process was
-// frozen; on return every other host looks dead to it, and it may have been
-// declared dead itself. So what it did not hear counts for nothing, and it takes
-// no role until a peer says that it still counts.
+// detectPause detects that this process itself was paused. Afterwards every other host
+// looks dead to it, and it may have been declared dead itself. So heartbeats missed during
+// the pause count against nobody. After a pause of suspectBeats or more this host takes no
+// role until a peer confirms that it is alive, or none contradicts for unconfirmedBeats.
 func (m *Members) detectPause(now time.Time) {
 	pause := now.Sub(m.lastTick) - m.heartbeatInterval/TicksPerHeartbeat
 	if pause < m.heartbeatInterval {
@@ -101,15 +101,15 @@
 	}
 }
 
-// check suspects an observed host that is not heard, and concludes when a second
-// voter agrees and a try on a new connection brought no answer.
-func (m *Members) check(now time.Time, x *member) {
+// checkMember suspects an observed host whose heartbeats are missing. It declares the host
+// dead if a second voter agrees and a probe on a new connection was not answered.
+func (m *Members) checkMember(now time.Time, x *member) {
 	switch {
 	case now.Sub(x.lastSeen) < m.intervals(suspectBeats):
 	case x.suspectedAt.IsZero():
 		m.suspect(now, x)
 	case now.Sub(x.suspectedAt) < m.intervals(confirmBeats):
-	case m.seconded(now, x):
+	case m.hasSecondVote(now, x):
 		m.declareDead(now, x)
 	case now.Sub(x.suspectedAt) >= m.intervals(2*confirmBeats):
 		m.outputs = append(m.outputs, CheckLease{Host: x.record()})
@@ -124,8 +124,8 @@
 	m.verifySuspect(x)
 }
 
-// verifySuspect asks the other observers, and the host itself on a new connection: an
-// open one may have gone silent while new ones work.
+// verifySuspect asks the other observers about a host, and probes the host on a new
+// connection, because an open one may have failed silently while new ones work.
 func (m *Members) verifySuspect(x *member) {
 	for _, o := range m.ring.observers[x.fact.Name] {
 		m.send(o, messenger.Suspect{Host: x.fact.Name, Incarnation: x.fact.Incarnation})
@@ -133,10 +133,9 @@
 	m.outputs = append(m.outputs, Send{To: x.record(), NewConnection: true, Message: m.probe()})
 }
 
-// seconded says whether anyone besides this host hears the suspect no more:
-// another observer, or its lease. One host that lost its own connections must
-// never empty the roster.
-func (m *Members) seconded(now time.Time, x *member) bool {
+// hasSecondVote reports whether another observer or the host's expired lease confirms the
+// suspicion. A single host that has lost its own connections must never empty the roster.
+func (m *Members) hasSecondVote(now time.Time, x *member) bool {
 	for by, at := range x.votes {
 		observer := by == leaseVoter || slices.Contains(m.ring.observers[x.fact.Name], by)
 		if observer && now.Sub(at) < m.intervals(voteValidBeats) {
@@ -147,28 +146,29 @@
 }
 
 func (m *Members) declareDead(now time.Time, x *member) {
-	dead := x.record()
+	host := x.record()
 	m.markGone(now, x)
-	m.outputs = append(m.outputs, DeclaredDead{Host: dead})
+	m.outputs = append(m.outputs, DeclaredDead{Host: host})
 	m.queueFact(x.fact.Name, x.fact.Name)
 	m.spreadPending(now)
 	m.rebuild(now)
 }
 
-// sendRemoteHeartbeats sends a heartbeat to one host of each other region, in pairs by
-// rank, so that rosters of regions converge without the Object API.
+// sendRemoteHeartbeats sends a heartbeat to one host of each other region, chosen by the
+// rank of this host in its own, so that the rosters of regions converge without the Object
+// API.
 func (m *Members) sendRemoteHeartbeats() {
-	regions, mine := m.regionRanks()
+	regions, ownRank := m.regionRanks()
 	for _, name := range slices.Sorted(maps.Keys(regions)) {
 		hosts := regions[name]
-		to := hosts[(mine+m.beatsSent/partnerBeats)%len(hosts)]
-		m.send(to, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
+		to := hosts[(ownRank+m.beatsSent/partnerBeats)%len(hosts)]
+		m.send(to, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
 	}
 }
 
-// regionRanks is the hosts of each other region in name order, and this host's place
-// in its own.
-func (m *Members) regionRanks() (regions map[string][]string, mine int) {
+// regionRanks returns the hosts of each other region sorted by name, and this host's rank
+// by name in its own region.
+func (m *Members) regionRanks() (regions map[string][]string, ownRank int) {
 	regions = map[string][]string{}
 	for _, x := range m.sortedMembers() {
 		switch {
@@ -176,34 +176,34 @@
 		case x.fact.Region != m.self.fact.Region:
 			regions[x.fact.Region] = append(regions[x.fact.Region], x.fact.Name)
 		case x.fact.Name < m.self.fact.Name:
-			mine++
+			ownRank++
 		}
 	}
-	return regions, mine
+	return regions, ownRank
 }
 
 func (m *Members) probe() messenger.Probe {
 	return messenger.Probe{Self: m.self.fact, Digest: m.digest}
 }
 
-// probeDisconnected tries one of the hosts that can't be reached, in turn.
+// probeDisconnected probes the hosts without a connection, one at a time in turn.
 func (m *Members) probeDisconnected() {
-	var lost []*member
+	var disconnected []*member
 	for _, x := range m.sortedMembers() {
 		if x.noConnection && x.fact.Status != gone {
-			lost = append(lost, x)
+			disconnected = append(disconnected, x)
 		}
 	}
-	if len(lost) > 0 {
-		x := lost[(m.beatsSent/remoteBeats)%len(lost)]
+	if len(disconnected) > 0 {
+		x := disconnected[(m.beatsSent/remoteBeats)%len(disconnected)]
 		m.send(x.fact.Name, m.probe())
 	}
 }
 
-// updateReachability decides which hosts count as out of reach: those without a connection;
-// and all hosts of a region, or all hosts, once the ones that this host tried
-// there all failed. Else an entry that lost a region would try its hosts one by
-// one, each for a dial's timeout.
+// updateReachability marks as unreachable the hosts without a connection, and all hosts of
+// a region if this host failed to connect to more than one there and to every one that it
+// recently tried. Otherwise an entry host that lost a region would try its hosts one by
+// one, each until the dial times out.
 func (m *Members) updateReachability(now time.Time) {
 	tried, failed := map[string]int{}, map[string]int{}
 	for _, x := range m.members {
@@ -219,8 +219,8 @@
 	}
 	for _, x := range m.members {
 		region := x.fact.Region
-		whole := failed[region] > 1 && failed[region] == tried[region]
-		x.unreachable = x != m.self && (x.noConnection || whole)
+		allFailed := failed[region] > 1 && failed[region] == tried[region]
+		x.unreachable = x != m.self && (x.noConnection || allFailed)
 	}
 	m.rebuild(now)
 }
