--- a/relayer/eras_test.go
+++ b/relayer/eras_test.go
@@ -12,28 +12,28 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// in is the version of a revision of an era.
-func in(era, revision uint64) storer.Version { return storer.NewVersion(era, revision) }
+// versionIn returns the version for a revision of an era.
+func versionIn(era, revision uint64) storer.Version { return storer.NewVersion(era, revision) }
 
 var _ = Describe("Relay over eras of the store", func() {
-	// Guards against hosts that take each change for an old one, once revisions went back.
-	It("takes the whole list of a later era, and changes from there", func() {
-		r := listener(object("a", in(1, 9)))
-		Expect(r.ReceivedList(start, "w-1", in(2, 7), []storer.Object{object("a", in(2, 5))})).To(BeTrue())
-		fresh, whole := r.Received(start, "w-1", word(in(2, 7), in(2, 8), object("a", in(2, 8))))
+	// Guards against hosts taking every change for an old one after the store was restored and
+	// its revisions went back.
+	It("applies the complete list of a later era, and changes after it", func() {
+		r := follower(object("a", versionIn(1, 9)))
+		Expect(r.ReceivedList(start, "w-1", versionIn(2, 7), []storer.Object{object("a", versionIn(2, 5))})).To(BeTrue())
+		fresh, whole := r.Received(start, "w-1", update(versionIn(2, 7), versionIn(2, 8), object("a", versionIn(2, 8))))
 		Expect(whole).To(BeTrue())
-		Expect(fresh).To(ConsistOf(object("a", in(2, 8))))
+		Expect(fresh).To(ConsistOf(object("a", versionIn(2, 8))))
 	})
 
-	// Guards against a host of before the return that pulls others back, or counts as one
-	// that watches for them.
-	It("takes nothing of an earlier era, and does not count who is in it", func() {
-		r := listener()
-		_, _ = r.Received(start, "w-1", word(10, 11))
-		Expect(r.ReceivedList(start, "w-2", in(2, 7), nil)).To(BeTrue())
+	// Guards against a host in an earlier era making others go back, or counting as a watcher.
+	It("rejects everything of an earlier era, and does not count hosts in it as watchers", func() {
+		r := follower()
+		_, _ = r.Received(start, "w-1", update(10, 11))
+		Expect(r.ReceivedList(start, "w-2", versionIn(2, 7), nil)).To(BeTrue())
 		Expect(r.Listed(start, 900, nil)).To(BeFalse(), "a list that was on its way")
 		Expect(r.Era()).To(BeEquivalentTo(2))
-		fresh, whole := r.Received(start, "w-1", word(11, 12, object("a", 12)))
+		fresh, whole := r.Received(start, "w-1", update(11, 12, object("a", 12)))
 		Expect(whole).To(BeFalse())
 		Expect(fresh).To(BeEmpty())
 		Expect(r.ReceivedList(start, "w-1", 900, nil)).To(BeFalse())
@@ -41,54 +41,55 @@
 		Expect(r.HasWatcher(start)).To(BeFalse())
 	})
 
-	// Guards against a host that stays in an earlier era, as nobody tells it of the list.
-	It("calls the store where it hears only changes of a later era", func() {
-		r := listener()
-		_, whole := r.Received(start, "w-1", word(in(2, 7), in(2, 8), object("a", in(2, 8))))
+	// Guards against a host staying in an earlier era because no host sends it the list.
+	It("calls the store if it receives only changes of a later era", func() {
+		r := follower()
+		_, whole := r.Received(start, "w-1", update(versionIn(2, 7), versionIn(2, 8), object("a", versionIn(2, 8))))
 		Expect(whole).To(BeFalse())
 		_, call, behind := r.Next(start.Add(100 * time.Millisecond))
 		Expect(call).To(BeTrue())
 		Expect(behind).To(BeTrue())
 	})
 
-	// Two histories of a store, that parted at a copy. Three hosts tell of both in any order;
-	// what is believed never goes back, and ends as the store is.
-	It("never goes back, and ends with what the store holds", func() {
+	// Two histories of a store diverge at a snapshot, and three hosts send updates of both in any
+	// order. The known version must never go back, and the result must be the contents of the
+	// store.
+	It("never goes back, and ends with the contents of the store", func() {
 		for seed := range uint64(2000) {
-			playEras(rand.New(rand.NewPCG(seed, 11)), seed)
+			simulateEras(rand.New(rand.NewPCG(seed, 11)), seed)
 		}
 	})
 })
 
-// history is what a store did in an era, and what of it is there.
+// history is the list of changes of a store in one era.
 type history struct {
 	era     uint64
-	changes []storer.Object // the revision of each is its place, from 1
+	changes []storer.Object // each has its index plus 1 as revision
 }
 
 func (h *history) grow(r *rand.Rand, n int) {
 	for range n {
-		o := object(fmt.Sprint(r.IntN(6)), in(h.era, uint64(len(h.changes)+1)))
+		o := object(fmt.Sprint(r.IntN(6)), versionIn(h.era, uint64(len(h.changes)+1)))
 		o.Deleted = r.IntN(3) == 0
 		h.changes = append(h.changes, o)
 	}
 }
 
-// restored is the store's next era, from a copy that has so many changes.
+// restored returns the store's next era, restored from a snapshot with the first kept changes.
 func (h *history) restored(kept int) *history {
 	next := &history{era: h.era + 1}
 	for i, o := range h.changes[:kept] {
-		o.Version = in(next.era, uint64(i+1))
+		o.Version = versionIn(next.era, uint64(i+1))
 		next.changes = append(next.changes, o)
 	}
 	return next
 }
 
-func (h *history) word(after, upto int) relayer.Update {
-	return word(in(h.era, uint64(after)), in(h.era, uint64(upto)), h.changes[after:upto]...)
+func (h *history) update(after, upto int) relayer.Update {
+	return update(versionIn(h.era, uint64(after)), versionIn(h.era, uint64(upto)), h.changes[after:upto]...)
 }
 
-// list is all that was there after so many changes.
+// list returns the objects that exist after the first upto changes.
 func (h *history) list(upto int) []storer.Object {
 	at := map[string]storer.Object{}
 	for _, o := range h.changes[:upto] {
@@ -103,7 +104,7 @@
 	return all
 }
 
-func playEras(r *rand.Rand, seed uint64) {
+func simulateEras(r *rand.Rand, seed uint64) {
 	first := &history{era: 1}
 	first.grow(r, 40)
 	second := first.restored(10 + r.IntN(30))
@@ -123,7 +124,7 @@
 		take(h.list(upto))
 	}
 	begin := r.IntN(20)
-	relay.Listed(start, in(1, uint64(begin)), first.list(begin))
+	relay.Listed(start, versionIn(1, uint64(begin)), first.list(begin))
 	adopt(first, begin)
 	for range 60 {
 		h, from := first, fmt.Sprintf("w-%d", r.IntN(3))
@@ -132,21 +133,21 @@
 		}
 		upto := r.IntN(len(h.changes))
 		if r.IntN(6) == 0 {
-			if relay.ReceivedList(start, from, in(h.era, uint64(upto)), h.list(upto)) {
+			if relay.ReceivedList(start, from, versionIn(h.era, uint64(upto)), h.list(upto)) {
 				adopt(h, upto)
 			}
 			continue
 		}
-		fresh, _ := relay.Received(start, from, h.word(r.IntN(upto+1), upto))
+		fresh, _ := relay.Received(start, from, h.update(r.IntN(upto+1), upto))
 		take(fresh)
 	}
 	end := len(second.changes)
 	after, _, _ := relay.Next(start)
 	if after.Era() < second.era {
-		relay.Listed(start, in(second.era, uint64(end)), second.list(end))
+		relay.Listed(start, versionIn(second.era, uint64(end)), second.list(end))
 		adopt(second, end)
 	} else {
-		take(relay.Watched(start, second.word(int(after.Revision()), end)))
+		take(relay.Watched(start, second.update(int(after.Revision()), end)))
 	}
 	content := map[string]storer.Version{}
 	for _, o := range second.list(end) {
--- a/relayer/ledger.go
+++ b/relayer/ledger.go
@@ -2,86 +2,86 @@
 
 import "github.com/cicadawood/cicadawood/storer"
 
-// goneMost bounds what is remembered of objects that are gone.
-const goneMost = 4096
+// maxDeleted is the maximum number of deleted objects that are remembered.
+const maxDeleted = 4096
 
-// ledger is which changes of a list were taken. The zero ledger knows nothing.
+// ledger records the changes of a list that were applied. The zero ledger is empty.
 type ledger struct {
-	upto  storer.Version  // all changes up to this revision are known
-	floor storer.Version  // no change as old as this is new, but for deletions
-	last  map[string]last // by key
-	gone  int             // of these, how many are gone
+	upto        storer.Version        // all changes up to this revision are known
+	baseVersion storer.Version        // no change up to this version is new, except deletions
+	lastChanges map[string]lastChange // by key
+	deleted     int                   // number of deletions in lastChanges
 }
 
-// last is the last change of an object that was taken.
-type last struct {
+// lastChange is the last change of an object that was applied.
+type lastChange struct {
 	version storer.Version
-	gone    bool
+	deleted bool
 }
 
-// list takes the whole list at a revision.
-func (l *ledger) list(revision storer.Version, all []storer.Object) {
-	*l = ledger{upto: revision, floor: revision, last: make(map[string]last, len(all))}
+// reset replaces the contents by the complete list at a revision.
+func (l *ledger) reset(revision storer.Version, all []storer.Object) {
+	*l = ledger{upto: revision, baseVersion: revision, lastChanges: make(map[string]lastChange, len(all))}
 	for _, o := range all {
-		l.last[o.Key] = last{version: o.Version}
+		l.lastChanges[o.Key] = lastChange{version: o.Version}
 	}
 }
 
-// take takes a word and returns its changes that are new; false where something
-// before it is missing.
-func (l *ledger) take(w Update) ([]storer.Object, bool) {
-	if w.After > l.upto || w.Upto.Era() != l.upto.Era() {
+// apply applies an update and returns those of its changes that are new. It returns false if
+// changes before the update are missing.
+func (l *ledger) apply(u Update) ([]storer.Object, bool) {
+	if u.After > l.upto || u.Upto.Era() != l.upto.Era() {
 		return nil, false
 	}
 	var fresh []storer.Object
-	for _, o := range w.Changed {
-		if l.fresh(o) {
-			l.note(o)
+	for _, o := range u.Changed {
+		if l.isNew(o) {
+			l.record(o)
 			fresh = append(fresh, o)
 		}
 	}
-	l.upto = max(l.upto, w.Upto)
+	l.upto = max(l.upto, u.Upto)
 	l.prune()
 	return fresh, true
 }
 
-// fresh says whether a change is new. Failure: a host that was frozen, or whose
-// connection stalled, tells of a worker that has gone since; the worker must not come
-// back by that. A change without a version can't be told apart, and always counts.
-func (l *ledger) fresh(o storer.Object) bool {
-	known := l.last[o.Key]
+// isNew reports whether a change is new. A host that was frozen, or whose connection stalled,
+// may send an entry of a worker that was deleted since; the worker must not reappear. A
+// change without a version can't be compared and always counts as new.
+func (l *ledger) isNew(o storer.Object) bool {
+	known := l.lastChanges[o.Key]
 	switch {
 	case o.Version == 0:
 		return true
 	case o.Deleted:
-		return !known.gone && o.Version >= known.version
+		return !known.deleted && o.Version >= known.version
 	}
-	return o.Version > max(known.version, l.floor)
+	return o.Version > max(known.version, l.baseVersion)
 }
 
-func (l *ledger) note(o storer.Object) {
-	if l.last == nil {
-		l.last = map[string]last{}
+func (l *ledger) record(o storer.Object) {
+	if l.lastChanges == nil {
+		l.lastChanges = map[string]lastChange{}
 	}
-	if l.last[o.Key].gone {
-		l.gone--
+	if l.lastChanges[o.Key].deleted {
+		l.deleted--
 	}
 	if o.Deleted {
-		l.gone++
+		l.deleted++
 	}
-	l.last[o.Key] = last{version: o.Version, gone: o.Deleted}
+	l.lastChanges[o.Key] = lastChange{version: o.Version, deleted: o.Deleted}
 }
 
-// prune forgets objects that are gone, once they are many. Nothing as old as what is
-// known now can then be new.
+// prune forgets the deleted objects if there are more than maxDeleted. From then on no change
+// up to the current revision counts as new.
 func (l *ledger) prune() {
-	if l.gone <= goneMost {
+	if l.deleted <= maxDeleted {
 		return
 	}
-	l.floor, l.gone = l.upto, 0
-	for key, x := range l.last {
-		if x.gone {
-			delete(l.last, key)
+	l.baseVersion, l.deleted = l.upto, 0
+	for key, x := range l.lastChanges {
+		if x.deleted {
+			delete(l.lastChanges, key)
 		}
 	}
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -1,13 +1,13 @@
-// Package relayer lets a few hosts follow a list in the platform's store for all of
-// them.
+// Package relayer lets a few hosts, the watchers, follow a list in the platform's store on
+// behalf of all hosts.
 //
-// The few watch the list and pass on each answer as a Word. Every host keeps a Relay,
-// which takes words from any of them in any order, knows by the store's revisions
-// whether it missed one, and then, or when the few fall silent, has its host call the
-// store itself. So a fleet makes as many calls as the few do while all is well, and
-// no host depends on another to learn what the store holds.
+// Watchers watch the list and send each answer to all other hosts as an Update. Every host
+// has a Relay, which accepts updates from any watcher in any order and detects by the
+// store's revisions whether one is missing. If so, or if no watcher sends anything, the host
+// calls the store itself. So in normal operation only the watchers call the store, and no
+// host depends on another one to learn what the store holds.
 //
-// A Relay is pure: time is an argument, and it does no I/O.
+// A Relay does no I/O, and the time is an argument.
 package relayer
 
 import (
@@ -19,179 +19,184 @@
 )
 
 const (
-	// watchers is how many hosts watch for all, at most: one may be frozen and another
-	// cut off from the store in the moment that a third is missed.
-	watchers = 3
-	// HeartbeatInterval is how often a watcher says that it is up to date.
+	// maxWatchers is the maximum number of hosts that watch on behalf of all. Three, because one
+	// may be frozen and another cut off from the store at the moment that one fails.
+	maxWatchers = 3
+	// HeartbeatInterval is the time between two messages of a watcher that it is up to date.
 	HeartbeatInterval = 400 * time.Millisecond
-	// silence is how long a watcher may say nothing before it does not count any more:
-	// three beats. A change has to be known within 2 s.
-	silence = 3 * HeartbeatInterval
-	// catchAfter is how long a host waits for a word that it missed: it may be on its
-	// way on another connection.
-	catchAfter = 50 * time.Millisecond
-	// WatchTimeout is how long a watch waits. Failure: the store drops its history while
-	// changes are made, and a watch that waits hears nothing of them and is not told;
-	// or it turns a watcher away by silence. A change is to be in force within seconds,
-	// so that no watch may wait much longer. Each costs one read.
+	// watcherTimeout is the time after the last update of a watcher until it no longer counts:
+	// three heartbeats. A change must be known to all hosts within 2 s.
+	watcherTimeout = 3 * HeartbeatInterval
+	// catchUpDelay is the time that a host waits for a missing update before it calls the
+	// store: the update may be on its way on another connection.
+	catchUpDelay = 50 * time.Millisecond
+	// WatchTimeout is how long a watch of the store waits for changes. The store may drop its
+	// history while changes are made, and then a waiting watch is not notified of them; or it
+	// may leave a watcher without an answer. As a change must be in force within seconds, no
+	// watch may wait much longer. Each watch costs the store one read.
 	WatchTimeout = 750 * time.Millisecond
-	// joinFor is how long after its first list a host does not watch. Failure: all hosts come
-	// back at once, each knows only itself, and all watch all lists for all. By then it knows
-	// the others, and a watcher's first word was due.
-	joinFor = HeartbeatInterval + 100*time.Millisecond
-	// answerAge is how old a watcher's last answer of the store may be for it to speak:
-	// a watch and the slowest answer of a store in trouble.
-	answerAge = WatchTimeout + 400*time.Millisecond
+	// joinDelay is the time after its first list during which a host does not watch. When all
+	// hosts start together, each knows only itself at first, and would watch every list on
+	// behalf of all. After the delay it knows the others, and a watcher's first heartbeat was
+	// due.
+	joinDelay = HeartbeatInterval + 100*time.Millisecond
+	// maxAnswerAge is the maximum age of the store's last answer to a watcher that may send
+	// heartbeats: a watch and the slowest answer of an overloaded store.
+	maxAnswerAge = WatchTimeout + 400*time.Millisecond
 )
 
-// Update is all that changed in a list after one version of the store, up to another of the
-// same era.
+// Update is the set of changes of a list between two versions of the store of the same era.
 type Update struct {
 	After, Upto storer.Version
 	Changed     []storer.Object // in the order of their revisions
 }
 
-// Relay is one host's part in following a list.
+// Relay is the state of one host that follows a list.
 type Relay struct {
-	ledger   ledger
-	self     string
-	list     string
-	turn     bool
-	heard    map[string]time.Time // the last word that left nothing out, by host
-	joined   time.Time            // the first list; zero before
-	spoken   bool                 // a watcher was ever heard
-	answered time.Time            // the store's last answer; zero after a failure
-	missed   time.Time            // since when a change is known of that did not come; zero for none
-	told     storer.Version       // the highest revision that a word named
+	ledger       ledger
+	self         string
+	list         string
+	watching     bool                 // this host watches on behalf of all
+	lastReceived map[string]time.Time // last complete update, by watcher
+	firstListed  time.Time            // zero before the first list
+	hadWatcher   bool                 // an update of a watcher was ever received
+	lastAnswer   time.Time            // of the store; zero after a failed call
+	behindSince  time.Time            // since when latest exceeds what is known; zero if it does not
+	latest       storer.Version       // highest revision that the store is known to have reached, from other hosts
 }
 
-// New returns the relay of a host for a list. Until it is enrolled it is alone.
+// New returns the Relay of a host for a list. Until SetHosts is called, it assumes that there
+// is no other host.
 func New(self, list string) *Relay {
-	return &Relay{self: self, list: list, turn: true, heard: map[string]time.Time{}}
+	return &Relay{self: self, list: list, watching: true, lastReceived: map[string]time.Time{}}
 }
 
-// SetHosts takes the hosts that are there, and from them whose turn it is to watch.
+// SetHosts sets the hosts of the fleet, and so whether this host watches.
 func (r *Relay) SetHosts(hosts registrar.Roster) {
-	owners := hosts.Owners(r.list, watchers)
-	r.turn = len(owners) == 0 || slices.ContainsFunc(owners, func(h registrar.Record) bool { return h.Name == r.self })
-	for host := range r.heard {
+	owners := hosts.Owners(r.list, maxWatchers)
+	r.watching = len(owners) == 0 || slices.ContainsFunc(owners, func(h registrar.Record) bool { return h.Name == r.self })
+	for host := range r.lastReceived {
 		if _, ok := hosts.Find(host); !ok {
-			delete(r.heard, host)
+			delete(r.lastReceived, host)
 		}
 	}
 }
 
-// Watching says that this host watches the list for all.
-func (r *Relay) Watching() bool { return r.turn }
+// Watching reports whether this host watches the list on behalf of all.
+func (r *Relay) Watching() bool { return r.watching }
 
-// Next says whether the host is to call the store now, and from which revision on.
-// Behind says that it is for a change that did not come: there is nothing to wait for.
+// Next reports whether the host is to call the store now, and from which revision on. If
+// behind is set, the call is for a change that is known to exist but was not received, so
+// there is nothing to wait for.
 func (r *Relay) Next(now time.Time) (after storer.Version, call, behind bool) {
-	behind = !r.missed.IsZero() && now.Sub(r.missed) >= catchAfter
-	return r.ledger.upto, behind || r.due(now), behind
+	behind = !r.behindSince.IsZero() && now.Sub(r.behindSince) >= catchUpDelay
+	return r.ledger.upto, behind || r.callDue(now), behind
 }
 
-// due says whether it is this host's turn to watch: it is one of the few, or those are not
-// heard. Until any was, its own first list stands for their word.
-func (r *Relay) due(now time.Time) bool {
-	age := now.Sub(r.joined)
+// callDue reports whether this host has to watch: because it is a watcher, or because no
+// watcher sends updates. Until the first update of any watcher, this host's first list counts
+// as that update.
+func (r *Relay) callDue(now time.Time) bool {
+	age := now.Sub(r.firstListed)
 	switch {
-	case r.spoken:
-		return r.turn || !r.HasWatcher(now)
-	case r.turn:
-		return age >= joinFor
+	case r.hadWatcher:
+		return r.watching || !r.HasWatcher(now)
+	case r.watching:
+		return age >= joinDelay
 	}
-	return age >= silence
+	return age >= watcherTimeout
 }
 
-// HasWatcher says that a watcher whom the store answers was heard of lately.
+// HasWatcher reports whether a complete update of a watcher was received within
+// watcherTimeout. Watchers send updates only while the store answers them.
 func (r *Relay) HasWatcher(now time.Time) bool {
-	for _, at := range r.heard {
-		if now.Sub(at) < silence {
+	for _, at := range r.lastReceived {
+		if now.Sub(at) < watcherTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// Listed takes the whole list at a revision. What words told of later is asked for
-// again: the list may be older. One of an earlier era, which was on its way while another
-// host told of a later one, is not taken, and it returns false.
+// Listed applies the complete list at a revision. As the list may be older than updates that
+// were received, changes after its revision are requested again. A list of an earlier era is
+// rejected, and Listed returns false: it was on its way while another host sent a later era.
 func (r *Relay) Listed(now time.Time, revision storer.Version, all []storer.Object) bool {
 	if revision.Era() < r.Era() {
 		return false
 	}
-	r.ledger.list(revision, all)
-	if r.joined.IsZero() {
-		r.joined = now
+	r.ledger.reset(revision, all)
+	if r.firstListed.IsZero() {
+		r.firstListed = now
 	}
-	r.answered = now
-	r.settle(now)
+	r.lastAnswer = now
+	r.updateBehind(now)
 	return true
 }
 
-// Watched takes an answer of the store, and returns what was not known before.
-func (r *Relay) Watched(now time.Time, w Update) []storer.Object {
-	r.answered = now
-	fresh, _ := r.ledger.take(w)
-	r.settle(now)
+// Watched applies an answer of the store and returns the changes that were not known.
+func (r *Relay) Watched(now time.Time, u Update) []storer.Object {
+	r.lastAnswer = now
+	fresh, _ := r.ledger.apply(u)
+	r.updateBehind(now)
 	return fresh
 }
 
-// Failed takes that a call of the store failed.
-func (r *Relay) Failed() { r.answered = time.Time{} }
+// Failed records that a call of the store failed.
+func (r *Relay) Failed() { r.lastAnswer = time.Time{} }
 
-// WatcherLost takes that the store does not answer another host any more, or that it does
-// not watch any more. Failure: the store turns away just those that watch, by
-// silence. Their last words would count for as long as words do.
-func (r *Relay) WatcherLost(from string) { delete(r.heard, from) }
+// WatcherLost records that another host no longer watches, or that the store no longer
+// answers it. If the store left only the watchers without an answer, their last updates
+// would otherwise count until watcherTimeout.
+func (r *Relay) WatcherLost(from string) { delete(r.lastReceived, from) }
 
-// Received takes another host's word, and returns what was not known before. Where
-// something before it is missing, or it is of another era, nothing of it is taken, and it
-// returns false. A host that is still in an earlier era watches for nobody.
-func (r *Relay) Received(now time.Time, from string, w Update) ([]storer.Object, bool) {
-	r.told = max(r.told, w.After)
-	fresh, whole := r.ledger.take(w)
+// Received applies another host's update and returns the changes that were not known. It
+// rejects the update and returns false if changes before it are missing or if it is of
+// another era. A host in an earlier era does not count as a watcher.
+func (r *Relay) Received(now time.Time, from string, u Update) ([]storer.Object, bool) {
+	r.latest = max(r.latest, u.After)
+	fresh, complete := r.ledger.apply(u)
 	switch {
-	case whole:
-		r.heard[from], r.spoken = now, true
-	case w.Upto.Era() < r.ledger.upto.Era():
-		delete(r.heard, from)
+	case complete:
+		r.lastReceived[from], r.hadWatcher = now, true
+	case u.Upto.Era() < r.ledger.upto.Era():
+		delete(r.lastReceived, from)
 	}
-	r.settle(now)
-	return fresh, whole
+	r.updateBehind(now)
+	return fresh, complete
 }
 
-// ReceivedList takes another host's word of the whole list, as the store had it when it came
-// back from an older copy, and says whether it is news. Failure: all hosts of a fleet ask
-// the store in the moment in which it is back.
+// ReceivedList applies the complete list, sent by another host, of a store that was restored
+// from an older snapshot, and returns whether it is newer than what is known. Without it all
+// hosts of a fleet would call the store at the moment it is available again.
 func (r *Relay) ReceivedList(now time.Time, from string, upto storer.Version, all []storer.Object) bool {
-	if upto <= r.ledger.upto || r.joined.IsZero() {
+	if upto <= r.ledger.upto || r.firstListed.IsZero() {
 		return false
 	}
-	r.ledger.list(upto, all)
-	r.told = max(r.told, upto)
-	r.heard[from], r.spoken = now, true
-	r.settle(now)
+	r.ledger.reset(upto, all)
+	r.latest = max(r.latest, upto)
+	r.lastReceived[from], r.hadWatcher = now, true
+	r.updateBehind(now)
 	return true
 }
 
-// Era is the store's era in which the list is known; 0 before the first list.
+// Era returns the store's era of the known list; 0 before the first list.
 func (r *Relay) Era() uint64 { return r.ledger.upto.Era() }
 
-// settle notes whether a word told of a revision that this host did not reach.
-func (r *Relay) settle(now time.Time) {
+// updateBehind records whether other hosts know a later revision than this one.
+func (r *Relay) updateBehind(now time.Time) {
 	switch {
-	case r.told <= r.ledger.upto:
-		r.missed = time.Time{}
-	case r.missed.IsZero():
-		r.missed = now
+	case r.latest <= r.ledger.upto:
+		r.behindSince = time.Time{}
+	case r.behindSince.IsZero():
+		r.behindSince = now
 	}
 }
 
-// Heartbeat is the word that a watcher is up to date; false where this host can't say so.
+// Heartbeat returns an empty update, which a watcher sends to show that it is up to date. It
+// returns false if this host does not watch or is not known to be up to date.
 func (r *Relay) Heartbeat(now time.Time) (Update, bool) {
-	if !r.turn || r.answered.IsZero() || now.Sub(r.answered) > answerAge {
+	if !r.watching || r.lastAnswer.IsZero() || now.Sub(r.lastAnswer) > maxAnswerAge {
 		return Update{}, false
 	}
 	return Update{After: r.ledger.upto, Upto: r.ledger.upto}, true
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -19,16 +19,16 @@
 	return storer.Object{Key: key, Version: version}
 }
 
-func gone(key string, version storer.Version) storer.Object {
+func deleted(key string, version storer.Version) storer.Object {
 	return storer.Object{Key: key, Version: version, Deleted: true}
 }
 
-func word(after, upto storer.Version, changed ...storer.Object) relayer.Update {
+func update(after, upto storer.Version, changed ...storer.Object) relayer.Update {
 	return relayer.Update{After: after, Upto: upto, Changed: changed}
 }
 
-// fleet is a roster of so many hosts.
-func fleet(n int) registrar.Roster {
+// rosterOf returns a roster of n hosts.
+func rosterOf(n int) registrar.Roster {
 	var hosts []registrar.Record
 	for i := range n {
 		hosts = append(hosts, registrar.Record{Name: fmt.Sprintf("h-%02d", i)})
@@ -36,11 +36,11 @@
 	return registrar.NewRoster(hosts...)
 }
 
-// listener is a relay of a host that others watch for, with a list at revision 10.
-func listener(objects ...storer.Object) *relayer.Relay {
+// follower returns the relay of a host that does not watch, with a list at revision 10.
+func follower(objects ...storer.Object) *relayer.Relay {
 	for i := range 74 {
 		r := relayer.New(fmt.Sprintf("h-%02d", i), "list")
-		r.SetHosts(fleet(74))
+		r.SetHosts(rosterOf(74))
 		if !r.Watching() {
 			r.Listed(start, 10, objects)
 			return r
@@ -50,50 +50,50 @@
 }
 
 var _ = Describe("Relay", func() {
-	It("has few hosts of many watch, and each host where it is alone", func() {
+	It("makes a few of many hosts watch, and a host that is alone", func() {
 		watching := 0
 		for i := range 74 {
 			r := relayer.New(fmt.Sprintf("h-%02d", i), "list")
 			Expect(r.Watching()).To(BeTrue())
-			r.SetHosts(fleet(74))
+			r.SetHosts(rosterOf(74))
 			if r.Watching() {
 				watching++
 			}
 		}
 		Expect(watching).To(And(BeNumerically(">=", 1), BeNumerically("<=", 3)))
 		alone := relayer.New("h-00", "list")
-		alone.SetHosts(fleet(1))
+		alone.SetHosts(rosterOf(1))
 		Expect(alone.Watching()).To(BeTrue())
 	})
 
-	It("takes each change once, whoever tells of it and how often", func() {
-		r := listener()
-		fresh, whole := r.Received(start, "w-1", word(10, 12, object("a", 11), object("b", 12)))
+	It("applies each change once, whichever host sends it and however often", func() {
+		r := follower()
+		fresh, whole := r.Received(start, "w-1", update(10, 12, object("a", 11), object("b", 12)))
 		Expect(whole).To(BeTrue())
 		Expect(fresh).To(HaveLen(2))
-		fresh, whole = r.Received(start, "w-1", word(9, 13, object("a", 11), object("b", 12), object("c", 13)))
+		fresh, whole = r.Received(start, "w-1", update(9, 13, object("a", 11), object("b", 12), object("c", 13)))
 		Expect(whole).To(BeTrue())
 		Expect(fresh).To(ConsistOf(object("c", 13)))
 	})
 
-	// The three watchers die in one moment, or are cut off from the store. Nobody tells
-	// of workers that leave, and requests are sent to them for as long.
-	It("has a host call the store itself once the watchers fall silent", func() {
-		r := listener()
-		r.Received(start, "w-1", word(10, 10))
+	// Guards against updates stopping when all watchers fail together or are cut off from the
+	// store: until then requests would be sent to workers that have left.
+	It("has a host call the store itself once no watcher sends updates", func() {
+		r := follower()
+		r.Received(start, "w-1", update(10, 10))
 		_, call, _ := r.Next(start.Add(1100 * time.Millisecond))
 		Expect(call).To(BeFalse())
 		after, call, behind := r.Next(start.Add(1300 * time.Millisecond))
 		Expect(call).To(BeTrue())
 		Expect(behind).To(BeFalse())
 		Expect(after).To(BeEquivalentTo(10))
-		r.Received(start.Add(1700*time.Millisecond), "w-1", word(10, 10))
+		r.Received(start.Add(1700*time.Millisecond), "w-1", update(10, 10))
 		_, call, _ = r.Next(start.Add(1800 * time.Millisecond))
 		Expect(call).To(BeFalse())
 	})
 
-	// Guards against every host watching for itself when all come back at once.
-	It("has a host that joins wait for the others before it watches", func() {
+	// Guards against every host watching when all hosts start together.
+	It("has a host that joins wait for the other hosts before it watches", func() {
 		r := relayer.New("h-00", "list")
 		due := func(after time.Duration) bool {
 			_, call, _ := r.Next(start.Add(after))
@@ -103,19 +103,19 @@
 		r.Listed(start, 10, nil)
 		Expect(due(400 * time.Millisecond)).To(BeFalse())
 		Expect(due(500*time.Millisecond)).To(BeTrue(), "it is alone")
-		other := listener()
+		other := follower()
 		_, call, _ := other.Next(start.Add(1100 * time.Millisecond))
 		Expect(call).To(BeFalse())
 		_, call, _ = other.Next(start.Add(1200 * time.Millisecond))
-		Expect(call).To(BeTrue(), "nobody spoke")
+		Expect(call).To(BeTrue(), "no watcher sent anything")
 	})
 
-	// The store turns away just the hosts that watch, and they say so one by one.
-	// A key is revoked in that moment, and is taken for as long as nobody looks.
-	It("has a host call the store itself once no watcher is answered", func() {
-		r := listener()
+	// Guards against a revoked key staying in use while nobody reads the store: the store leaves
+	// just the watchers without an answer, and they report that one by one.
+	It("has a host call the store itself once the store answers no watcher", func() {
+		r := follower()
 		for _, w := range []string{"w-1", "w-2", "w-3"} {
-			r.Received(start, w, word(10, 10))
+			r.Received(start, w, update(10, 10))
 		}
 		calls := func(after time.Duration) bool {
 			_, call, _ := r.Next(start.Add(after))
@@ -129,69 +129,69 @@
 	})
 
 	It("does not count on a watcher that has left the roster", func() {
-		r := listener()
-		r.Received(start, "gone", word(10, 10))
+		r := follower()
+		r.Received(start, "gone", update(10, 10))
 		_, call, _ := r.Next(start)
 		Expect(call).To(BeFalse())
-		r.SetHosts(fleet(74))
+		r.SetHosts(rosterOf(74))
 		_, call, _ = r.Next(start)
 		Expect(call).To(BeTrue())
 	})
 
-	// A word is lost with its connection. What follows must not hide the change in it.
-	It("takes nothing after a gap, and has the host ask for what is missing", func() {
-		r := listener()
-		r.Received(start, "w-1", word(10, 10))
-		fresh, whole := r.Received(start, "w-1", word(14, 15, object("c", 15)))
+	// Guards against a later update hiding a change that was lost with its connection.
+	It("rejects updates after a gap, and has the host request what is missing", func() {
+		r := follower()
+		r.Received(start, "w-1", update(10, 10))
+		fresh, whole := r.Received(start, "w-1", update(14, 15, object("c", 15)))
 		Expect(whole).To(BeFalse())
 		Expect(fresh).To(BeEmpty())
 		_, call, _ := r.Next(start.Add(10 * time.Millisecond))
-		Expect(call).To(BeFalse(), "the word may be on its way")
+		Expect(call).To(BeFalse(), "the update may be on its way")
 		after, call, behind := r.Next(start.Add(60 * time.Millisecond))
 		Expect(call).To(BeTrue())
 		Expect(behind).To(BeTrue())
 		Expect(after).To(BeEquivalentTo(10))
-		Expect(r.Watched(start.Add(70*time.Millisecond), word(10, 16, gone("b", 12), object("c", 15)))).To(HaveLen(2))
+		Expect(r.Watched(start.Add(70*time.Millisecond), update(10, 16, deleted("b", 12), object("c", 15)))).To(HaveLen(2))
 		_, call, _ = r.Next(start.Add(200 * time.Millisecond))
 		Expect(call).To(BeFalse())
 	})
 
-	// A watcher was frozen for seconds. It wakes up, and tells of a worker that has left
-	// since; requests would go to whoever has its address now.
-	It("does not bring back what is gone by a word that comes late", func() {
-		r := listener(object("a", 5))
-		r.Received(start, "w-1", word(10, 12, object("a", 11)))
-		fresh, _ := r.Received(start, "w-1", word(12, 13, gone("a", 11)))
+	// Guards against a watcher that was frozen for seconds sending an entry of a worker that has
+	// left since: requests would go to whatever process has its address now.
+	It("does not restore a deleted object by a late update", func() {
+		r := follower(object("a", 5))
+		r.Received(start, "w-1", update(10, 12, object("a", 11)))
+		fresh, _ := r.Received(start, "w-1", update(12, 13, deleted("a", 11)))
 		Expect(fresh).To(HaveLen(1))
-		fresh, _ = r.Received(start, "w-1", word(10, 11, object("a", 11)))
+		fresh, _ = r.Received(start, "w-1", update(10, 11, object("a", 11)))
 		Expect(fresh).To(BeEmpty())
 		r.Listed(start, 20, nil)
-		fresh, _ = r.Received(start, "w-1", word(10, 19, object("b", 18)))
+		fresh, _ = r.Received(start, "w-1", update(10, 19, object("b", 18)))
 		Expect(fresh).To(BeEmpty(), "the list at 20 has no b")
-		fresh, _ = r.Received(start, "w-1", word(20, 22, object("a", 22)))
-		Expect(fresh).To(HaveLen(1), "registered anew")
-		fresh, _ = r.Received(start, "w-1", word(11, 13, gone("a", 11)))
+		fresh, _ = r.Received(start, "w-1", update(20, 22, object("a", 22)))
+		Expect(fresh).To(HaveLen(1), "registered again")
+		fresh, _ = r.Received(start, "w-1", update(11, 13, deleted("a", 11)))
 		Expect(fresh).To(BeEmpty())
 	})
 
-	It("asks again for what words told while an older list was on its way", func() {
-		r := listener(object("a", 5))
-		r.Received(start, "w-1", word(10, 15, gone("a", 14)))
+	It("requests again what updates contained while an older list was on its way", func() {
+		r := follower(object("a", 5))
+		r.Received(start, "w-1", update(10, 15, deleted("a", 14)))
 		r.Listed(start, 12, []storer.Object{object("a", 5)})
-		r.Received(start, "w-1", word(15, 15))
+		r.Received(start, "w-1", update(15, 15))
 		after, call, behind := r.Next(start.Add(100 * time.Millisecond))
 		Expect(call && behind).To(BeTrue())
 		Expect(after).To(BeEquivalentTo(12))
 	})
 
-	It("has a watcher speak only while the store answers it", func() {
+	It("has a watcher send heartbeats only while the store answers it", func() {
 		r := relayer.New("h-00", "list")
 		_, ok := r.Heartbeat(start)
 		Expect(ok).To(BeFalse())
 		r.Listed(start, 10, nil)
 		w, ok := r.Heartbeat(start.Add(time.Second))
 		Expect(ok).To(BeTrue())
-		Expect(w).To(Equal(word(10, 10)))
+		Expect(w).To(Equal(update(10, 10)))
 		_, ok = r.Heartbeat(start.Add(1200 * time.Millisecond))
 		Expect(ok).To(BeFalse())
 		r.Listed(start, 10, nil)
@@ -200,18 +200,18 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	// Words of three watchers come in any order, twice or not at all, with lists of any
-	// age between. What a host believes must be what the store holds, once it has caught up.
-	It("ends with what the store holds, whatever came in which order", func() {
+	// Updates of three watchers arrive in any order, twice or not at all, between lists of any
+	// age. Once the host has caught up, it must have the contents of the store.
+	It("ends with the contents of the store, in whatever order updates and lists arrive", func() {
 		for seed := range uint64(2000) {
-			play(rand.New(rand.NewPCG(seed, 7)), seed)
+			simulate(rand.New(rand.NewPCG(seed, 7)), seed)
 		}
 	})
 })
 
-// play changes a store at random, has three watchers tell of it, and one host hear
-// them badly.
-func play(r *rand.Rand, seed uint64) {
+// simulate changes a store at random, and sends updates of three watchers to one host out of
+// order and incompletely.
+func simulate(r *rand.Rand, seed uint64) {
 	type change = storer.Object
 	var history []change
 	content := map[string]storer.Version{}
@@ -221,9 +221,9 @@
 		if known, ok := content[key]; ok && r.IntN(2) == 0 {
 			delete(content, key)
 			if r.IntN(2) == 0 {
-				version = known // some stores give a deletion the version that it ended
+				version = known // some stores give a deletion the version of the deleted object
 			}
-			history = append(history, gone(key, version))
+			history = append(history, deleted(key, version))
 			continue
 		}
 		content[key] = version
@@ -260,7 +260,7 @@
 	for range 80 {
 		after := storer.Version(r.IntN(int(end)))
 		upto := after + storer.Version(r.IntN(int(end-after)+1))
-		switch fresh, _ := relay.Received(start, "w-1", word(after, upto, between(after, upto)...)); r.IntN(20) {
+		switch fresh, _ := relay.Received(start, "w-1", update(after, upto, between(after, upto)...)); r.IntN(20) {
 		case 0:
 			take(fresh)
 			relist(storer.Version(r.IntN(int(end))))
@@ -269,6 +269,6 @@
 		}
 	}
 	after, _, _ := relay.Next(start)
-	take(relay.Watched(start, word(after, end, between(after, end)...)))
+	take(relay.Watched(start, update(after, end, between(after, end)...)))
 	Expect(believed).To(Equal(content), "seed %d", seed)
 }
