--- a/registrar/spreading.go
+++ b/registrar/spreading.go
@@ -7,44 +7,47 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// news is a host whose fact is to be passed on.
-type news struct {
-	host string
-	from string // who told it; "" for the store and for this host itself
+// pendingFact is a host whose fact is to be sent on.
+type pendingFact struct {
+	host   string
+	source string // the host that sent it; "" for the store and for this host itself
 }
 
-// spread has a host's fact passed on.
-func (m *Members) spread(host, from string) { m.pending = append(m.pending, news{host, from}) }
+// queueFact queues a host's fact to be sent on.
+func (m *Members) queueFact(host, from string) {
+	m.pending = append(m.pending, pendingFact{host, from})
+}
 
-// passSoon passes on what is to be: now, or at the next tick where that was done since the
-// last. Failure: all hosts restart, and each passes on hundreds of facts in as many
-// messages to each of its neighbours.
-func (m *Members) passSoon(now time.Time) {
-	if now.Sub(m.passedAt) >= m.tick() {
-		m.pass(now)
+// scheduleSpread sends the pending facts now, or at the next tick if some were already
+// sent within the last tick interval. Otherwise, when all hosts restart, each would send
+// hundreds of facts to each of its neighbours in as many messages.
+func (m *Members) scheduleSpread(now time.Time) {
+	if now.Sub(m.lastSpread) >= m.tickInterval() {
+		m.spreadPending(now)
 	}
 }
 
-// pass passes facts on to this host's observers and its neighbours. Every host does so
-// once for each fact, so it reaches all in a few steps, at a constant cost for each.
-func (m *Members) pass(now time.Time) {
+// spreadPending sends the pending facts to this host's observers and neighbours. Every host
+// sends each fact once, so it reaches all hosts in a few steps, and the cost per fact and
+// host is constant.
+func (m *Members) spreadPending(now time.Time) {
 	if len(m.pending) == 0 {
 		return
 	}
 	for _, to := range m.ring.targets() {
-		if facts := m.factsFor(to); len(facts) > 0 {
+		if facts := m.pendingFor(to); len(facts) > 0 {
 			m.send(to, messenger.RosterUpdate{Facts: facts})
 		}
 	}
-	m.pending, m.passedAt = nil, now
+	m.pending, m.lastSpread = nil, now
 }
 
-// factsFor is the facts to pass on that a host did not tell itself.
-func (m *Members) factsFor(to string) []messenger.Fact {
+// pendingFor returns the pending facts for a host, without those that it sent itself.
+func (m *Members) pendingFor(to string) []messenger.Fact {
 	var out []messenger.Fact
 	known := map[string]bool{}
 	for _, n := range m.pending {
-		if n.from == to {
+		if n.source == to {
 			known[n.host] = true
 		}
 	}
@@ -57,7 +60,7 @@
 	return out
 }
 
-// targets is whom a host passes news on to.
+// targets returns the hosts to which this host sends facts on.
 func (r ring) targets() []string {
 	out := slices.Clone(r.observers[r.self])
 	for _, n := range r.neighbours {
