--- a/placer/ask.go
+++ b/placer/ask.go
@@ -6,80 +6,80 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-// Worker is one backend server that may get requests.
+// Worker is a backend server that may get requests.
 type Worker struct {
 	Name        string
 	Service     string
 	Address     string
 	Zone        string
-	Slots       int           // requests at once
-	CacheTokens int           // tokens that an engine keeps; 0 for a plain service
-	EventTokens int           // tokens of one event of an engine's stream
-	TokenBytes  int           // bytes that a token takes in an engine's memory
-	LinkMbps    float64       // megabits a second at which it fetches memory from another; 0 where it can't
-	ColdFor     time.Duration // it is slow for that much longer
-	Instance    string        // differs after a restart under the same name
+	Slots       int           // maximum of concurrent requests
+	CacheTokens int           // tokens that fit into an engine's KV cache; 0 for a plain service
+	EventTokens int           // tokens in one event of an engine's stream
+	TokenBytes  int           // bytes that a token takes in an engine's KV cache
+	LinkMbps    float64       // rate at which it fetches cached tokens from another engine; 0 if it can't
+	ColdFor     time.Duration // remaining time for which it is slow after its start
+	Instance    string        // changes when the worker restarts under the same name
 }
 
-// Part is one part of a prompt. Key names it together with all parts before it:
-// a part is of use to a request only where those are there too.
+// Part is one part of a prompt. Its Key also covers all parts before it: a cached part is only
+// of use to a request if those are cached too.
 type Part struct {
 	Key    uint64
 	Tokens int
 }
 
-// Request is a request that wants a worker.
+// Request is a request to be placed at a worker.
 type Request struct {
 	Service           string
-	Zone              string // of the host that sends it; "" is the view's
+	Zone              string // of the sending host; "" is the view's
 	Parts             []Part
-	Prompt            int           // tokens, all parts included; 0 for a plain service
-	Output            int           // tokens, guessed
-	Expected          int           // tokens of output that the caller expects; 0 where it does not say
-	Rank              int           // among all that engines are told; 0 is the most urgent
-	Tier              int           // of its route alone; 0 is the most urgent
-	Left              time.Duration // until nobody waits for the answer any more
-	FirstEventTimeout time.Duration // until the caller leaves for want of a first event; 0 is Left
-	Target            time.Duration // for the answer, or a stream's first event
-	Gap               time.Duration // target for the longest pause in a stream; 0 is none
-	Exclude           []string      // workers that had it already
+	Prompt            int           // tokens, including all parts; 0 for a plain service
+	Output            int           // tokens, estimated
+	Expected          int           // output tokens that the caller expects; 0 if it does not say
+	Rank              int           // urgency among all requests at the engines; 0 is the most urgent
+	Tier              int           // urgency of its route alone; 0 is the most urgent
+	Left              time.Duration // time until the caller's deadline
+	FirstEventTimeout time.Duration // time until the caller gives up waiting for a first event; 0 is Left
+	Target            time.Duration // time to the answer, or to a stream's first event
+	Gap               time.Duration // maximum pause in a stream; 0 is no target
+	Exclude           []string      // workers that already had the request
 
-	Fingerprint quarantiner.Fingerprint // of what it asks for; 0 is not known
+	Fingerprint quarantiner.Fingerprint // of the request's content; 0 if unknown
 }
 
-// Flight is a request on its way to, or at, a worker. It is what hosts tell each
+// Flight is a request on its way to a worker or at it. Hosts report their flights to each
 // other.
 type Flight struct {
 	ID      uint64
 	Worker  string
 	Parts   []Part
-	Prefill int           // tokens of the prompt that the worker has to read
-	Hold    int           // tokens that it takes up there
-	Left    time.Duration // its answer is over by then
+	Prefill int           // prompt tokens that the worker has to prefill
+	Hold    int           // tokens that it takes up in the worker's KV cache
+	Left    time.Duration // time by which its answer is over
 	Gap     time.Duration // target for the longest pause in its stream; 0 is none
-	Rank    int           // 0 is the most urgent
-	Tier    int           // of its route alone
-	Fetch   int           // tokens of the prompt that the worker fetches from another
-	Output  int           // tokens, guessed
+	Rank    int           // urgency among all requests; 0 is the most urgent
+	Tier    int           // urgency of its route alone
+	Fetch   int           // prompt tokens that the worker fetches from another one
+	Output  int           // tokens, estimated
 
-	Fingerprint quarantiner.Fingerprint // of what it asks for; 0 is not known
+	Fingerprint quarantiner.Fingerprint // of the request's content; 0 if unknown
 }
 
-// Refusal says that no worker should get a request now.
+// Refusal states that no worker should get a request now.
 type Refusal struct {
-	RetryAfter time.Duration // when there may be room
+	RetryAfter time.Duration // time until there may be room
 	Reason     string
 }
 
-// Choice is where a request goes.
+// Choice is the result of placing a request.
 type Choice struct {
 	Worker  Worker
 	Flight  Flight
-	Wait    time.Duration // expected until its first event, or its answer
-	Delay   time.Duration // it is to be sent only then
-	Source  string        // address of the worker that it is to fetch memory from; "" where it reads all
-	Filling bool          // with it, half of its worker's slots are taken or more
-	Basis   Basis         // what it was decided by, where it was refused
+	Wait    time.Duration // expected time to the first event, or to a plain service's answer
+	Delay   time.Duration // to wait before sending the request
+	Source  string        // address of the worker to fetch cached tokens from; "" if it prefills all
+	Filling bool          // with this request, at least half of the worker's slots are taken
+	Basis   Basis         // what a refusal was based on
 }
 
 // Outcome is how a request at a worker ended.
@@ -88,10 +88,10 @@
 // Outcomes of a flight.
 const (
 	Answered     Outcome = iota
-	Errored              // the worker said that it failed
-	Refused              // the worker said that it did not run the request
-	WrongWorker          // another worker has the address
-	Broken               // no answer, or one that broke off
-	Canceled             // the caller went away, or the time was up
-	Disconnected         // its worker closed the connection under it, as one that crashes does
+	Errored              // the worker answered with an error
+	Refused              // the worker reported that it did not run the request
+	WrongWorker          // the address now belongs to another worker
+	Broken               // no answer, or an incomplete one
+	Canceled             // the caller went away, or its deadline passed
+	Disconnected         // the worker closed the connection before it answered, as it does when it crashes
 )
--- a/placer/basis.go
+++ b/placer/basis.go
@@ -2,45 +2,45 @@
 
 import "time"
 
-// Basis is what a refusal was decided by.
+// Basis is the data that a refusal was based on.
 type Basis struct {
-	Worker  string        // the one that would have cost the least; "" where there is none
-	Slots   int           // that it has
-	Taken   int           // of these, by what this view believes to be there
-	Kept    int           // of these, for the spread of more urgent routes
-	Queue   time.Duration // until it has read what is as urgent as the request, or more
-	Wait    time.Duration // until the request's first event, or a plain service's answer
-	Bound   time.Duration // that the queue, or a plain service's wait, must not exceed
-	End     time.Duration // until its last event
-	Free    int           // slots of all its service's engines that nobody has
-	Wanted  int           // of these, by more urgent routes
-	Offered float64       // requests a second that are asked for of more urgent routes
-	Held    time.Duration // for which one of those is expected to take a slot
-	Age     time.Duration // since another host last told what it sent; 0 where none ever did
+	Worker  string        // the one with the lowest cost; "" if there is none
+	Slots   int           // of the worker
+	Taken   int           // of these, the taken ones as far as this view knows
+	Kept    int           // of these, the ones reserved for fluctuations of more urgent routes
+	Queue   time.Duration // time to prefill all that is at least as urgent as the request
+	Wait    time.Duration // expected time to the first event, or to a plain service's answer
+	Bound   time.Duration // maximum of the queue, or of a plain service's wait
+	End     time.Duration // expected time to the last event
+	Free    int           // free slots of all engines of the service
+	Wanted  int           // of these, the ones that more urgent routes will want
+	Offered float64       // requests of more urgent routes per second
+	Held    time.Duration // expected time for which one of those takes a slot
+	Age     time.Duration // time since another host last reported what it sent; 0 if none ever did
 }
 
-// basis is what a refusal of a request was decided by.
-func (v *View) basis(now time.Time, a Request, best *option) Basis {
+// basis returns what the refusal of a request was based on.
+func (v *View) basis(now time.Time, a Request, best *candidate) Basis {
 	b := Basis{
-		Free: v.guard.free, Offered: v.guard.rate, Held: milliseconds(v.guard.held), Wanted: int(max(v.guard.wanted(), 0)),
+		Free: v.reservation.free, Offered: v.reservation.rate, Held: milliseconds(v.reservation.holdTime), Wanted: int(max(v.reservation.wanted(), 0)),
 	}
-	if !v.told.IsZero() {
-		b.Age = now.Sub(v.told)
+	if !v.lastReceived.IsZero() {
+		b.Age = now.Sub(v.lastReceived)
 	}
 	if best == nil {
 		return b
 	}
-	b.Worker, b.Slots, b.Taken, b.Kept = best.Name, best.Slots, len(best.flights), best.kept
-	b.Queue, b.Wait, b.End = milliseconds(best.equals), milliseconds(best.wait), best.end(a)
+	b.Worker, b.Slots, b.Taken, b.Kept = best.Name, best.Slots, len(best.flights), best.reserved
+	b.Queue, b.Wait, b.End = milliseconds(best.urgentBacklog), milliseconds(best.wait), best.expectedEnd(a)
 	b.Bound = milliseconds(v.bound(best, a))
 	return b
 }
 
-// bound is the milliseconds that a request may wait for others: for a prompt to be read,
-// or for a plain service's answer.
-func (v *View) bound(o *option, a Request) float64 {
+// bound returns the maximum wait for other requests, in milliseconds: in the prefill queue, or
+// for a plain service's answer.
+func (v *View) bound(o *candidate, a Request) float64 {
 	if o.CacheTokens == 0 {
-		return v.plainMost(a)
+		return v.maxPlainWait(a)
 	}
-	return queueShare * inMilliseconds(a.Target)
+	return maxQueueShare * inMilliseconds(a.Target)
 }
--- a/placer/belief.go
+++ b/placer/belief.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// WorkerState is what a host believes of one worker, for operators.
+// WorkerState is a host's view of one worker, for operators.
 type WorkerState struct {
 	Worker   string        `json:"worker"`
 	Service  string        `json:"service"`
@@ -14,27 +14,27 @@
 	Zone     string        `json:"zone"`
 	Instance string        `json:"born,omitempty"`
 	Flights  int           `json:"flights"` // requests there, of all hosts
-	Reading  int           `json:"reading"` // of these, how many have had no first event
+	Reading  int           `json:"reading"` // of these, the ones without a first event
 	Hold     int           `json:"hold"`    // tokens that they take up
-	Kept     int           `json:"kept"`    // tokens of prompt parts that it is believed to keep
-	Queue    time.Duration `json:"queue"`   // until it has read what was sent to it
-	Avoided  time.Duration `json:"avoided"` // what it counts for its failures
-	Rate     float64       `json:"rate"`    // tokens of prompts that it reads in a millisecond
+	Kept     int           `json:"kept"`    // tokens of prompt parts in its cache, as estimated
+	Queue    time.Duration `json:"queue"`   // time to prefill what was sent to it
+	Avoided  time.Duration `json:"avoided"` // current penalty for its failures
+	Rate     float64       `json:"rate"`    // prompt tokens that it prefills per millisecond
 
-	Limit float64 `json:"limit,omitempty"` // requests a second that it says it takes from all hosts
+	Limit float64 `json:"limit,omitempty"` // requests per second that it accepts from all hosts
 }
 
-// WorkerStates is what the view holds of each worker, by service and name.
+// WorkerStates returns the view's state of each worker, ordered by service and name.
 func (v *View) WorkerStates(now time.Time) []WorkerState {
 	out := make([]WorkerState, 0, len(v.workers))
 	for _, w := range v.workers {
 		b := WorkerState{
 			Worker: w.Name, Service: w.Service, Address: w.Address, Zone: w.Zone, Instance: w.Instance,
-			Flights: len(w.flights), Reading: w.reading, Hold: w.hold, Kept: w.parts.tokens,
-			Queue: milliseconds(w.line.before(now, lastRank) + w.others(now, Request{}).overdue), Avoided: milliseconds(w.avoided(now)), Limit: w.limit.rate,
+			Flights: len(w.flights), Reading: w.awaitingFirst, Hold: w.hold, Kept: w.cache.tokens,
+			Queue: milliseconds(w.queue.timeAhead(now, maxRank) + w.contention(now, Request{}).lag), Avoided: milliseconds(w.currentPenalty(now)), Limit: w.limit.rate,
 		}
 		if w.CacheTokens > 0 {
-			b.Rate = chunk / w.readTime(chunk, chunk)
+			b.Rate = chunkTokens / w.prefillTime(chunkTokens, chunkTokens)
 		}
 		out = append(out, b)
 	}
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -7,78 +7,81 @@
 )
 
 const (
-	// readWeight is what reading costs those that wait behind, beside the request
-	// itself: as a part of its own reading time.
-	readWeight = 2.0
-	// fetchWeight is what a fetch of memory costs beside the request itself, as a part of
-	// the time that it takes: both engines' links are taken meanwhile.
+	// prefillWeight is the cost of a prefill for requests that queue behind it, as a multiple
+	// of the time that it takes. It is added to the request's own wait.
+	prefillWeight = 2.0
+	// fetchWeight is the cost of fetching cached tokens, as a multiple of the time that it
+	// takes. It is added to the request's own wait, as the links of both engines are in use
+	// meanwhile.
 	fetchWeight = 8.0
-	// tightShare is the part of a worker's longest stretch of reading that a target
-	// for pauses must exceed to be safe: the prediction is no better than that.
+	// tightFactor is how many times a worker's longest prefill pause a stream's target must
+	// exceed to be safe. The prediction is no more exact than that.
 	tightShare = 2.0
-	// tightCost is the milliseconds that a stream counts whose pauses a long prompt
-	// would stretch beyond their target.
+	// tightCost is the cost, in milliseconds, of each stream whose pauses a long prompt would
+	// stretch beyond their target.
 	tightCost = 40.0
-	// riskCost is the milliseconds that a worker that does nothing but read counts
-	// for a stream whose pauses that would stretch.
+	// riskCost is the cost, in milliseconds, of a worker that prefills all the time, for a
+	// stream whose pauses that would stretch.
 	riskCost = 300.0
-	// urgentWeight is how many times a stream counts for a prompt that is less urgent.
+	// urgentWeight multiplies the cost of a stream's pauses for a less urgent prompt.
 	urgentWeight = 3.0
-	// besideWeight is what a stream with a tight target for pauses counts for a prompt that
-	// is read beside it, as a part of the time that this takes.
-	besideWeight = 0.05
-	// behindWeight is what such a stream counts for prompts that the worker will read
-	// after it, as a part of the time that takes: the stream runs beside all of it.
-	behindWeight = 1.0
-	// longRead is the part of a stretch beyond which reading counts as long.
-	longRead = 0.45
-	// readFades is the time in which what was read lately falls to a third: about as
-	// long as a stream lasts.
-	readFades = 2 * time.Second
-	// longLeast is the milliseconds of reading from which a prompt is held back for the
-	// worker to come to its streams, or sent away from a long queue: shorter ones stretch
-	// nothing, and make nobody wait.
-	longLeast = 30.0
-	// stepPause is the milliseconds that a worker gets for its streams between two
-	// long prompts: four steps, so that one event comes.
-	stepPause = 24.0
-	// pauseShare is the part of its target that a prompt is held back at most.
-	pauseShare = 0.4
-	// slotCost is the milliseconds that each request too many for an engine's slots
-	// counts. It waits there, or takes a less urgent one's place in mid-stream; that
-	// is dearer than any pause.
+	// concurrentWeight is the cost, for each stream with a tight target, of a prompt that is
+	// prefilled beside it, as a part of the time that this takes.
+	concurrentWeight = 0.05
+	// followingWeight is the cost, for a stream with a tight target, of the prompts that the
+	// worker will prefill after the stream's own, as a part of the time that this takes. The
+	// stream runs beside all of it.
+	followingWeight = 1.0
+	// longPrefillShare is the part of a worker's longest prefill pause beyond which a prefill
+	// counts as long.
+	longPrefillShare = 0.45
+	// prefillLoadDecay is the time constant with which recent prefill work is forgotten: about
+	// the duration of a stream.
+	prefillLoadDecay = 2 * time.Second
+	// minLongPrefill is the prefill time, in milliseconds, from which a prompt may be delayed
+	// for the sake of streams, or refused because of a long queue. Shorter ones neither stretch
+	// pauses nor make others wait.
+	minLongPrefill = 30.0
+	// decodePause is the time, in milliseconds, that a worker gets for its streams between two
+	// long prompts: four steps, enough for one event.
+	decodePause = 24.0
+	// maxDelayShare is the maximum part of its target for which a prompt is delayed.
+	maxDelayShare = 0.4
+	// slotCost is the cost, in milliseconds, of each request beyond an engine's slots. It waits
+	// there, or preempts a less urgent stream, which is worse than any pause.
 	slotCost = 1000.0
-	// fullCost is the milliseconds that an engine whose memory is full counts.
+	// fullCost is the cost, in milliseconds, of an engine whose KV cache is full.
 	fullCost = 100.0
-	// memoryShare is the part of an engine's memory that running requests may fill
-	// before it takes them off again.
+	// memoryShare is the part of an engine's KV cache that running requests may fill before it
+	// preempts some of them.
 	memoryShare = 0.9
-	// loadCost is the milliseconds that a plain worker's full slots count beside
-	// the wait, so that requests spread over idle workers.
+	// loadCost is the cost, in milliseconds, of a plain worker with all slots taken. It is
+	// added to the wait, so that requests spread over idle workers.
 	loadCost = 10.0
-	// zoneCost is the milliseconds of the way to another availability zone and back.
+	// zoneCost is the round-trip time to another availability zone, in milliseconds.
 	zoneCost = 2.8
-	// coldCost is the milliseconds that a worker that has just started counts.
+	// coldCost is the cost, in milliseconds, of a worker that has just started.
 	coldCost = 60.0
 
-	// What a failed request makes its worker avoided by, in milliseconds. A broken
-	// one says most; an error that the worker told may be the request's own fault.
-	brokenCost  = 400.0
-	refusedCost = 150.0
-	erroredCost = 25.0
-	misledCost  = 2000.0
-	troubleMost = 4000.0
-	// troubleFades is the time in which trouble falls to a third.
-	troubleFades = 1500 * time.Millisecond
+	// Penalties of a worker for a failed request, in milliseconds. A request without an answer
+	// says more about the worker than an error that it reported, which may be the request's own
+	// fault.
+	brokenCost      = 400.0
+	refusedCost     = 150.0
+	erroredCost     = 25.0
+	wrongWorkerCost = 2000.0
+	maxPenalty      = 4000.0
+	// penaltyDecay is the time constant with which penalties decay.
+	penaltyDecay = 1500 * time.Millisecond
 
-	// slownessLeast and slownessMost bound how one worker differs from its service's.
-	slownessLeast = 0.5
-	slownessMost  = 4.0
+	// minSlowness and maxSlowness bound how far one worker may differ from its service's fit.
+	minSlowness = 0.5
+	maxSlowness = 4.0
 )
 
-// cost is what decides between workers, in milliseconds.
-func (v *View) cost(now time.Time, o *option, a Request) float64 {
-	c := o.wait + o.avoided(now)
+// cost returns the cost of a candidate in milliseconds. The request goes to the lowest.
+func (v *View) cost(now time.Time, o *candidate, a Request) float64 {
+	c := o.wait + o.currentPenalty(now)
 	if o.Zone != cmp.Or(a.Zone, v.zone) {
 		c += zoneCost
 	}
@@ -88,9 +91,9 @@
 	if o.CacheTokens == 0 {
 		return c + loadCost*float64(len(o.flights))/float64(o.Slots)
 	}
-	c += readWeight*o.own + fetchWeight*o.fetching + o.harm(now, a)
-	if !v.evictsFreely {
-		c += o.evicting(a)
+	c += prefillWeight*o.ownTime + fetchWeight*o.fetchDelay + o.pauseCost(now, a)
+	if !v.ignoreEvictions {
+		c += o.evictionCost(a)
 	}
 	if over := len(o.flights) + 1 - o.Slots; over > 0 {
 		c += slotCost * float64(over)
@@ -101,43 +104,43 @@
 	return c
 }
 
-// evicting is the milliseconds that it takes to read again what the engine would evict for
-// the request, of parts that other requests use. Failure: engines whose memory is full are
-// given more, as their queue is short for a moment, while others have room; what they
-// evict is read again for the next ones, and the queues grow for that.
-func (o *option) evicting(a Request) float64 {
-	kept := a.Prompt - o.read - o.fetch
+// evictionCost returns the time, in milliseconds, to prefill again what the engine would evict
+// for the request, of parts that other requests use. Without it, engines with a full cache get
+// more requests while their queue is short for a moment, though others have room; what they
+// evict is prefilled again for the next requests, which lengthens the queues.
+func (o *candidate) evictionCost(a Request) float64 {
+	kept := a.Prompt - o.prefillTokens - o.fetchTokens
 	fresh := -kept
 	for _, p := range a.Parts {
 		fresh += p.Tokens
 	}
-	lost := o.parts.tokens + max(fresh, 0) - o.room(o.hold+a.Prompt+a.Output)
-	return float64(o.parts.shared(lost)) / chunk * o.readTime(chunk, chunk)
+	lost := o.cache.tokens + max(fresh, 0) - o.cacheRoom(o.hold+a.Prompt+a.Output)
+	return float64(o.cache.sharedTokens(lost)) / chunkTokens * o.prefillTime(chunkTokens, chunkTokens)
 }
 
-// harm is what reading does to the pauses of streams, in milliseconds: of those at
-// the worker, if this request's prompt makes it read for longer than one of their
-// events may take; and of this one, if the worker is given much to read. So long
-// prompts and streams with tight pauses part by themselves.
-func (o *option) harm(now time.Time, a Request) float64 {
-	long := longRead * o.stretch()
+// pauseCost returns the cost, in milliseconds, of longer pauses in streams: in those at the
+// worker, if this request's prefill delays one of their events too long; and in this request's
+// own, if the worker has much to prefill. It separates long prompts from streams with tight
+// targets.
+func (o *candidate) pauseCost(now time.Time, a Request) float64 {
+	long := longPrefillShare * o.maxPrefillPause()
 	harm := 0.0
-	if o.own > long || o.pause(a) == 0 && o.own+o.all > long {
-		harm += tightCost * o.tight
+	if o.ownTime > long || o.delay(a) == 0 && o.ownTime+o.backlog > long {
+		harm += tightCost * o.tightStreams
 	}
-	harm += besideWeight * o.own * o.tight
-	if a.Gap > 0 && inMilliseconds(a.Gap) < tightShare*o.stretch() {
-		harm += riskCost*o.readLately(now)/inMilliseconds(readFades) + behindWeight*math.Max(o.all-o.queue, 0)
+	harm += concurrentWeight * o.ownTime * o.tightStreams
+	if a.Gap > 0 && inMilliseconds(a.Gap) < tightShare*o.maxPrefillPause() {
+		harm += riskCost*o.prefillLoad(now)/inMilliseconds(prefillLoadDecay) + followingWeight*math.Max(o.backlog-o.queueTime, 0)
 	}
 	return harm
 }
 
-// pause is how long a long prompt waits at its host until the worker has read what
-// it was sent before, where reading both in one stretch would break the target for
-// pauses of streams at the worker. Between the two their next tokens come.
-func (o *option) pause(a Request) time.Duration {
-	if o.own < longLeast || o.all == 0 || o.own+o.all <= longRead*o.stretch() || o.tight == 0 {
+// delay returns how long a long prompt waits at its host until the worker has prefilled what it
+// was sent before, if prefilling both without a break would exceed the target for pauses of
+// streams at the worker. In between, the streams get their next tokens.
+func (o *candidate) delay(a Request) time.Duration {
+	if o.ownTime < minLongPrefill || o.backlog == 0 || o.ownTime+o.backlog <= longPrefillShare*o.maxPrefillPause() || o.tightStreams == 0 {
 		return 0
 	}
-	return min(milliseconds(o.all+stepPause), time.Duration(pauseShare*float64(a.Target)))
+	return min(milliseconds(o.backlog+decodePause), time.Duration(maxDelayShare*float64(a.Target)))
 }
--- a/placer/ending.go
+++ b/placer/ending.go
@@ -2,44 +2,48 @@
 
 import "time"
 
-// deadlineShare is the part of its time from which on a stream that its caller left was
-// given up at its deadline: word of that takes some of it.
-const deadlineShare = 0.9
+// deadlineCutShare is the part of its time from which a canceled stream counts as cut at its
+// deadline: the report of its end takes some of that time.
+const deadlineCutShare = 0.9
 
-// shareDuty sets for how much of its time each engine will read: what it was given lately,
-// and no more than the mean of all, as what comes next goes where there is less.
-func shareDuty(now time.Time, options []option) {
+// setPrefillShares predicts the part of its time for which each engine will prefill: as in the
+// recent past, and at most the mean of all engines, as further requests go where there is less
+// to prefill.
+func setPrefillShares(now time.Time, options []candidate) {
 	mean := 0.0
 	for i := range options {
 		o := &options[i]
-		o.duty = o.readLately(now) / inMilliseconds(readFades)
-		mean += o.duty / float64(len(options))
+		o.prefillShare = o.prefillLoad(now) / inMilliseconds(prefillLoadDecay)
+		mean += o.prefillShare / float64(len(options))
 	}
 	for i := range options {
-		options[i].duty = min(options[i].duty, mean, 1)
+		options[i].prefillShare = min(options[i].prefillShare, mean, 1)
 	}
 }
 
-// finish is the milliseconds until the last token that a caller expects of its stream, 0
-// where it expects none: while the engine reads, a token takes as long as a chunk of a
-// prompt.
-func (o *option) finish(a Request) float64 {
+// predictEnd returns the predicted time to the last token that a caller expects of its stream,
+// in milliseconds; 0 if it expects none. While the engine prefills, a token takes as long as a
+// chunk of a prompt.
+func (o *candidate) predictEnd(a Request) float64 {
 	if o.CacheTokens == 0 || a.Expected <= 0 {
 		return 0
 	}
-	step := stepTime + contextTime*float64(o.hold)/1000
-	reading := max(o.readTime(chunk, chunk), step)
-	return o.wait + float64(a.Expected)*(step+o.duty*(reading-step))
+	step := stepMillis + contextMillis*float64(o.hold)/1000
+	reading := max(o.prefillTime(chunkTokens, chunkTokens), step)
+	return o.wait + float64(a.Expected)*(step+o.prefillShare*(reading-step))
 }
 
-// end is when the stream's last token is expected: finish, as far as such predictions held
-// lately.
-func (o *option) end(a Request) time.Duration { return milliseconds(o.fit.lasting() * o.finish(a)) }
+// expectedEnd returns the expected time to the stream's last token: the prediction, corrected
+// by how far recent ones were off.
+func (o *candidate) expectedEnd(a Request) time.Duration {
+	return milliseconds(o.fit.endRatio() * o.predictEnd(a))
+}
 
-// learnEnd takes how long after it was sent a stream ended, or was given up at its deadline.
+// learnEnd learns from a stream that ended, or was cut at its deadline, how long after it was
+// sent that was.
 func (w *worker) learnEnd(f *flight, took float64, o Outcome) {
-	if f.ends <= 0 || o != Answered && (o != Canceled || took < deadlineShare*inMilliseconds(f.Left)) {
+	if f.predictedEnd <= 0 || o != Answered && (o != Canceled || took < deadlineCutShare*inMilliseconds(f.Left)) {
 		return
 	}
-	w.fit.learnEnd(f.ends, took)
+	w.fit.learnEnd(f.predictedEnd, took)
 }
--- a/placer/export_test.go
+++ b/placer/export_test.go
@@ -1,4 +1,4 @@
 package placer
 
-// EvictFreely has what engines would evict for a request cost nothing.
-func (v *View) EvictFreely() { v.evictsFreely = true }
+// IgnoreEvictions has what engines would evict for a request cost nothing.
+func (v *View) IgnoreEvictions() { v.ignoreEvictions = true }
--- a/placer/fit.go
+++ b/placer/fit.go
@@ -2,70 +2,70 @@
 
 import "math"
 
-// terms is the number of a fit's factors: of each request, of each thousand tokens
-// read, and of each million pairs of a token read with one before it.
-const terms = 3
+// termCount is the number of terms of a fit: a constant for each request, one per thousand
+// prefilled tokens, and one per million pairs of a prefilled token with a preceding one.
+const termCount = 3
 
-// factors is a value for each term; a product of two is milliseconds.
-type factors [terms]float64
+// factors holds a value for each term. The sum of products of two factors is a time in
+// milliseconds.
+type factors [termCount]float64
 
 const (
-	// fitFades is the part of its weight that a sample keeps when the next one comes: the
-	// last hundred count, a few seconds of a busy service.
-	fitFades = 0.99
-	// startWeight is how many samples each of the factors at the start counts for. It
-	// never fades, so that a factor that no sample tells of stays where it was.
-	startWeight = 0.2
-	// startScale is the milliseconds of such a sample.
-	startScale = 100.0
-	// sweeps is how often each factor is set anew for the others; a sample moves them so
-	// little that a few are enough.
-	sweeps = 8
-	// common is how many times longer, or shorter, than predicted a sample may be to count
-	// in full, and outlier is what more than that counts as. A worker that hangs must not
-	// make all others look slow.
-	common  = 1.5
-	outlier = 3.0
-	// fitLeast is the milliseconds added to what is predicted before samples are weighed
-	// by it: short ones are no more exact than that.
-	fitLeast = 20.0
-	// endStart is the milliseconds for which the prediction of streams' ends counts as it
-	// stands, until samples tell better: about one stream.
-	endStart = 1000.0
-	// rateStart is the prompt tokens that an engine reads in a millisecond, and
-	// restStart the milliseconds besides, until samples tell better: between what engines
-	// of all sizes seen take.
-	rateStart = 45.0
-	restStart = 12.0
+	// fitDecay is the weight that a sample keeps when the next one arrives: the last hundred
+	// count, a few seconds of a busy service.
+	fitDecay = 0.99
+	// priorWeight is the number of samples that each prior factor counts for. It does not
+	// decay, so that a factor without samples keeps its prior value.
+	priorWeight = 0.2
+	// priorScale is the time of a prior sample, in milliseconds.
+	priorScale = 100.0
+	// fitSweeps is the number of passes over the factors for each sample. A sample changes them
+	// so little that a few passes suffice.
+	fitSweeps = 8
+	// commonRatio is the ratio of a sample to its prediction, in either direction, up to which
+	// it counts in full; maxRatio is the ratio to which larger ones are clipped. A worker that
+	// hangs must not make all others look slow.
+	commonRatio = 1.5
+	maxRatio    = 3.0
+	// minFitMillis is added to the prediction, in milliseconds, before a sample is weighted by
+	// it: short times are no more exact than that.
+	minFitMillis = 20.0
+	// priorEndMillis is the weight, in milliseconds, of the uncorrected prediction of streams'
+	// ends, until samples correct it: about one stream.
+	priorEndMillis = 1000.0
+	// priorRate is the number of prompt tokens that an engine prefills per millisecond, and
+	// priorOverhead the additional milliseconds per request, until samples correct them. They
+	// lie between those of engines of all known sizes.
+	priorRate     = 45.0
+	priorOverhead = 12.0
 )
 
 var (
-	// factorStart is the factors until samples tell better.
-	factorStart = factors{restStart, 1000 * (1/rateStart + stepTime/chunk), 0}
-	// factorLeast and factorMost bound what is fitted: engines read 1 to 1,000 tokens a
-	// millisecond, and nothing takes less than no time.
-	factorLeast = factors{0, 1, 0}
-	factorMost  = factors{1000, 1000, 10}
-	// factorReach is the value of each term in the start's samples: about those of a
-	// common request.
-	factorReach = factors{1, 4, 20}
+	// priorFactors are the factors before any sample.
+	priorFactors = factors{priorOverhead, 1000 * (1/priorRate + stepMillis/chunkTokens), 0}
+	// minFactors and maxFactors bound the factors: engines prefill 1 to 1,000 tokens per
+	// millisecond, and no time is negative.
+	minFactors = factors{0, 1, 0}
+	maxFactors = factors{1000, 1000, 10}
+	// priorTerms are the terms of the prior samples: about those of a common request.
+	priorTerms = factors{1, 4, 20}
 )
 
-// fit is how long the engines of a service take to a request's first event when they
-// have nothing else to read: a time for each request, one for each token read, and one
-// for each pair of a token with those before it, by weighted least squares from what
-// was seen. An error counts as a part of what was predicted.
+// fit predicts how long the engines of a service take to a request's first event if they have
+// nothing else to prefill: a constant, a time per prefilled token, and a time per pair of a
+// token with a preceding one. The factors are fitted to samples by weighted least squares of
+// the relative error.
 type fit struct {
-	square [terms]factors // sums of products of the terms, fading
-	right  factors        // sums of the terms times what was seen, fading
-	factor factors
+	products [termCount]factors // decaying sums of the products of terms
+	moments  factors            // decaying sums of terms multiplied by the measured time
+	factor   factors
 
-	ends, ended float64 // sums of times until streams' last events, predicted and seen, fading
+	predictedEnds, actualEnds float64 // decaying sums of predicted and actual times to streams' last events
 }
 
-func newFit() *fit { return &fit{factor: factorStart} }
+func newFit() *fit { return &fit{factor: priorFactors} }
 
-// termsOf is the terms of a request of so many tokens that has so many of them read.
+// termsOf returns the terms of a request with so many tokens, of which read are prefilled.
 func termsOf(read, tokens int) factors {
 	n := float64(read)
 	return factors{1, n / 1e3, n * math.Max(float64(tokens)-n/2, 0) / 1e6}
@@ -79,60 +79,62 @@
 	return sum
 }
 
-// reading is the milliseconds that reading takes.
-func (f *fit) reading(read, tokens int) float64 {
+// prefillTime returns the time of a prefill in milliseconds, without the overhead.
+func (f *fit) prefillTime(read, tokens int) float64 {
 	x := termsOf(read, tokens)
 	x[0] = 0
 	return f.predict(x)
 }
 
-// rest is the milliseconds besides reading until a first event.
-func (f *fit) rest() float64 { return f.factor[0] }
+// overhead returns the milliseconds to a first event besides the prefill.
+func (f *fit) overhead() float64 { return f.factor[0] }
 
-// learn takes the milliseconds that a request took to its first event at an engine that
-// read nothing else meanwhile.
+// learn updates the fit with the measured milliseconds to the first event of a request that was
+// prefilled alone.
 func (f *fit) learn(read, tokens int, took float64) {
 	x := termsOf(read, tokens)
 	predicted := f.predict(x)
-	seen := math.Min(math.Max(took, predicted/outlier), predicted*outlier)
-	weight := 1 / squared(predicted+fitLeast)
-	if ratio := math.Max(seen/predicted, predicted/seen); ratio > common {
-		weight *= squared(common / ratio)
+	seen := math.Min(math.Max(took, predicted/maxRatio), predicted*maxRatio)
+	weight := 1 / squared(predicted+minFitMillis)
+	if ratio := math.Max(seen/predicted, predicted/seen); ratio > commonRatio {
+		weight *= squared(commonRatio / ratio)
 	}
 	for i := range x {
 		for j := range x {
-			f.square[i][j] = fitFades*f.square[i][j] + weight*x[i]*x[j]
+			f.products[i][j] = fitDecay*f.products[i][j] + weight*x[i]*x[j]
 		}
-		f.right[i] = fitFades*f.right[i] + weight*x[i]*seen
+		f.moments[i] = fitDecay*f.moments[i] + weight*x[i]*seen
 	}
-	for range sweeps {
+	for range fitSweeps {
 		f.sweep()
 	}
 }
 
-// learnEnd takes until when a stream was predicted to last, and until when it did.
+// learnEnd updates the fit with the predicted and the actual duration of a stream.
 func (f *fit) learnEnd(predicted, took float64) {
-	f.ends = fitFades*f.ends + predicted
-	f.ended = fitFades*f.ended + took
+	f.predictedEnds = fitDecay*f.predictedEnds + predicted
+	f.actualEnds = fitDecay*f.actualEnds + took
 }
 
-// lasting is how many times longer than predicted streams last, as seen lately. Failure:
-// what is read while a stream runs is less than was read before it, as floods ebb, and
-// streams are refused that would have ended in time.
-func (f *fit) lasting() float64 { return (f.ended + endStart) / (f.ends + endStart) }
+// endRatio returns the ratio of actual to predicted durations of recent streams. Without it,
+// streams are refused that would end in time: as a flood ebbs, less is prefilled while a stream
+// runs than before it.
+func (f *fit) endRatio() float64 {
+	return (f.actualEnds + priorEndMillis) / (f.predictedEnds + priorEndMillis)
+}
 
-// sweep sets each factor to the best within its bounds, given the others (projected
+// sweep sets each factor to its optimum within the bounds, given the others (projected
 // Gauss-Seidel).
 func (f *fit) sweep() {
 	for i := range f.factor {
-		own := startWeight * squared(factorReach[i]/startScale)
-		top, bottom := f.right[i]+own*factorStart[i], f.square[i][i]+own
+		own := priorWeight * squared(priorTerms[i]/priorScale)
+		top, bottom := f.moments[i]+own*priorFactors[i], f.products[i][i]+own
 		for j := range f.factor {
 			if j != i {
-				top -= f.square[i][j] * f.factor[j]
+				top -= f.products[i][j] * f.factor[j]
 			}
 		}
-		f.factor[i] = math.Min(math.Max(top/bottom, factorLeast[i]), factorMost[i])
+		f.factor[i] = math.Min(math.Max(top/bottom, minFactors[i]), maxFactors[i])
 	}
 }
 
--- a/placer/flight.go
+++ b/placer/flight.go
@@ -3,48 +3,49 @@
 import "time"
 
 const (
-	// overdueMost is how long after its end a flight that nobody ended is kept.
-	overdueMost = time.Second
-	// overFor is how long it is remembered that a request ended of which nothing else was
-	// heard: words of different hosts pass one another by less.
-	overFor = 2 * time.Second
+	// maxOverdue is how long after its deadline a flight is kept whose end was not reported.
+	maxOverdue = time.Second
+	// endedEarlyFor is how long the end of an unknown request is remembered. Updates of
+	// different hosts overtake each other by less than that.
+	endedEarlyFor = 2 * time.Second
 )
 
-// flight is a Flight as the view keeps it.
+// flight is a Flight with the view's own data.
 type flight struct {
 	Flight
-	from   string // host; "" for this one
-	index  int    // among its worker's
-	at     time.Time
-	unread float64       // milliseconds of reading that are left, as predicted
-	readBy time.Time     // when it must have been read; zero before
-	alone  bool          // nothing else was read from its sending to its first event
-	begun  bool          // its first event was seen
-	rounds float64       // of work that its plain worker needed to come to its answer, as predicted
-	until  time.Time     // its host is gone, and it must have ended by then; zero else
-	token  float64       // milliseconds that a token took as it was sent
-	ends   float64       // milliseconds until its last event, as predicted by this host; 0 where that is not known
-	took   time.Duration // until its first event or its answer, as its host saw; 0 before
+	host         string // sender; "" is this host
+	index        int    // in its worker's flights
+	sentAt       time.Time
+	prefillLeft  float64       // predicted milliseconds of prefill left
+	prefilledAt  time.Time     // predicted end of its prefill; zero before that
+	alone        bool          // nothing else was prefilled between its sending and its first event
+	begun        bool          // its first event was seen
+	rounds       float64       // predicted time to its plain worker's answer, in times of one answer
+	expiresAt    time.Time     // predicted end, if its host is lost; zero otherwise
+	tokenTime    float64       // milliseconds per token when it was sent
+	predictedEnd float64       // milliseconds to its last event, predicted by this host; 0 if unknown
+	took         time.Duration // time to its first event or answer, measured by its host; 0 before that
 }
 
-// Receive takes a flight that another host told of.
+// Receive adds a flight that another host reported.
 func (v *View) Receive(now time.Time, from string, f Flight) {
-	x := v.hear(now, from, f)
+	x := v.addReceived(now, from, f)
 	if x == nil {
 		return
 	}
 	if w := v.workers[f.Worker]; w != nil {
-		v.offers.note(now, OfferedLoad{Service: w.Service, Tier: f.Tier, Count: 1, Output: f.Output, Prefill: milliseconds(x.unread)})
+		v.offered.note(now, OfferedLoad{Service: w.Service, Tier: f.Tier, Count: 1, Output: f.Output, Prefill: milliseconds(x.prefillLeft)})
 	}
 }
 
-// hear counts a flight that another host told of; nil where it is over or known.
-func (v *View) hear(now time.Time, from string, f Flight) *flight {
-	v.told = now
-	if _, over := v.over[f.ID]; over {
-		// Failure: one host tells that a request was sent, another that it ended, and the
-		// second word comes first. Taken in that order, the request never ends.
-		delete(v.over, f.ID)
+// addReceived adds a flight that another host reported. It returns nil if the flight is over or
+// already known.
+func (v *View) addReceived(now time.Time, from string, f Flight) *flight {
+	v.lastReceived = now
+	if _, over := v.endedEarly[f.ID]; over {
+		// One host reports that a request was sent, another that it ended, and the second
+		// report arrived first. Adding the flight now would count it for good.
+		delete(v.endedEarly, f.ID)
 		return nil
 	}
 	if v.flights[f.ID] != nil {
@@ -53,105 +54,104 @@
 	return v.add(now, from, f)
 }
 
-// add counts a flight at its worker, and returns it as the view keeps it.
+// add counts a flight at its worker, and returns the view's record of it.
 func (v *View) add(now time.Time, from string, f Flight) *flight {
-	x := &flight{Flight: f, from: from, at: now}
+	x := &flight{Flight: f, host: from, sentAt: now}
 	v.flights[f.ID] = x
 	if w := v.workers[f.Worker]; w != nil {
-		w.take(now, x)
-		v.give(now, w, x)
+		w.add(now, x)
+		v.recordPrefill(now, w, x)
 	}
 	return x
 }
 
-// Begun takes that a flight's first event was seen now.
+// Begun records that a flight's first event was seen now.
 func (v *View) Begun(now time.Time, id uint64) {
 	if f := v.flights[id]; f != nil {
-		v.BegunAfter(now, id, now.Sub(f.at))
+		v.BegunAfter(now, id, now.Sub(f.sentAt))
 	}
 }
 
-// BegunAfter takes that a flight's first event was seen so long after it was sent,
-// wherever that was. What one host sees teaches all: in a large fleet a decider sends
-// next to nothing itself.
+// BegunAfter records that a flight's first event was seen so long after it was sent, by
+// whichever host. The measurements of all hosts are learned from: in a large fleet, a host that
+// decides sends few requests itself.
 func (v *View) BegunAfter(now time.Time, id uint64, took time.Duration) {
 	f := v.flights[id]
 	if f == nil || f.begun {
 		return
 	}
 	f.begun, f.took = true, took
-	v.suspects.Alive(now, f.Worker, f.answeredAt(took))
+	v.quarantine.Alive(now, f.Worker, f.earliestAnswer(took))
 	if w := v.workers[f.Worker]; w != nil && w.has(f) {
-		w.began(now, f, took)
+		w.firstEvent(now, f, took)
 	}
 }
 
-// Ended takes that a flight is over.
+// Ended records that a flight ended.
 func (v *View) Ended(now time.Time, id uint64, o Outcome) {
 	f := v.flights[id]
 	if f == nil {
-		v.over[id] = now
+		v.endedEarly[id] = now
 		return
 	}
-	v.suspect(now, f, o)
+	v.recordSuspicion(now, f, o)
 	w := v.forget(now, f)
 	if w == nil {
 		return
 	}
-	w.judge(now, o)
+	w.recordOutcome(now, o)
 	v.learnLength(now, w, f, o)
-	w.learnEnd(f, inMilliseconds(now.Sub(f.at)), o)
+	w.learnEnd(f, inMilliseconds(now.Sub(f.sentAt)), o)
 	if w.CacheTokens == 0 && o == Answered {
 		v.learnPlain(w.Service, f)
 	}
 }
 
-// forget takes a flight off and returns the worker that had it; nil where the view knows
-// none, or only one that started after it was sent.
+// forget removes a flight and returns its worker. It returns nil if the view does not know the
+// worker, or only an instance that started after the flight was sent.
 func (v *View) forget(now time.Time, f *flight) *worker {
 	delete(v.flights, f.ID)
 	w := v.workers[f.Worker]
 	if w == nil || !w.has(f) {
 		return nil
 	}
-	w.drop(now, f)
+	w.remove(now, f)
 	return w
 }
 
-// HostLost takes that a host is gone. Workers drop requests whose connections end, so that
-// what it had under way at plain services is forgotten. Failure: the connections of a host
-// that lost its power do not end, and engines go on with its streams; forgotten at once,
-// their slots are given away, and streams are taken off for it. So these count until they
-// must have ended.
+// HostLost handles the failure of a host. Workers drop requests whose connections close, so its
+// flights to plain services are removed. But the connections of a host without power do not
+// close, and engines go on with its streams; if those were removed immediately, their slots
+// would be given away and streams would be preempted. They count until their predicted end.
 func (v *View) HostLost(now time.Time, host string) {
 	for _, f := range v.flights {
-		if f.from != host || host == "" {
+		if f.host != host || host == "" {
 			continue
 		}
 		if w := v.workers[f.Worker]; w != nil && w.CacheTokens > 0 && w.has(f) {
-			f.until = f.at.Add(v.lasts(w, f))
+			f.expiresAt = f.sentAt.Add(v.expectedDuration(w, f))
 			continue
 		}
 		v.forget(now, f)
 	}
 }
 
-// lasts is how long after it was sent a flight to an engine is expected to end.
-func (v *View) lasts(w *worker, f *flight) time.Duration {
-	tokens := float64(f.Output) * v.offers.of(w.Service, f.Tier).told()
-	return min(milliseconds(f.unread+w.rest()+tokens*f.token), f.Left)
+// expectedDuration returns the expected time from sending to end of a flight to an engine.
+func (v *View) expectedDuration(w *worker, f *flight) time.Duration {
+	tokens := float64(f.Output) * v.offered.tier(w.Service, f.Tier).outputRatio()
+	return min(milliseconds(f.prefillLeft+w.overhead()+tokens*f.tokenTime), f.Left)
 }
 
-// Sweep forgets flights that must be over, as what other hosts said of their end
+// Sweep removes flights that must be over although their end was not reported, as the update
 // was lost.
 func (v *View) Sweep(now time.Time) {
-	for id, at := range v.over {
-		if now.Sub(at) > overFor {
-			delete(v.over, id)
+	for id, at := range v.endedEarly {
+		if now.Sub(at) > endedEarlyFor {
+			delete(v.endedEarly, id)
 		}
 	}
 	for _, f := range v.flights {
-		if now.Sub(f.at) > f.Left+overdueMost || !f.until.IsZero() && now.After(f.until) {
+		if now.Sub(f.sentAt) > f.Left+maxOverdue || !f.expiresAt.IsZero() && now.After(f.expiresAt) {
 			v.forget(now, f)
 		}
 	}
--- a/placer/limiting.go
+++ b/placer/limiting.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// limitLeast is the requests a second that a worker gets at least, whatever it names:
-	// from answers alone is known when it names none any more.
-	limitLeast = 0.25
-	// limitBurst is the time of its rate that a worker may get at once, and one request at
-	// least.
+	// minLimit is the minimum rate, in requests per second, that a worker gets whatever limit
+	// it states. Only its answers show that it no longer states one.
+	minLimit = 0.25
+	// limitBurst is the time for which a worker's rate may accumulate. The burst is one request
+	// at least.
 	limitBurst = 500 * time.Millisecond
 )
 
-// limit is how many requests a second a worker takes from all hosts together, as a bucket of
-// what it may get now. The zero limit is none.
+// limit is a token bucket for the requests per second that a worker accepts from all hosts
+// together. The zero limit is unlimited.
 type limit struct {
-	rate float64 // requests a second; 0 is none
+	rate float64 // requests per second; 0 is unlimited
 	room float64 // requests, as of at
 	at   time.Time
 }
@@ -32,18 +32,18 @@
 	default:
 		l.fill(now)
 	}
-	l.rate = max(rate, limitLeast)
+	l.rate = max(rate, minLimit)
 }
 
-// most is the requests that may come at once.
-func (l *limit) most() float64 { return max(1, l.rate*limitBurst.Seconds()) }
+// burst returns the maximum number of requests at once.
+func (l *limit) burst() float64 { return max(1, l.rate*limitBurst.Seconds()) }
 
 func (l *limit) fill(now time.Time) {
-	l.room = min(l.room+l.rate*max(now.Sub(l.at).Seconds(), 0), l.most())
+	l.room = min(l.room+l.rate*max(now.Sub(l.at).Seconds(), 0), l.burst())
 	l.at = now
 }
 
-// take counts a request, whoever sent it.
+// take counts a request of any host.
 func (l *limit) take(now time.Time) {
 	if l.rate > 0 {
 		l.fill(now)
@@ -51,7 +51,7 @@
 	}
 }
 
-// wait is how long until the worker may get a request; 0 is now.
+// wait returns the time until the worker may get a request; 0 is now.
 func (l *limit) wait(now time.Time) time.Duration {
 	if l.rate == 0 {
 		return 0
@@ -63,16 +63,16 @@
 	return time.Duration((1 - l.room) / l.rate * float64(time.Second))
 }
 
-// WorkerLimit is a worker and how many requests a second it takes.
+// WorkerLimit is the number of requests per second that a worker accepts.
 type WorkerLimit struct {
 	Worker string
-	Rate   float64 // 0 is any number, from now on
+	Rate   float64 // 0 ends a limit
 }
 
-// UpdateLimit takes how many requests a second a worker named as it answered a request; 0 where it
-// named none. Known is what it was known to name as the request was placed, here or by the
-// host that decided: an answer to what was sent before a limit was known tells nothing of
-// its end. It returns true where other hosts may not know it.
+// UpdateLimit records the limit that a worker stated in an answer; rate is 0 if it stated none.
+// Known is the limit known when the request was placed, here or by the host that decided: the
+// answer to a request that was sent before a limit was known does not end the limit.
+// UpdateLimit reports whether other hosts may not know the limit.
 func (v *View) UpdateLimit(now time.Time, worker string, rate, known float64) bool {
 	w := v.workers[worker]
 	if w == nil || rate <= 0 && known <= 0 {
@@ -83,17 +83,17 @@
 	return w.limit.rate != was || w.limit.rate != known
 }
 
-// ReceiveLimit takes what a worker named to another host.
+// ReceiveLimit applies a limit that a worker stated to another host.
 func (v *View) ReceiveLimit(now time.Time, n WorkerLimit) {
 	if w := v.workers[n.Worker]; w != nil {
 		w.limit.set(now, n.Rate)
 	}
 }
 
-// Limits is the workers that name how many requests a second they take.
+// Limits returns the workers that state a limit.
 func (v *View) Limits() []WorkerLimit {
 	var out []WorkerLimit
-	for _, w := range v.order {
+	for _, w := range v.sorted {
 		if w.limit.rate > 0 {
 			out = append(out, WorkerLimit{Worker: w.Name, Rate: w.limit.rate})
 		}
@@ -101,7 +101,7 @@
 	return out
 }
 
-// RateLimit is how many requests a second a worker takes; 0 is any number.
+// RateLimit returns the requests per second that a worker accepts; 0 is unlimited.
 func (v *View) RateLimit(worker string) float64 {
 	if w := v.workers[worker]; w != nil {
 		return w.limit.rate
@@ -109,13 +109,12 @@
 	return 0
 }
 
-// spent says that the worker got as many requests as it takes.
-func (o *option) spent() bool { return o.free > 0 }
+// atLimit reports whether the worker has had as many requests as it accepts.
+func (o *candidate) atLimit() bool { return o.limitWait > 0 }
 
-// limited refuses a request that no worker may get for the limits that they name: where
-// each of them got as many as it takes, or where all name one and more urgent routes ask
-// for all that they take.
-func (v *View) limited(now time.Time, options []option, a Request) *Refusal {
+// refuseByLimit refuses a request that no worker may get because of the limits: if all of them
+// are used up, or if all workers have one and more urgent routes ask for all that they accept.
+func (v *View) refuseByLimit(now time.Time, options []candidate, a Request) *Refusal {
 	if len(options) == 0 {
 		return nil
 	}
@@ -124,33 +123,33 @@
 		o := &options[i]
 		all = all && o.limit.rate > 0
 		rate += o.limit.rate
-		soonest = min(soonest, o.free)
+		soonest = min(soonest, o.limitWait)
 	}
 	switch {
 	case soonest > 0:
-		return refusal("limit", soonest)
+		return newRefusal("limit", soonest)
 	case all && v.urgentRate(now, a) >= rate:
-		return refusal("limit", time.Duration(float64(time.Second)/rate))
+		return newRefusal("limit", time.Duration(float64(time.Second)/rate))
 	}
 	return nil
 }
 
-// urgentRate is the requests a second that are asked for of more urgent routes.
+// urgentRate returns the requests per second of more urgent routes.
 func (v *View) urgentRate(now time.Time, a Request) float64 {
 	rate := 0.0
-	for i := range v.offers[a.Service] {
-		if x := &v.offers[a.Service][i]; x.tier < a.Tier {
-			rate += x.now(now)
+	for i := range v.offered[a.Service] {
+		if x := &v.offered[a.Service][i]; x.tier < a.Tier {
+			rate += x.currentRate(now)
 		}
 	}
 	return rate
 }
 
-// unspent is the options that may get a request.
-func unspent(options []option) []option {
+// withinLimit returns the candidates that may get a request.
+func withinLimit(options []candidate) []candidate {
 	out := options[:0]
 	for i := range options {
-		if !options[i].spent() {
+		if !options[i].atLimit() {
 			out = append(out, options[i])
 		}
 	}
--- a/placer/line.go
+++ b/placer/line.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// line is the prompts that an engine has still to read, in the order in which it will:
-// the one that it is reading, which nothing interrupts; then the more urgent before the
-// less urgent, and among equals those that came first. The zero line is empty.
-type line struct {
+// prefillQueue holds the prompts that an engine has yet to prefill, in its order: the one under
+// way, which is not interrupted; then the others by urgency, and by arrival among equals. The
+// zero prefillQueue is empty.
+type prefillQueue struct {
 	flights []*flight
-	since   time.Time // up to which the reading of the first is counted
+	since   time.Time // time up to which the prefill of the first is counted
 }
 
-// add puts a flight in its place.
-func (l *line) add(now time.Time, f *flight) {
+// add inserts a flight in order.
+func (l *prefillQueue) add(now time.Time, f *flight) {
 	l.advance(now)
 	at := len(l.flights)
 	for at > 1 && l.flights[at-1].Rank > f.Rank {
@@ -24,60 +24,61 @@
 	l.flights = slices.Insert(l.flights, at, f)
 }
 
-// advance takes off what must have been read by now.
-func (l *line) advance(now time.Time) {
+// advance removes what must have been prefilled by now.
+func (l *prefillQueue) advance(now time.Time) {
 	spent := inMilliseconds(now.Sub(l.since))
 	l.since = now
 	for len(l.flights) > 0 && spent > 0 {
 		f := l.flights[0]
-		if f.unread > spent {
-			f.unread -= spent
+		if f.prefillLeft > spent {
+			f.prefillLeft -= spent
 			return
 		}
-		spent -= f.unread
-		f.unread = 0
-		f.readBy = now.Add(-milliseconds(spent))
+		spent -= f.prefillLeft
+		f.prefillLeft = 0
+		f.prefilledAt = now.Add(-milliseconds(spent))
 		l.flights = l.flights[1:]
 	}
 }
 
-// remove takes a flight off that was read, or will not be.
-func (l *line) remove(now time.Time, f *flight) {
+// remove removes a flight that was prefilled or will not be.
+func (l *prefillQueue) remove(now time.Time, f *flight) {
 	l.advance(now)
 	if i := slices.Index(l.flights, f); i >= 0 {
 		l.flights = slices.Delete(l.flights, i, i+1)
 	}
 }
 
-// before is the milliseconds of reading that come before a request of a rank.
-func (l *line) before(now time.Time, rank int) float64 {
+// timeAhead returns the milliseconds of prefill ahead of a request of a rank.
+func (l *prefillQueue) timeAhead(now time.Time, rank int) float64 {
 	l.advance(now)
 	sum := 0.0
 	for i, f := range l.flights {
 		if i > 0 && f.Rank > rank {
 			break
 		}
-		sum += f.unread
+		sum += f.prefillLeft
 	}
 	return sum
 }
 
-// equals is the milliseconds of reading of what is as urgent as a rank, or more.
-func (l *line) equals(now time.Time, rank int) float64 {
+// timeUpToRank returns the milliseconds of prefill of flights that are at least as urgent as a
+// rank.
+func (l *prefillQueue) timeUpToRank(now time.Time, rank int) float64 {
 	l.advance(now)
 	sum := 0.0
 	for _, f := range l.flights {
 		if f.Rank <= rank {
-			sum += f.unread
+			sum += f.prefillLeft
 		}
 	}
 	return sum
 }
 
-// clear takes that the engine has read all.
-func (l *line) clear(now time.Time) {
+// clear empties the queue once the engine has prefilled all.
+func (l *prefillQueue) clear(now time.Time) {
 	l.flights, l.since = nil, now
 }
 
-// lastRank is after every rank: what waits before it is all that waits.
-const lastRank = math.MaxInt
+// maxRank is less urgent than every rank: all flights are ahead of it.
+const maxRank = math.MaxInt
--- a/placer/load_test.go
+++ b/placer/load_test.go
@@ -147,7 +147,7 @@
 			return all, read
 		}
 		with, read := served("counted", func(*placer.View) {})
-		without, more := served("not counted", (*placer.View).EvictFreely)
+		without, more := served("not counted", (*placer.View).IgnoreEvictions)
 		Expect(read).To(BeNumerically("<", more))
 		Expect(with.inTime).To(BeNumerically(">", without.inTime))
 		Expect(with.refused).To(BeNumerically("<", without.refused))
--- a/placer/memory.go
+++ b/placer/memory.go
@@ -2,25 +2,25 @@
 
 import "container/list"
 
-// memory is the parts of prompts that an engine is believed to keep, the least
-// recently used first. The zero memory is empty.
-type memory struct {
-	order  list.List // of *kept
+// prefixCache holds the prompt parts that an engine is believed to keep, least recently used
+// first. The zero prefixCache is empty.
+type prefixCache struct {
+	order  list.List // of *cachedPart
 	byKey  map[uint64]*list.Element
 	tokens int
 }
 
-// kept is one part that an engine keeps.
-type kept struct {
+// cachedPart is one part that an engine keeps.
+type cachedPart struct {
 	key    uint64
 	tokens int
-	by     *flight // that had it read
-	shared bool    // several requests had it, or others build on it
+	owner  *flight // flight for which it was prefilled
+	shared bool    // several requests had it, or other parts build on it
 }
 
-// covered is the tokens of a prompt's first parts that are kept. A part is of use
-// only where all parts before it are kept.
-func (m *memory) covered(parts []Part) int {
+// covered returns the tokens of a prompt's leading parts that are cached. A part is only of use
+// if all parts before it are cached.
+func (m *prefixCache) covered(parts []Part) int {
 	n := 0
 	for _, p := range parts {
 		if m.byKey[p.Key] == nil {
@@ -31,13 +31,13 @@
 	return n
 }
 
-// present is the same of parts that must be there by now: those that come with a
-// request which has had no event yet can't be fetched from there.
-func (m *memory) present(parts []Part) int {
+// fetchable is like covered, for parts that must be present by now. Those of a request without
+// a first event can't be fetched yet.
+func (m *prefixCache) fetchable(parts []Part) int {
 	n := 0
 	for _, p := range parts {
 		e := m.byKey[p.Key]
-		if e == nil || !e.Value.(*kept).by.begun {
+		if e == nil || !e.Value.(*cachedPart).owner.begun {
 			break
 		}
 		n += p.Tokens
@@ -45,22 +45,22 @@
 	return n
 }
 
-// forget takes that a request which was to bring parts ended before its first event:
-// whether they were read is not known.
-func (m *memory) forget(f *flight) {
+// dropUnread removes the parts of a request that ended before its first event: whether they
+// were prefilled is unknown.
+func (m *prefixCache) dropUnread(f *flight) {
 	for _, p := range f.Parts {
-		if e := m.byKey[p.Key]; e != nil && e.Value.(*kept).by == f {
+		if e := m.byKey[p.Key]; e != nil && e.Value.(*cachedPart).owner == f {
 			m.remove(e)
 		}
 	}
 }
 
-// shared is how many of the least recently used tokens others use: parts that several
-// requests had, or on which others build. What one request alone had is of no use again.
-func (m *memory) shared(tokens int) int {
+// sharedTokens returns how many of the least recently used tokens are in parts that several
+// requests had or that other parts build on. Parts of a single request are not used again.
+func (m *prefixCache) sharedTokens(tokens int) int {
 	n := 0
 	for e := m.order.Front(); e != nil && tokens > 0; e = e.Next() {
-		k := e.Value.(*kept)
+		k := e.Value.(*cachedPart)
 		if k.shared {
 			n += min(k.tokens, tokens)
 		}
@@ -69,29 +69,29 @@
 	return n
 }
 
-func (m *memory) remove(e *list.Element) {
-	k := m.order.Remove(e).(*kept)
+func (m *prefixCache) remove(e *list.Element) {
+	k := m.order.Remove(e).(*cachedPart)
 	delete(m.byKey, k.key)
 	m.tokens -= k.tokens
 }
 
-// add notes that a request used its prompt's parts, and forgets the least recently
-// used ones beyond room tokens.
-func (m *memory) add(f *flight, room int) {
+// add records that a request uses its prompt's parts, and evicts the least recently used ones
+// beyond room tokens.
+func (m *prefixCache) add(f *flight, room int) {
 	parts := f.Parts
 	if m.byKey == nil {
 		m.byKey = map[uint64]*list.Element{}
 	}
-	// From the last to the first: the parts that others build on stay longest.
+	// In reverse order: the parts that others build on are kept longest.
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
 		if e := m.byKey[p.Key]; e != nil {
 			m.order.MoveToBack(e)
-			k := e.Value.(*kept)
-			k.shared = k.shared || k.by != f
+			k := e.Value.(*cachedPart)
+			k.shared = k.shared || k.owner != f
 			continue
 		}
-		m.byKey[p.Key] = m.order.PushBack(&kept{key: p.Key, tokens: p.Tokens, by: f, shared: i < len(parts)-1})
+		m.byKey[p.Key] = m.order.PushBack(&cachedPart{key: p.Key, tokens: p.Tokens, owner: f, shared: i < len(parts)-1})
 		m.tokens += p.Tokens
 	}
 	for m.tokens > room && m.order.Len() > 0 {
--- a/placer/offer.go
+++ b/placer/offer.go
@@ -6,137 +6,141 @@
 )
 
 const (
-	// offerFades is the time in which the rate of what was asked for falls to a third: a
-	// flood is known in a part of the time in which it fills slots.
-	offerFades = 500 * time.Millisecond
-	// givenFades is the same of the reading that engines were given: longer than one long
-	// prompt is read.
-	givenFades = time.Second
-	// offerLeast is the requests a second below which a rate counts as nothing.
-	offerLeast = 0.01
-	// shapeWeight is the part of a new sample in what one request is like.
-	shapeWeight = 0.05
-	// lengthStart is the tokens of output for which expectations count as they are, until
-	// answers tell better: of about ten.
-	lengthStart = 1000.0
+	// offeredDecay is the time constant with which the rate of requests is forgotten. A flood
+	// is noticed in a fraction of the time in which it fills slots.
+	offeredDecay = 500 * time.Millisecond
+	// assignedDecay is the same for the prefill work assigned to engines: longer than the
+	// prefill of one long prompt.
+	assignedDecay = time.Second
+	// minOfferedRate is the rate, in requests per second, below which a rate counts as 0.
+	minOfferedRate = 0.01
+	// offeredSampleWeight is the weight of a new request in the average request of a route.
+	offeredSampleWeight = 0.05
+	// priorLength is the weight, in output tokens, of the uncorrected expectation of output,
+	// until answers correct it: about ten answers.
+	priorLength = 1000.0
 )
 
-// OfferedLoad is requests of a service's routes of a tier that were asked for.
+// OfferedLoad is a number of requests to a service's routes of one tier, whether placed or
+// refused.
 type OfferedLoad struct {
 	Service string
 	Tier    int
 	Count   int           // requests
-	Output  int           // tokens of output that all of them expect
-	Prefill time.Duration // that an engine would have to read for all of them
+	Output  int           // expected output tokens of all of them
+	Prefill time.Duration // time that an engine would take to prefill all of them
 }
 
-// offered is what is asked for of a service's routes of a tier.
-type offered struct {
-	tier   int
-	rate   float64 // requests a second, as of at
-	at     time.Time
-	output float64 // tokens of output that one expects
-	read   float64 // milliseconds of reading that one asks for
+// tierLoad is the offered load of a service's routes of one tier.
+type tierLoad struct {
+	tier    int
+	rate    float64 // requests per second, as of at
+	at      time.Time
+	output  float64 // expected output tokens per request
+	prefill float64 // milliseconds of prefill per request
 
-	given   float64 // milliseconds of reading a second that engines were given, as of givenAt
-	givenAt time.Time
+	assigned   float64 // milliseconds of prefill per second assigned to engines, as of assignedAt
+	assignedAt time.Time
 
-	expected, seen float64 // sums of the tokens that streams were to have, and that they had, fading
+	expected, actual float64 // decaying sums of output tokens
 }
 
-// offers is what is asked for, by service.
-type offers map[string][]offered
+// tierLoads is the offered load, by service.
+type tierLoads map[string][]tierLoad
 
-// of is what is asked for of a service's routes of a tier.
-func (o offers) of(service string, tier int) *offered {
+// tier returns the offered load of a service's routes of one tier.
+func (o tierLoads) tier(service string, tier int) *tierLoad {
 	list := o[service]
 	for i := range list {
 		if list[i].tier == tier {
 			return &list[i]
 		}
 	}
-	o[service] = append(list, offered{tier: tier})
+	o[service] = append(list, tierLoad{tier: tier})
 	return &o[service][len(list)]
 }
 
-// note takes that requests were asked for.
-func (o offers) note(now time.Time, more OfferedLoad) {
+// note adds requests to the offered load.
+func (o tierLoads) note(now time.Time, more OfferedLoad) {
 	if more.Count <= 0 {
 		return
 	}
-	x := o.of(more.Service, more.Tier)
+	x := o.tier(more.Service, more.Tier)
 	count := float64(more.Count)
 	output, read := float64(more.Output)/count, inMilliseconds(more.Prefill)/count
 	if x.at.IsZero() {
-		x.output, x.read = output, read
+		x.output, x.prefill = output, read
 	}
-	x.rate = x.now(now) + count/offerFades.Seconds()
+	x.rate = x.currentRate(now) + count/offeredDecay.Seconds()
 	x.at = now
-	weight := 1 - math.Pow(1-shapeWeight, count)
+	weight := 1 - math.Pow(1-offeredSampleWeight, count)
 	x.output += weight * (output - x.output)
-	x.read += weight * (read - x.read)
+	x.prefill += weight * (read - x.prefill)
 }
 
-// now is the requests a second that are asked for.
-func (x *offered) now(now time.Time) float64 {
-	rate := x.rate * math.Exp(-now.Sub(x.at).Seconds()/offerFades.Seconds())
-	if rate < offerLeast {
+// currentRate returns the requests per second, as of now.
+func (x *tierLoad) currentRate(now time.Time) float64 {
+	rate := x.rate * math.Exp(-now.Sub(x.at).Seconds()/offeredDecay.Seconds())
+	if rate < minOfferedRate {
 		return 0
 	}
 	return rate
 }
 
-// give takes that an engine was given so many milliseconds of reading.
-func (x *offered) give(now time.Time, read float64) {
-	x.given = x.givenNow(now) + read/givenFades.Seconds()
-	x.givenAt = now
+// assign adds milliseconds of prefill to the work assigned to engines.
+func (x *tierLoad) assign(now time.Time, read float64) {
+	x.assigned = x.currentAssigned(now) + read/assignedDecay.Seconds()
+	x.assignedAt = now
 }
 
-// givenNow is the milliseconds of reading a second that engines are given.
-func (x *offered) givenNow(now time.Time) float64 {
-	return x.given * math.Exp(-now.Sub(x.givenAt).Seconds()/givenFades.Seconds())
+// currentAssigned returns the milliseconds of prefill per second assigned to engines, as of
+// now.
+func (x *tierLoad) currentAssigned(now time.Time) float64 {
+	return x.assigned * math.Exp(-now.Sub(x.assignedAt).Seconds()/assignedDecay.Seconds())
 }
 
-// learn takes that a request that expected so many tokens of output had about so many:
-// what callers expect is often far off, and a limit where they do not say.
-func (x *offered) learn(expected, seen float64) {
-	x.expected = fitFades*x.expected + expected
-	x.seen = fitFades*x.seen + seen
+// learn records the expected and the approximate actual output of a request. Expectations are
+// often far off, and merely the output limit if the caller states none.
+func (x *tierLoad) learn(expected, seen float64) {
+	x.expected = fitDecay*x.expected + expected
+	x.actual = fitDecay*x.actual + seen
 }
 
-// length is the tokens of output of one request, as far as expectations held lately.
-func (x *offered) length() float64 {
-	return x.output * x.told()
+// expectedOutput returns the output tokens per request, corrected by recent answers.
+func (x *tierLoad) expectedOutput() float64 {
+	return x.output * x.outputRatio()
 }
 
-// told is the part of the tokens of output that requests expect which they have.
-func (x *offered) told() float64 { return (x.seen + lengthStart) / (x.expected + lengthStart) }
+// outputRatio returns the ratio of actual to expected output of recent answers.
+func (x *tierLoad) outputRatio() float64 {
+	return (x.actual + priorLength) / (x.expected + priorLength)
+}
 
-// given is the milliseconds of reading a second that a service's engines are given.
-func (o offers) given(now time.Time, service string) float64 {
+// assigned returns the milliseconds of prefill per second assigned to a service's engines.
+func (o tierLoads) assigned(now time.Time, service string) float64 {
 	sum := 0.0
 	for i := range o[service] {
-		sum += o[service][i].givenNow(now)
+		sum += o[service][i].currentAssigned(now)
 	}
 	return sum
 }
 
-// ReceiveOffered takes what other hosts refused.
+// ReceiveOffered adds what other hosts refused to the offered load.
 func (v *View) ReceiveOffered(now time.Time, list []OfferedLoad) {
 	for _, x := range list {
-		v.offers.note(now, x)
+		v.offered.note(now, x)
 	}
 }
 
-// DrainRefused is what was refused since the last call, a sum for each service and tier.
+// DrainRefused returns the requests refused since the last call, summed up by service and tier.
 func (v *View) DrainRefused() []OfferedLoad {
 	out := v.refused
 	v.refused = nil
 	return out
 }
 
-// count counts a request that was refused.
-func (v *View) count(x OfferedLoad) {
+// countRefused counts refused requests.
+func (v *View) countRefused(x OfferedLoad) {
 	for i := range v.refused {
 		r := &v.refused[i]
 		if r.Service == x.Service && r.Tier == x.Tier {
--- a/placer/others.go
+++ b/placer/others.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// others is what the requests at a worker mean for one more.
-type others struct {
-	// tight is the streams whose target for pauses a stretch of reading breaks. Those more
-	// urgent than the request count urgentWeight times.
-	tight float64
-	// urgent is how many are of more urgent routes.
-	urgent int
-	// overdue is the milliseconds by which the worker is behind what was predicted, and
-	// equal the same for requests as urgent as this one, or more.
-	overdue, equal float64
+// contention is the effect of the requests at a worker on one more.
+type contention struct {
+	// tightStreams is the number of streams whose target for pauses a prefill would break.
+	// Those more urgent than the request count urgentWeight times.
+	tightStreams float64
+	// urgentCount is the number of requests of more urgent routes.
+	urgentCount int
+	// lag is how many milliseconds the worker is behind its prediction, and urgentLag the same
+	// for requests that are at least as urgent as this one.
+	lag, urgentLag float64
 }
 
-// others looks at each request at the worker once.
-func (w *worker) others(now time.Time, a Request) others {
-	var o others
-	stretch := milliseconds(tightShare * w.stretch())
-	rest := w.rest()
+// contention computes the effect in one pass over the worker's flights.
+func (w *worker) contention(now time.Time, a Request) contention {
+	var o contention
+	stretch := milliseconds(tightShare * w.maxPrefillPause())
+	rest := w.overhead()
 	for _, f := range w.flights {
 		if f.Tier < a.Tier {
-			o.urgent++
+			o.urgentCount++
 		}
 		if f.Gap > 0 && f.Gap < stretch {
-			o.tight += f.weight(a.Rank)
+			o.tightStreams += f.pauseWeight(a.Rank)
 		}
-		if f.begun || f.readBy.IsZero() || !f.until.IsZero() {
-			continue // nobody will tell that one of a lost host has begun
+		if f.begun || f.prefilledAt.IsZero() || !f.expiresAt.IsZero() {
+			continue // the first event of a lost host's request will not be reported
 		}
-		behind := inMilliseconds(now.Sub(f.readBy)) - rest
-		o.overdue = math.Max(o.overdue, behind)
+		behind := inMilliseconds(now.Sub(f.prefilledAt)) - rest
+		o.lag = math.Max(o.lag, behind)
 		if f.Rank <= a.Rank {
-			o.equal = math.Max(o.equal, behind)
+			o.urgentLag = math.Max(o.urgentLag, behind)
 		}
 	}
 	return o
 }
 
-// weight is how many times a stream counts for a request of a rank.
-func (f *flight) weight(rank int) float64 {
+// pauseWeight returns the weight of a stream's pauses against a request of a rank.
+func (f *flight) pauseWeight(rank int) float64 {
 	if f.Rank < rank {
 		return urgentWeight
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,10 +1,16 @@
-// Package placer decides which worker gets a request, and when none should.
+// Package placer decides which worker gets a request, and when to refuse it.
 //
-// A View is what one host knows of all workers: what it sent them itself, what
-// the other hosts say they sent, and which parts of prompts each worker has read.
-// From that it predicts how long each worker would take to the first event, and
-// picks the least. It is pure: time and messages are arguments. The control
-// goroutine of a host owns it.
+// A View is one host's knowledge of all workers: the requests that it sent them, those that
+// other hosts report, and the parts of prompts in each worker's cache. From that it predicts
+// each worker's time to the first event, and picks the worker with the lowest cost.
+//
+// Workers are of two kinds. An engine runs a language model: it prefills (reads) prompts in
+// chunks, decodes tokens for its streams in between, and keeps parts of prompts in its KV
+// cache. A worker of a plain service answers requests in order of arrival, as many at once as
+// it has slots.
+//
+// The package does no I/O and takes times and messages as arguments. A View is owned by its
+// host's control goroutine.
 package placer
 
 import (
@@ -17,57 +23,59 @@
 )
 
 const (
-	// chunk is the prompt tokens that an engine reads between two steps of decoding.
-	chunk = 2048.0
-	// stepTime is a step of decoding with few requests, in milliseconds.
-	stepTime = 4.7
-	// contextTime is what a thousand tokens of running requests add to a step, in
-	// milliseconds.
-	contextTime = 0.016
-	// fillingShare is the part of a worker's slots from which on it is filling. What is
-	// told late of requests sent before that can't fill the other half.
+	// chunkTokens is the number of prompt tokens that an engine prefills between two decoding
+	// steps.
+	chunkTokens = 2048.0
+	// stepMillis is the time of a decoding step with few requests, in milliseconds.
+	stepMillis = 4.7
+	// contextMillis is the time that each thousand tokens of running requests add to a decoding
+	// step, in milliseconds.
+	contextMillis = 0.016
+	// fillingShare is the share of taken slots from which a worker counts as filling. Below it,
+	// reports to other hosts may be late: requests not yet reported can't fill the other half.
 	fillingShare = 0.5
-	// paceWeight is the part of a new sample in what a worker takes.
-	paceWeight = 0.1
+	// sampleWeight is the weight of a new sample in the average time of an answer and in a
+	// worker's slowness.
+	sampleWeight = 0.1
 )
 
 // View is one host's view of all workers.
 type View struct {
-	zone     string
-	workers  map[string]*worker // by name
-	order    []*worker          // the same, by name, so that what is decided repeats
-	counts   map[string]int     // workers, by service
-	flights  map[uint64]*flight
-	over     map[uint64]time.Time     // when requests ended of which nothing else was heard
-	pace     map[string]time.Duration // of plain services: time of an answer
-	fits     map[string]*fit          // of services with engines: time to the first event
-	options  []option                 // of the request under way; kept for its memory
-	demands  demands                  // what came lately
-	offers   offers                   // how much is asked for
-	refused  []OfferedLoad            // what was refused and not told of yet
-	guard    protection               // of the request under way
-	suspects quarantiner.Tracker      // requests that ended workers
-	told     time.Time                // when another host last told what it sent
-	sharers  int                      // hosts that decide, where these share slots
-	self     int                      // which of them this is
-	booked   map[class]time.Time      // when the refused will have been read that were told to come back
-
-	evictsFreely bool // what engines would evict costs nothing; for specs that play both
+	zone          string
+	workers       map[string]*worker // by name
+	sorted        []*worker          // workers ordered by name, so that decisions are deterministic
+	counts        map[string]int     // number of workers, by service
+	flights       map[uint64]*flight
+	endedEarly    map[uint64]time.Time     // ends of requests that were not reported before, by request
+	answerTimes   map[string]time.Duration // time of an answer, by plain service
+	fits          map[string]*fit          // time to the first event, by service with engines
+	candidates    []candidate              // of the current request; reused to avoid allocations
+	recentTargets recentTargets            // targets of recent requests
+	offered       tierLoads                // offered load
+	refused       []OfferedLoad            // refused requests that were not reported yet
+	reservation   reservation              // for the current request
+	quarantine    quarantiner.Tracker      // requests that crashed workers
+	lastReceived  time.Time                // when another host last reported what it sent
+	deciders      int                      // number of hosts that decide by views of their own
+	self          int                      // index of this host among them
+	returns       map[class]time.Time      // when the prompts of refused requests that were asked to retry will have been prefilled
+
+	ignoreEvictions bool // evictions cost nothing, so that specs can compare
 }
 
-// New returns a view that knows no worker. Workers of the host's own zone go first
-// where nothing else decides.
+// New returns a view without workers. Workers in the host's own zone are preferred, all else
+// being equal.
 func New(zone string) *View {
 	return &View{
-		zone: zone, workers: map[string]*worker{}, flights: map[uint64]*flight{}, over: map[uint64]time.Time{},
-		pace: map[string]time.Duration{}, fits: map[string]*fit{}, booked: map[class]time.Time{}, demands: demands{}, offers: offers{},
-		suspects: quarantiner.Tracker{RenamedOnRestart: true},
+		zone: zone, workers: map[string]*worker{}, flights: map[uint64]*flight{}, endedEarly: map[uint64]time.Time{},
+		answerTimes: map[string]time.Duration{}, fits: map[string]*fit{}, returns: map[class]time.Time{}, recentTargets: recentTargets{}, offered: tierLoads{},
+		quarantine: quarantiner.Tracker{RenamedOnRestart: true},
 	}
 }
 
-// SetWorkers takes the workers that may get requests. What is known of those that
-// stay is kept; one that was born anew holds nothing. It returns those that came
-// and those that went.
+// SetWorkers replaces the workers that may get requests. The view keeps its data on those that
+// stay, except for those that restarted: their caches are empty. SetWorkers returns the workers
+// that were added and removed.
 func (v *View) SetWorkers(now time.Time, workers []Worker) (added, gone []Worker) {
 	old := v.workers
 	v.workers = make(map[string]*worker, len(workers))
@@ -81,9 +89,9 @@
 		x.Worker, x.fit = w, v.fitOf(w.Service)
 		v.workers[w.Name] = x
 	}
-	v.order = slices.SortedFunc(maps.Values(v.workers), func(a, b *worker) int { return cmp.Compare(a.Name, b.Name) })
+	v.sorted = slices.SortedFunc(maps.Values(v.workers), func(a, b *worker) int { return cmp.Compare(a.Name, b.Name) })
 	v.counts = map[string]int{}
-	for _, x := range v.order {
+	for _, x := range v.sorted {
 		v.counts[x.Service]++
 	}
 	for name, x := range old {
@@ -94,7 +102,7 @@
 	return added, gone
 }
 
-// fitOf is what is known of the engines of a service.
+// fitOf returns the fit of a service's engines.
 func (v *View) fitOf(service string) *fit {
 	f := v.fits[service]
 	if f == nil {
@@ -104,95 +112,96 @@
 	return f
 }
 
-// WorkerCount is the number of workers of a service.
+// WorkerCount returns the number of workers of a service.
 func (v *View) WorkerCount(service string) int { return v.counts[service] }
 
-// Place picks a worker for a request and counts it there.
+// Place picks a worker for a request of this host and counts the request there.
 func (v *View) Place(now time.Time, id uint64, a Request) (Choice, *Refusal) {
 	return v.PlaceFor(now, "", id, a)
 }
 
-// PlaceFor is Place for a request that another host sends.
+// PlaceFor is like Place, for a request that another host sends.
 func (v *View) PlaceFor(now time.Time, from string, id uint64, a Request) (Choice, *Refusal) {
-	if left, held := v.suspects.Quarantined(now, a.Fingerprint); held {
-		return Choice{}, refusal("quarantine", left)
+	if left, held := v.quarantine.Quarantined(now, a.Fingerprint); held {
+		return Choice{}, newRefusal("quarantine", left)
 	}
 	best, refusal := v.best(now, a)
-	v.offers.note(now, a.offer(best))
+	v.offered.note(now, a.offeredLoad(best))
 	if refusal != nil {
-		v.count(a.offer(best))
+		v.countRefused(a.offeredLoad(best))
 		return Choice{Basis: v.basis(now, a, best)}, refusal
 	}
 	f := Flight{
-		ID: id, Worker: best.Name, Parts: a.Parts, Prefill: best.read, Hold: a.Prompt + a.Output, Left: a.Left, Gap: a.Gap, Rank: a.Rank, Tier: a.Tier,
-		Fetch: best.fetch, Output: a.Output, Fingerprint: a.Fingerprint,
+		ID: id, Worker: best.Name, Parts: a.Parts, Prefill: best.prefillTokens, Hold: a.Prompt + a.Output, Left: a.Left, Gap: a.Gap, Rank: a.Rank, Tier: a.Tier,
+		Fetch: best.fetchTokens, Output: a.Output, Fingerprint: a.Fingerprint,
 	}
 	c := Choice{
-		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Delay: best.pause(a), Source: best.source,
+		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Delay: best.delay(a), Source: best.source,
 		Filling: float64(len(best.flights)+1) >= fillingShare*float64(best.Slots),
 	}
-	ends := best.finish(a)
-	v.add(now, from, f).ends = ends
+	ends := best.predictEnd(a)
+	v.add(now, from, f).predictedEnd = ends
 	return c, nil
 }
 
-// best is the option with the least cost for a request. Where the request should not go
-// there, another does: one without streams that it would disturb, or, where less urgent
-// requests come, any. Else it is refused; then the option is the one that it would have got.
-func (v *View) best(now time.Time, a Request) (*option, *Refusal) {
-	v.demands.note(now, a)
-	options := v.weigh(now, a)
-	if refusal := v.limited(now, options, a); refusal != nil {
-		return cheapest(options, anyOption), refusal
-	}
-	options = unspent(options)
-	best := cheapest(options, (*option).hasSlot)
+// best returns the candidate with the lowest cost for a request. If the request should not go
+// there, best falls back to another one: one without streams that the request would disturb,
+// or, if less urgent requests arrive, any. Otherwise it returns a refusal with the candidate
+// that the request would have got.
+func (v *View) best(now time.Time, a Request) (*candidate, *Refusal) {
+	v.recentTargets.note(now, a)
+	options := v.candidatesFor(now, a)
+	if refusal := v.refuseByLimit(now, options, a); refusal != nil {
+		return cheapest(options, anyCandidate), refusal
+	}
+	options = withinLimit(options)
+	best := cheapest(options, (*candidate).hasSlot)
 	if best == nil {
-		best = cheapest(options, anyOption)
+		best = cheapest(options, anyCandidate)
 	}
 	if best == nil {
-		return nil, &Refusal{RetryAfter: noneAfter, Reason: "no_workers"}
+		return nil, &Refusal{RetryAfter: noWorkersRetryAfter, Reason: "no_workers"}
 	}
 	refusal := v.refuse(best, a)
 	if refusal == nil {
 		return best, nil
 	}
-	least := v.demands.leastUrgent(a)
-	other := cheapest(options, func(o *option) bool { return (o.tight == 0 || !least) && v.refuse(o, a) == nil })
+	least := v.recentTargets.leastUrgent(a)
+	other := cheapest(options, func(o *candidate) bool { return (o.tightStreams == 0 || !least) && v.refuse(o, a) == nil })
 	if other == nil {
-		refusal.RetryAfter = v.book(now, a, options, refusal.RetryAfter)
+		refusal.RetryAfter = v.scheduleReturn(now, a, options, refusal.RetryAfter)
 		return best, refusal
 	}
 	return other, nil
 }
 
-// weigh is what a request would make each worker of its service do, and what that
-// costs.
-func (v *View) weigh(now time.Time, a Request) []option {
-	options := v.options[:0]
+// candidatesFor returns the workers of a request's service with what the request would mean for
+// each, and its cost.
+func (v *View) candidatesFor(now time.Time, a Request) []candidate {
+	options := v.candidates[:0]
 	holder, held := v.holder(a)
-	beside := v.beside(a)
-	for _, w := range v.order {
+	beside := v.workerOfCopy(a)
+	for _, w := range v.sorted {
 		if w.Service != a.Service || excluded(a, w.Name) || beside != "" && w.Name != beside {
 			continue
 		}
-		o := w.option(now, a, holder, held)
+		o := w.candidate(now, a, holder, held)
 		o.margin = v.margin(w)
 		if o.CacheTokens == 0 {
-			v.plain(&o)
+			v.setPlainTimes(&o)
 		}
 		o.cost = v.cost(now, &o, a)
 		options = append(options, o)
 	}
-	shareDuty(now, options)
-	v.guard = v.protect(now, options, a)
-	v.options = options
+	setPrefillShares(now, options)
+	v.reservation = v.reserve(now, options, a)
+	v.candidates = options
 	return options
 }
 
-// cheapest is the option with the least cost among those that may.
-func cheapest(options []option, may func(*option) bool) *option {
-	var best *option
+// cheapest returns the candidate with the lowest cost among those that may get the request.
+func cheapest(options []candidate, may func(*candidate) bool) *candidate {
+	var best *candidate
 	for i := range options {
 		o := &options[i]
 		if best != nil && (o.cost > best.cost || o.cost == best.cost && o.Name > best.Name) || !may(o) {
@@ -203,8 +212,8 @@
 	return best
 }
 
-// anyOption takes every option.
-func anyOption(*option) bool { return true }
+// anyCandidate accepts every candidate.
+func anyCandidate(*candidate) bool { return true }
 
 func excluded(a Request, worker string) bool {
 	for _, name := range a.Exclude {
@@ -215,7 +224,7 @@
 	return false
 }
 
-// Worker is a worker by its name; false where there is none.
+// Worker returns a worker by its name, and whether it exists.
 func (v *View) Worker(name string) (Worker, bool) {
 	w := v.workers[name]
 	if w == nil {
--- a/placer/plain.go
+++ b/placer/plain.go
@@ -6,56 +6,59 @@
 )
 
 const (
-	// serviceStart is the time of a plain service's answer until its own is known.
-	serviceStart = 40 * time.Millisecond
-	// plainShare is the part of its target that a plain service's answer may be expected
-	// to take. The work of one request varies: at twice what the stand-in's service can do
-	// half of the answers are late with the whole target, and one in fifty with this.
-	plainShare = 0.65
-	// plainRounds is how often the work of one request may pass before another is refused
-	// where the target is shorter than that: its own, and one that is under way.
+	// initialAnswerTime is the assumed time of a plain service's answer until the first one is
+	// measured.
+	initialAnswerTime = 40 * time.Millisecond
+	// plainTargetShare is the part of its target that a plain service's answer may be expected
+	// to take. Requests differ in their work: at twice the capacity of the test service, half
+	// of the answers miss their target if all of it may be used, and one in fifty with this
+	// share.
+	plainTargetShare = 0.65
+	// plainRounds is the wait that is allowed even if the target is shorter, in times of one
+	// answer: the request's own, and that of one under way.
 	plainRounds = 2.0
 )
 
-// rounds is how many times the work of one request passes until a plain worker has
-// answered one that it is sent now: its own, and a part of one for each that waits.
+// rounds returns the time until a plain worker answers a request that is sent now, in times of
+// one answer: its own, and a fraction for each request that waits.
 func (w *worker) rounds() float64 {
 	over := len(w.flights) + 1 - w.Slots
 	return 1 + float64(max(over, 0))/float64(max(w.Slots, 1))
 }
 
-// plain sets what a request would make a plain worker do.
-func (v *View) plain(o *option) {
-	pace := inMilliseconds(v.paceOf(o.Service))
-	o.own = pace / float64(max(o.Slots, 1))
+// setPlainTimes sets the times of a request at a plain worker.
+func (v *View) setPlainTimes(o *candidate) {
+	pace := inMilliseconds(v.answerTime(o.Service))
+	o.ownTime = pace / float64(max(o.Slots, 1))
 	o.wait = o.rounds() * pace
 }
 
-// plainMost is the milliseconds that a plain service's answer may be expected to take.
-// The worker answers in order: of callers that are as urgent as one another, those with
-// the longer target would keep the queue beyond what the others can bear, and they alone
-// would be served. So the tightest target counts for all, and for the less urgent.
-func (v *View) plainMost(a Request) float64 {
-	return math.Max(plainShare*inMilliseconds(v.demands.tightest(a)), plainRounds*inMilliseconds(v.paceOf(a.Service)))
+// maxPlainWait returns the maximum expected time of a plain service's answer, in milliseconds.
+// The worker answers in order of arrival. If each request went by its own target, those with
+// longer targets would keep the queue too long for equally urgent ones with shorter targets,
+// and only they would be served. So the tightest recent target counts for all that are as
+// urgent, or less.
+func (v *View) maxPlainWait(a Request) float64 {
+	return math.Max(plainTargetShare*inMilliseconds(v.recentTargets.tightest(a)), plainRounds*inMilliseconds(v.answerTime(a.Service)))
 }
 
-// learnPlain takes the time of a plain service's answer, without the time that it waited for
-// others: that is multiplied by the rounds before the next request again. Failure: each
-// wait makes the next one look longer, and callers are refused for one that is not there.
-// It is the time that the request's host saw, as word of its end comes late.
+// learnPlain updates the time of a plain service's answer, without the wait for others, by
+// which it is multiplied again for the next request. If the wait were included, each wait would
+// make the next one look longer, and callers would be refused for a wait that does not exist.
+// The time is the one measured by the request's host, as the report of its end arrives late.
 func (v *View) learnPlain(service string, f *flight) {
 	if f.took <= 0 {
-		return // a host of an older version does not say
+		return // a host of an older version does not report it
 	}
 	sample := time.Duration(float64(f.took) / f.rounds)
-	known := v.paceOf(service)
-	v.pace[service] = known + time.Duration(paceWeight*float64(sample-known))
+	known := v.answerTime(service)
+	v.answerTimes[service] = known + time.Duration(sampleWeight*float64(sample-known))
 }
 
-// paceOf is the time of a plain service's answer that waits for no other.
-func (v *View) paceOf(service string) time.Duration {
-	if pace, ok := v.pace[service]; ok {
+// answerTime returns the time of a plain service's answer without any wait for others.
+func (v *View) answerTime(service string) time.Duration {
+	if pace, ok := v.answerTimes[service]; ok {
 		return pace
 	}
-	return serviceStart
+	return initialAnswerTime
 }
--- a/placer/protecting.go
+++ b/placer/protecting.go
@@ -6,142 +6,143 @@
 )
 
 const (
-	// keptSpreads is how many times the spread of more urgent requests is kept free of
-	// slots, and keptMost the part of one engine's slots that are kept for it at most.
-	keptSpreads = 2.0
-	keptMost    = 0.25
-	// keptPooled is the same of all engines together: a request may go to any of them.
-	keptPooled = 3.0
+	// reserveDeviations is the number of standard deviations of the more urgent requests for
+	// which slots are kept free, and maxReserveShare the maximum part of one engine's slots
+	// kept for them.
+	reserveSpreads  = 2.0
+	maxReserveShare = 0.25
+	// pooledDeviations is the same for all engines together: a request may go to any of them.
+	pooledSpreads = 3.0
 )
 
-// protection is the slots of a service's engines that more urgent routes than a
-// request's will want.
-type protection struct {
-	rate  float64 // requests a second that are asked for of them
-	held  float64 // milliseconds for which one of them takes a slot
-	there int     // that are at the engines
-	free  int     // slots that nobody has
+// reservation is the slots of a service's engines that routes more urgent than a request's will
+// want.
+type reservation struct {
+	rate     float64 // requests per second of those routes
+	holdTime float64 // milliseconds for which one of them takes a slot
+	present  int     // such requests at the engines
+	free     int     // slots that are not taken
 }
 
-// protect sets what is kept for more urgent routes. Failure: in a flood of every kind the
-// less urgent fill slots, and engines that read their prompts give each stream a token
-// with a chunk, so that the more urgent hold theirs for longer and are refused. What they
-// will want follows from what is asked for, the refused included: counted by those that
-// are there, the more are refused the less is kept. The route decides, not the
-// organisation: the long prompts of an urgent organisation would keep out the short ones
-// of all others.
-func (v *View) protect(now time.Time, options []option, a Request) protection {
-	var p protection
+// reserve sets the slots reserved for more urgent routes. Without it, in a flood of every kind,
+// less urgent requests fill the slots; and as engines that prefill their prompts give each
+// stream a token per chunk, the more urgent ones hold their slots for longer and are refused.
+// The demand follows from the offered load, including what was refused: derived from the
+// requests at the engines, it would fall with each refusal. The route decides, not the
+// organisation: the long prompts of an urgent organisation would keep out the short ones of all
+// others.
+func (v *View) reserve(now time.Time, options []candidate, a Request) reservation {
+	var p reservation
 	if len(options) == 0 || options[0].CacheTokens == 0 {
 		return p
 	}
 	hold := 0
 	for i := range options {
 		o := &options[i]
-		p.there += o.urgent
+		p.present += o.urgentCount
 		p.free += max(o.Slots-len(o.flights), 0)
 		hold += o.hold
 	}
 	n := float64(len(options))
-	tokens, reading := p.want(now, v.offers[a.Service], a.Tier)
+	tokens, reading := p.addDemand(now, v.offered[a.Service], a.Tier)
 	if p.rate > 0 {
 		f := options[0].fit
-		p.held = f.rest() + tokens/p.rate*f.token(float64(hold)/n, reading/n/1000)
+		p.holdTime = f.overhead() + tokens/p.rate*f.tokenTime(float64(hold)/n, reading/n/1000)
 	}
-	p.spread(options)
+	p.reservePerEngine(options)
 	return p
 }
 
-// want sets how many more urgent requests are asked for, and returns the tokens a second of
-// their output and the milliseconds a second that engines read beside them. What is less
-// urgent still than the request is not read for long: it is refused first.
-func (p *protection) want(now time.Time, list []offered, tier int) (tokens, reading float64) {
+// addDemand sets the rate of more urgent requests, and returns their output tokens per second
+// and the milliseconds per second that engines prefill beside them. Requests less urgent than
+// this one are left out: they are refused first, so that engines do not prefill them for long.
+func (p *reservation) addDemand(now time.Time, list []tierLoad, tier int) (tokens, reading float64) {
 	for i := range list {
 		x := &list[i]
 		switch {
 		case x.tier < tier:
-			rate := x.now(now)
+			rate := x.currentRate(now)
 			p.rate += rate
-			tokens += rate * x.length()
-			reading += rate * x.read
+			tokens += rate * x.expectedOutput()
+			reading += rate * x.prefill
 		case x.tier == tier:
-			reading += x.givenNow(now)
+			reading += x.currentAssigned(now)
 		}
 	}
 	return tokens, reading
 }
 
-// token is the milliseconds that a stream's token takes at an engine that holds so many
-// tokens and reads for a part of its time: while it reads, a token comes with each chunk,
-// and else with each step.
-func (f *fit) token(hold, duty float64) float64 {
-	context := contextTime * hold / 1000
-	step := stepTime + context
-	reading := max(f.reading(chunk, chunk)+context, step)
+// tokenTime returns the milliseconds per token of a stream at an engine that holds so many
+// tokens and prefills for the given part of its time. While it prefills, a token takes as long
+// as a chunk, otherwise as long as a step.
+func (f *fit) tokenTime(hold, duty float64) float64 {
+	context := contextMillis * hold / 1000
+	step := stepMillis + context
+	reading := max(f.prefillTime(chunkTokens, chunkTokens)+context, step)
 	duty = min(duty, 1)
 	return 1 / (duty/reading + (1-duty)/step)
 }
 
-// spread keeps slots of each engine for as many more urgent requests as may come soon: the
-// spread of their number there now.
-func (p protection) spread(options []option) {
-	if p.there == 0 {
+// reservePerEngine reserves slots of each engine for the expected fluctuation of the more
+// urgent requests: a multiple of the standard deviation of their number.
+func (p reservation) reservePerEngine(options []candidate) {
+	if p.present == 0 {
 		return
 	}
 	n := float64(len(options))
-	kept := min(keptSpreads*math.Sqrt(float64(p.there)/n), keptPooled*math.Sqrt(float64(p.there))/n)
+	kept := min(reserveSpreads*math.Sqrt(float64(p.present)/n), pooledSpreads*math.Sqrt(float64(p.present))/n)
 	for i := range options {
 		o := &options[i]
-		o.kept = int(math.Ceil(math.Min(kept, keptMost*float64(o.Slots))))
+		o.reserved = int(math.Ceil(math.Min(kept, maxReserveShare*float64(o.Slots))))
 	}
 }
 
-// hasSlot says that an engine has a slot besides those that are kept, or left to others.
-func (o *option) hasSlot() bool {
-	return o.CacheTokens == 0 || len(o.flights)+max(o.kept, o.margin) < o.Slots
+// hasSlot reports whether an engine has a slot that is neither reserved nor left to other
+// hosts.
+func (o *candidate) hasSlot() bool {
+	return o.CacheTokens == 0 || len(o.flights)+max(o.reserved, o.margin) < o.Slots
 }
 
-// wanted is the slots that more urgent routes will want besides those that they have.
-func (p protection) wanted() float64 {
-	need := p.rate * p.held / 1000
-	return need + keptSpreads*math.Sqrt(need) - float64(p.there)
+// wanted returns the slots that more urgent routes will want besides those that they have.
+func (p reservation) wanted() float64 {
+	need := p.rate * p.holdTime / 1000
+	return need + reserveSpreads*math.Sqrt(need) - float64(p.present)
 }
 
-// closed says that what is free is wanted by more urgent routes.
-func (p protection) closed() bool { return p.rate > 0 && float64(p.free) <= p.wanted() }
+// exhausted reports whether more urgent routes will want all free slots.
+func (p reservation) exhausted() bool { return p.rate > 0 && float64(p.free) <= p.wanted() }
 
-// offer is a request as what is asked for. What it would have to read is what the engine
-// that comes nearest would.
-func (a Request) offer(o *option) OfferedLoad {
+// offeredLoad returns a request as offered load. Its prefill is that at the best candidate.
+func (a Request) offeredLoad(o *candidate) OfferedLoad {
 	x := OfferedLoad{Service: a.Service, Tier: a.Tier, Count: 1, Output: a.Output}
 	if o != nil && o.CacheTokens > 0 {
-		x.Prefill = milliseconds(o.own)
+		x.Prefill = milliseconds(o.ownTime)
 	}
 	return x
 }
 
-// give takes that a flight was sent to an engine.
-func (v *View) give(now time.Time, w *worker, f *flight) {
+// recordPrefill records the prefill work of a flight that was sent to an engine.
+func (v *View) recordPrefill(now time.Time, w *worker, f *flight) {
 	if w.CacheTokens == 0 {
 		return
 	}
-	v.offers.of(w.Service, f.Tier).give(now, f.unread)
-	f.token = v.tokenOf(now, w)
+	v.offered.tier(w.Service, f.Tier).assign(now, f.prefillLeft)
+	f.tokenTime = v.tokenTime(now, w)
 }
 
-// tokenOf is the milliseconds that a stream's token takes at the engines of a worker's
-// service, by what they are given.
-func (v *View) tokenOf(now time.Time, w *worker) float64 {
-	reading := v.offers.given(now, w.Service) / float64(max(v.WorkerCount(w.Service), 1))
-	return w.fit.token(float64(w.hold), reading/1000)
+// tokenTime returns the milliseconds per token of a stream at the engines of a worker's
+// service, given their current load.
+func (v *View) tokenTime(now time.Time, w *worker) float64 {
+	reading := v.offered.assigned(now, w.Service) / float64(max(v.WorkerCount(w.Service), 1))
+	return w.fit.tokenTime(float64(w.hold), reading/1000)
 }
 
-// learnLength takes how many tokens a stream that was whole had: its time, in parts of what
-// a token took as it was sent and as it ended.
+// learnLength estimates the output tokens of a complete stream from its duration and the time
+// per token at its start and its end.
 func (v *View) learnLength(now time.Time, w *worker, f *flight, o Outcome) {
 	if w.CacheTokens == 0 || o != Answered || f.Output <= 0 || !f.begun {
 		return
 	}
-	took := inMilliseconds(now.Sub(f.at) - f.took)
-	v.offers.of(w.Service, f.Tier).learn(float64(f.Output), 2*took/(f.token+v.tokenOf(now, w)))
+	took := inMilliseconds(now.Sub(f.sentAt) - f.took)
+	v.offered.tier(w.Service, f.Tier).learn(float64(f.Output), 2*took/(f.tokenTime+v.tokenTime(now, w)))
 }
--- a/placer/sharing.go
+++ b/placer/sharing.go
@@ -2,19 +2,19 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// SetDeciders tells the view that so many hosts decide by views of their own, and which of them
-// this one is, from 0; -1 where it is none of them. 0 hosts share nothing.
+// SetDeciders sets the number of hosts that decide by views of their own, and this host's index
+// among them; -1 if it is none of them. With 0 hosts, no slots are left to others.
 func (v *View) SetDeciders(hosts, self int) {
-	v.sharers, v.self = hosts, self
+	v.deciders, v.self = hosts, self
 }
 
-// margin is the slots of a worker that this view leaves to others. Failure: several hosts
-// see the same last slot and fill it at once, before they hear of one another; the engine
-// then takes a request off its stream for each one too many. So the last ones are one
-// host's alone, as many as there are others.
+// margin returns the slots of a worker that this view leaves to other hosts. Without it,
+// several hosts see the same last slot and fill it at the same time, before they learn of each
+// other; the engine then preempts a stream for each request too many. So the last slots, one
+// for each other host, belong to a single host.
 func (v *View) margin(w *worker) int {
-	if v.sharers < 2 || int(xxhash.Sum64String(w.Name)%uint64(v.sharers)) == v.self {
+	if v.deciders < 2 || int(xxhash.Sum64String(w.Name)%uint64(v.deciders)) == v.self {
 		return 0
 	}
-	return min(v.sharers-1, w.Slots/4)
+	return min(v.deciders-1, w.Slots/4)
 }
--- a/placer/suspecting.go
+++ b/placer/suspecting.go
@@ -6,43 +6,44 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-// suspect takes what a flight's end says of the request.
-func (v *View) suspect(now time.Time, f *flight, o Outcome) {
+// recordSuspicion updates the quarantine by how a flight ended.
+func (v *View) recordSuspicion(now time.Time, f *flight, o Outcome) {
 	switch o {
 	case Disconnected:
-		v.suspects.WorkerCrashed(now, f.Fingerprint, f.Worker, f.sentBy())
+		v.quarantine.WorkerCrashed(now, f.Fingerprint, f.Worker, f.earliestSent())
 	case Answered, Errored:
-		v.suspects.Answered(f.Fingerprint)
-		v.suspects.Alive(now, f.Worker, now.Add(-quarantiner.MaxUpdateDelay))
+		v.quarantine.Answered(f.Fingerprint)
+		v.quarantine.Alive(now, f.Worker, now.Add(-quarantiner.MaxUpdateDelay))
 	case Refused, WrongWorker:
-		v.suspects.Alive(now, f.Worker, f.answeredAt(0))
+		v.quarantine.Alive(now, f.Worker, f.earliestAnswer(0))
 	case Broken, Canceled:
 	}
 }
 
-// sentBy is when the flight was sent at the earliest. Failure: all workers lose power in one
-// moment, and copies that other hosts had sent before are heard of after it.
-func (f *flight) sentBy() time.Time {
-	if f.from == "" {
-		return f.at
+// earliestSent returns the earliest time at which the flight may have been sent. It matters
+// when all workers lose power at once, and copies that other hosts sent before are reported
+// afterwards.
+func (f *flight) earliestSent() time.Time {
+	if f.host == "" {
+		return f.sentAt
 	}
-	return f.at.Add(-quarantiner.UsualUpdateDelay)
+	return f.sentAt.Add(-quarantiner.UsualUpdateDelay)
 }
 
-// answeredAt is when the worker gave the flight's first event at the earliest: what another
-// host sent may have been heard of late.
-func (f *flight) answeredAt(took time.Duration) time.Time {
-	if f.from == "" {
-		return f.at.Add(took)
+// earliestAnswer returns the earliest time at which the worker may have sent the flight's first
+// event: another host's report that it was sent may have been late.
+func (f *flight) earliestAnswer(took time.Duration) time.Time {
+	if f.host == "" {
+		return f.sentAt.Add(took)
 	}
-	return f.at.Add(took - quarantiner.MaxUpdateDelay)
+	return f.sentAt.Add(took - quarantiner.MaxUpdateDelay)
 }
 
-// beside is the worker at which one like a suspected request is; "" where none is, or
-// where this one was there. Failure: copies of a request that ends workers come faster
-// than they end them, and each takes one more with it. Together they take one.
-func (v *View) beside(a Request) string {
-	if !v.suspects.Suspected(a.Fingerprint) {
+// workerOfCopy returns the worker that has a copy of a suspected request; "" if there is none,
+// or if the request was there before. Copies of a request that crashes workers arrive faster
+// than they crash them, and would crash one worker each. Together they crash one.
+func (v *View) workerOfCopy(a Request) string {
+	if !v.quarantine.Suspected(a.Fingerprint) {
 		return ""
 	}
 	worker, id := "", uint64(0)
@@ -54,5 +55,5 @@
 	return worker
 }
 
-// Quarantine is what the view knows of requests that ended workers.
-func (v *View) Quarantine() *quarantiner.Tracker { return &v.suspects }
+// Quarantine returns the tracker of requests that crashed workers.
+func (v *View) Quarantine() *quarantiner.Tracker { return &v.quarantine }
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -5,53 +5,54 @@
 	"time"
 )
 
-// worker is a Worker and what this host knows of it.
+// worker is a Worker with the view's own data.
 type worker struct {
 	Worker
-	coldUntil time.Time
-	flights   []*flight // each knows its index
-	reading   int       // flights whose first event was not seen
-	hold      int       // tokens that flights take up
-	line      line
-	fit       *fit    // of its service
-	slowness  float64 // how long it takes, as a multiple of what the fit says
-	parts     memory
-	read      float64 // milliseconds of reading sent lately, fading
-	readAt    time.Time
-	trouble   float64 // milliseconds that it is avoided by
-	troubled  time.Time
-	limit     limit // that it names
+	coldUntil       time.Time
+	flights         []*flight // each knows its index
+	awaitingFirst   int       // flights without a first event
+	hold            int       // tokens that flights take up
+	queue           prefillQueue
+	fit             *fit    // of its service
+	slowness        float64 // its time to a first event, as a multiple of the fit's
+	cache           prefixCache
+	recentPrefill   float64 // decaying milliseconds of prefill sent to it, as of recentPrefillAt
+	recentPrefillAt time.Time
+	penalty         float64 // milliseconds, as of penaltyAt
+	penaltyAt       time.Time
+	limit           limit // that the worker states
 }
 
 func newWorker() *worker {
 	return &worker{slowness: 1}
 }
 
-// take counts a flight.
-func (w *worker) take(now time.Time, f *flight) {
-	f.alone, f.rounds = w.reading == 0, w.rounds()
+// add counts a flight.
+func (w *worker) add(now time.Time, f *flight) {
+	f.alone, f.rounds = w.awaitingFirst == 0, w.rounds()
 	if !f.alone {
-		w.crowd()
+		w.markNotAlone()
 	}
 	w.limit.take(now)
 	f.index = len(w.flights)
 	w.flights = append(w.flights, f)
-	w.reading++
+	w.awaitingFirst++
 	w.hold += f.Hold
 	if w.CacheTokens == 0 {
 		return
 	}
-	f.unread = w.readTime(f.Prefill, f.Hold)
-	w.read, w.readAt = w.readLately(now)+f.unread, now
-	w.line.add(now, f)
-	w.parts.add(f, w.room(w.hold))
+	f.prefillLeft = w.prefillTime(f.Prefill, f.Hold)
+	w.recentPrefill, w.recentPrefillAt = w.prefillLoad(now)+f.prefillLeft, now
+	w.queue.add(now, f)
+	w.cache.add(f, w.cacheRoom(w.hold))
 }
 
-// room is the tokens that the engine has for parts that no request uses.
-func (w *worker) room(hold int) int { return max(w.CacheTokens-hold, w.CacheTokens/4) }
+// cacheRoom returns the tokens that the engine has for parts that no request uses.
+func (w *worker) cacheRoom(hold int) int { return max(w.CacheTokens-hold, w.CacheTokens/4) }
 
-// crowd notes that what the worker reads is not read alone: its time tells nothing.
-func (w *worker) crowd() {
+// markNotAlone marks the flights without a first event as not prefilled alone: nothing can be
+// learned from their times.
+func (w *worker) markNotAlone() {
 	for _, f := range w.flights {
 		if !f.begun {
 			f.alone = false
@@ -59,36 +60,38 @@
 	}
 }
 
-// began takes a flight's first event, which tells how fast engines read, and this one.
-func (w *worker) began(now time.Time, f *flight, took time.Duration) {
-	w.reading--
+// firstEvent records a flight's first event, from which the speed of engines in general and of
+// this one is learned.
+func (w *worker) firstEvent(now time.Time, f *flight, took time.Duration) {
+	w.awaitingFirst--
 	if w.CacheTokens == 0 {
 		return
 	}
 	if f.alone && f.Fetch == 0 && took > 0 {
 		w.learn(f, inMilliseconds(took))
 	}
-	w.line.remove(now, f)
-	if w.reading == 0 {
-		w.line.clear(now)
+	w.queue.remove(now, f)
+	if w.awaitingFirst == 0 {
+		w.queue.clear(now)
 	}
 }
 
-// learn takes how long the worker took to the first event of what it read alone.
+// learn updates the fit and the worker's slowness by the milliseconds to the first event of a
+// prompt that was prefilled alone.
 func (w *worker) learn(f *flight, took float64) {
-	w.fit.learn(f.Prefill, f.Hold, math.Max(took-w.decoding(f.Prefill), 1))
-	expected := w.fit.predict(termsOf(f.Prefill, f.Hold)) + w.decoding(f.Prefill)
-	seen := math.Min(math.Max(took/expected, slownessLeast), slownessMost)
-	w.slowness += paceWeight * (seen - w.slowness)
+	w.fit.learn(f.Prefill, f.Hold, math.Max(took-w.decodeTime(f.Prefill), 1))
+	expected := w.fit.predict(termsOf(f.Prefill, f.Hold)) + w.decodeTime(f.Prefill)
+	seen := math.Min(math.Max(took/expected, minSlowness), maxSlowness)
+	w.slowness += sampleWeight * (seen - w.slowness)
 }
 
-// has says whether a flight is counted here. Failure: one that was sent before the worker
-// restarted under its name, or before the view knew it, begins and ends later; counted off,
-// it leaves less than nothing, and the worker never seems idle again.
+// has reports whether a flight is counted here. A flight that was sent before the worker
+// restarted under its name, or before the view knew the worker, begins and ends later. If that
+// were subtracted, counters would fall below zero, and the worker would never seem idle again.
 func (w *worker) has(f *flight) bool { return f.index < len(w.flights) && w.flights[f.index] == f }
 
-// drop takes a flight off.
-func (w *worker) drop(now time.Time, f *flight) {
+// remove removes a flight.
+func (w *worker) remove(now time.Time, f *flight) {
 	last := len(w.flights) - 1
 	w.flights[f.index] = w.flights[last]
 	w.flights[f.index].index = f.index
@@ -96,44 +99,44 @@
 	w.flights = w.flights[:last]
 	w.hold -= f.Hold
 	if !f.begun {
-		w.reading--
-		w.parts.forget(f)
+		w.awaitingFirst--
+		w.cache.dropUnread(f)
 	}
-	w.line.remove(now, f)
-	if w.reading == 0 {
-		w.line.clear(now)
+	w.queue.remove(now, f)
+	if w.awaitingFirst == 0 {
+		w.queue.clear(now)
 	}
 }
 
-// readTime is the milliseconds that reading so many of a request's tokens takes, with
-// the steps of decoding in between.
-func (w *worker) readTime(read, tokens int) float64 {
-	return w.slowness * (w.fit.reading(read, tokens) + w.decoding(read))
+// prefillTime returns the milliseconds to prefill so many tokens of a request, including the
+// decoding steps in between.
+func (w *worker) prefillTime(read, tokens int) float64 {
+	return w.slowness * (w.fit.prefillTime(read, tokens) + w.decodeTime(read))
 }
 
-// decoding is the milliseconds that running requests take of the steps in which so many
-// tokens are read.
-func (w *worker) decoding(read int) float64 {
-	return float64(read) / chunk * contextTime * float64(w.hold) / 1000
+// decodeTime returns the milliseconds that running requests add to the steps in which so many
+// tokens are prefilled.
+func (w *worker) decodeTime(read int) float64 {
+	return float64(read) / chunkTokens * contextMillis * float64(w.hold) / 1000
 }
 
-// rest is the milliseconds besides reading until a first event.
-func (w *worker) rest() float64 { return w.slowness * w.fit.rest() }
+// overhead returns the milliseconds to a first event besides the prefill.
+func (w *worker) overhead() float64 { return w.slowness * w.fit.overhead() }
 
-// readLately is the milliseconds of reading that were sent to the worker lately.
-func (w *worker) readLately(now time.Time) float64 {
-	return w.read * math.Exp(-now.Sub(w.readAt).Seconds()/readFades.Seconds())
+// prefillLoad returns the recent milliseconds of prefill sent to the worker.
+func (w *worker) prefillLoad(now time.Time) float64 {
+	return w.recentPrefill * math.Exp(-now.Sub(w.recentPrefillAt).Seconds()/prefillLoadDecay.Seconds())
 }
 
-// stretch is the longest pause that reading can put between two events of a
-// stream, in milliseconds: each of an event's tokens waits for a chunk.
-func (w *worker) stretch() float64 {
-	return float64(max(w.EventTokens, 1)) * w.readTime(chunk, chunk)
+// maxPrefillPause returns the longest pause that prefills can cause between two events of a
+// stream, in milliseconds: each token of an event waits for a chunk.
+func (w *worker) maxPrefillPause() float64 {
+	return float64(max(w.EventTokens, 1)) * w.prefillTime(chunkTokens, chunkTokens)
 }
 
-// judge takes how a flight ended. Trouble fades by itself, so that a worker that
-// has recovered is tried again.
-func (w *worker) judge(now time.Time, o Outcome) {
+// recordOutcome updates the worker's penalty by how a flight ended. Penalties decay, so that a
+// worker that has recovered is tried again.
+func (w *worker) recordOutcome(now time.Time, o Outcome) {
 	add := 0.0
 	switch o {
 	case Broken, Disconnected:
@@ -143,22 +146,22 @@
 	case Errored:
 		add = erroredCost
 	case WrongWorker:
-		add = misledCost
+		add = wrongWorkerCost
 	case Answered:
-		w.trouble, w.troubled = w.avoided(now)/2, now
+		w.penalty, w.penaltyAt = w.currentPenalty(now)/2, now
 		return
 	case Canceled:
 		return
 	}
-	w.trouble, w.troubled = math.Min(w.avoided(now)+add, troubleMost), now
+	w.penalty, w.penaltyAt = math.Min(w.currentPenalty(now)+add, maxPenalty), now
 }
 
-// avoided is the milliseconds that the worker is avoided by now.
-func (w *worker) avoided(now time.Time) float64 {
-	if w.trouble == 0 {
+// currentPenalty returns the worker's penalty in milliseconds, as of now.
+func (w *worker) currentPenalty(now time.Time) float64 {
+	if w.penalty == 0 {
 		return 0
 	}
-	left := w.trouble * math.Exp(-now.Sub(w.troubled).Seconds()/troubleFades.Seconds())
+	left := w.penalty * math.Exp(-now.Sub(w.penaltyAt).Seconds()/penaltyDecay.Seconds())
 	if left < 1 {
 		return 0
 	}
--- a/quarantiner/bench_test.go
+++ b/quarantiner/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-// BenchmarkOf is the fingerprint of a long prompt.
+// BenchmarkFingerprintOf measures the fingerprint of a long prompt.
 func BenchmarkOf(b *testing.B) {
 	body := make([]byte, 18_000)
 	for range b.N {
@@ -16,8 +16,8 @@
 	}
 }
 
-// BenchmarkEnded is a worker's end with one of its requests, with as many marks as a crash of
-// thirty workers with fifty requests each leaves, and one request held back.
+// BenchmarkWorkerCrashed measures the recording of one crash, with as many marks as a crash of
+// thirty workers with fifty requests each leaves, and one quarantined request.
 func BenchmarkEnded(b *testing.B) {
 	var book quarantiner.Tracker
 	now := time.Unix(1000, 0)
@@ -34,7 +34,8 @@
 	}
 }
 
-// BenchmarkHeld is the look at each request, with nothing held back.
+// BenchmarkQuarantined measures the check that each request goes through, with nothing
+// quarantined.
 func BenchmarkHeld(b *testing.B) {
 	var book quarantiner.Tracker
 	now := time.Unix(1000, 0)
--- a/quarantiner/fingerprint.go
+++ b/quarantiner/fingerprint.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint is the same for requests that are the same to a worker: those of one
-// caller, by one method, to one path, with one body. Ids, which differ each time that a
-// request comes, are no part of it. 0 stands for a request that is not known.
+// Fingerprint identifies requests that are identical to a worker: those with the same caller,
+// method, path and body. Request IDs are left out, as they differ with each attempt. 0 stands
+// for an unknown request.
 type Fingerprint uint64
 
-// FingerprintOf is the fingerprint of a request.
+// FingerprintOf returns the fingerprint of a request.
 func FingerprintOf(caller, method, path string, body []byte) Fingerprint {
 	h := xxhash.New()
 	for _, text := range []string{caller, method, path} {
-		_, _ = h.WriteString(text + "\x00") // a hash takes everything
+		_, _ = h.WriteString(text + "\x00") // a hash never returns an error
 	}
 	_, _ = h.Write(body)
 	return Fingerprint(max(h.Sum64(), 1))
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// size is the bytes of a fingerprint.
+// size is the length of a fingerprint in bytes.
 const size = 8
 
-// String is the fingerprint as logs have it.
+// String returns the fingerprint in hexadecimal, as it is logged.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(binary.BigEndian.AppendUint64(nil, uint64(f)))
 }
--- a/quarantiner/fingerprint_test.go
+++ b/quarantiner/fingerprint_test.go
@@ -15,14 +15,14 @@
 }
 
 var _ = Describe("Fingerprint", func() {
-	It("takes nothing else for one", func() {
+	It("rejects text that is not a fingerprint", func() {
 		var f quarantiner.Fingerprint
 		for _, text := range []string{"", "12", "x123456789abcdef", "0123456789abcdef00"} {
 			Expect(f.UnmarshalText([]byte(text))).NotTo(Succeed(), text)
 		}
 	})
 
-	It("differs where caller, method, path or body does, and is the same for the same", func() {
+	It("differs if caller, method, path or body differ, and is the same otherwise", func() {
 		all := map[quarantiner.Fingerprint]string{}
 		for _, x := range [][4]string{
 			{"a", "POST", "/p", "b"},
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -1,14 +1,14 @@
-// Package quarantiner finds requests that end the workers which run them, and holds them
-// back: sent again and again, by callers that try anew or by the system itself, one of them
-// takes down a whole fleet of workers.
+// Package quarantiner detects requests that crash the workers which run them, and quarantines
+// them: repeated by callers or by the system's own retries, a single such request can take down
+// a whole fleet of workers.
 //
-// A Book is what one host knows. A worker that ended is a mark against each request that
-// it had; what tells the one that did it from the others is that it does so again. So
-// marks count only one after another, each of a request that was sent after the one
-// before; an answer to the request clears it, an answer of the worker shows that only a
-// connection broke, and what a request held back explains is no mark against others.
+// A Tracker holds what one host knows. When a worker crashes, each request that it had gets a
+// mark. What tells the cause from the other requests is that it crashes workers again. So marks
+// only count in sequence, each for a copy that was sent after the previous crash. An answer to
+// the request clears its marks; an answer of the worker shows that only a connection broke; and
+// a crash that a quarantined request explains is no mark against other requests.
 //
-// It is pure: time is an argument, and nothing in it does I/O. It is not safe for
+// The package does no I/O and takes the time as an argument. A Tracker is not safe for
 // concurrent use.
 package quarantiner
 
@@ -20,57 +20,59 @@
 )
 
 const (
-	// marksMost is the workers that a request may end before it is held back. One may be
-	// a coincidence, and so may two where workers fail by turns.
-	marksMost = 3
-	// heldFirst is for how long a request is held back; each time that it ends another
-	// worker afterwards doubles that, up to heldMost.
-	heldFirst = 10 * time.Minute
-	heldMost  = 6 * time.Hour
-	// forgetAfter is how long marks of a request that is not held back are kept: a caller
-	// that tries again by a timer does so within an hour.
+	// maxMarks is the number of workers that a request may crash before it is quarantined. One
+	// crash may be a coincidence, and so may two if workers fail in turn.
+	maxMarks = 3
+	// firstDuration is the length of a request's first quarantine. Each later crash after its
+	// release doubles it, up to maxDuration.
+	firstDuration = 10 * time.Minute
+	maxDuration   = 6 * time.Hour
+	// forgetAfter is how long the marks of a request that is not quarantined are kept: callers
+	// that retry by a timer do so within an hour.
 	forgetAfter = time.Hour
-	// aliveWithin is the default of Book.AliveWithin: an engine takes longer to come back.
-	aliveWithin = 2 * time.Second
-	// recordsMost bounds the memory: the records of all requests at a few dozen workers.
-	recordsMost = 4096
-	// workersMost is the workers that are kept of a request that is held back.
-	workersMost = 32
+	// defaultMinRestartTime is the default of Tracker.MinRestartTime: an engine takes longer to
+	// restart.
+	defaultMinRestartTime = 2 * time.Second
+	// maxRecords bounds the memory. It is enough for all requests at a few dozen workers.
+	maxRecords = 4096
+	// maxWorkers is the maximum number of workers recorded for one quarantined request.
+	maxWorkers = 32
 )
 
 const (
-	// MaxUpdateDelay is how late word of an answer may come from another host, over a link that
-	// loses packets: a worker is known to have been there by so much earlier.
+	// MaxUpdateDelay is the longest delay of another host's update about an answer, over a link
+	// that loses packets. The worker is only known to have been alive that much earlier.
 	MaxUpdateDelay = time.Second
-	// UsualUpdateDelay is how late word of what another host sends comes as a rule.
+	// UsualUpdateDelay is the usual delay of another host's update about a request that it
+	// sent.
 	UsualUpdateDelay = 50 * time.Millisecond
 )
 
-// mark is the end of a worker that had a request.
+// mark is a worker's crash while it had a request.
 type mark struct {
 	worker string
 	at     time.Time
 }
 
-// record is what is known of one request.
+// record is the state of one request.
 type record struct {
-	marks []mark
-	need  int           // marks that have it held back
-	until time.Time     // it is held back; zero where it never was
-	span  time.Duration // for which it is, or was
-	let   bool          // it was let go since
+	marks    []mark
+	needed   int           // marks that put it in quarantine
+	until    time.Time     // end of the quarantine; zero if there was none
+	duration time.Duration // of the current or last quarantine
+	released bool          // released since the last quarantine
 }
 
-func (r *record) held(now time.Time) bool { return now.Before(r.until) }
+func (r *record) quarantined(now time.Time) bool { return now.Before(r.until) }
 
-// explains says that a mark is of an end that this record has, too. A worker may come back
-// under its name, and end again.
+// explains reports whether the record has the crash that a mark stands for. A worker may
+// restart under its name and crash again, so only marks close in time are the same crash.
 func (r *record) explains(m mark) bool {
 	return slices.ContainsFunc(r.marks, func(x mark) bool { return x.worker == m.worker && m.at.Sub(x.at).Abs() < MaxUpdateDelay })
 }
 
-// last is when the last mark was made.
-func (r *record) last() time.Time {
+// lastMark returns the time of the latest mark.
+func (r *record) lastMark() time.Time {
 	var last time.Time
 	for _, m := range r.marks {
 		if m.at.After(last) {
@@ -80,125 +82,133 @@
 	return last
 }
 
-// idle is since when nothing has spoken against the request.
-func (r *record) idle() time.Time {
-	if last := r.last(); last.After(r.until) {
+// idleSince returns the time of the latest mark or the end of the quarantine, whichever is
+// later.
+func (r *record) idleSince() time.Time {
+	if last := r.lastMark(); last.After(r.until) {
 		return last
 	}
 	return r.until
 }
 
-// hold has the request held back for a time.
-func (r *record) hold(now time.Time, d time.Duration) {
-	r.until, r.let = now.Add(d), false
+// quarantine puts the request in quarantine for d.
+func (r *record) quarantine(now time.Time, d time.Duration) {
+	r.until, r.released = now.Add(d), false
 }
 
-// empty says that there is nothing in the record.
-func (r *record) empty() bool { return len(r.marks) == 0 && r.span == 0 }
+// empty reports whether the record holds neither marks nor a quarantine.
+func (r *record) empty() bool { return len(r.marks) == 0 && r.duration == 0 }
 
-// Entry is a request that is held back.
+// Entry is a quarantined request.
 type Entry struct {
 	Fingerprint Fingerprint
-	Remaining   time.Duration // from now on
-	Duration    time.Duration // in all
-	Workers     []string      // that it ended, the first ones
+	Remaining   time.Duration // time left
+	Duration    time.Duration // total length of the quarantine
+	Workers     []string      // the first ones that it crashed
 }
 
-// Tracker is what one host knows of requests that ended workers. The zero Tracker is empty.
+// Tracker holds what one host knows of requests that crashed workers. The zero Tracker is empty
+// and ready to use.
 type Tracker struct {
-	// MinRestartTime is how soon after its end an answer of a worker shows that it did not end;
-	// 0 is two seconds. A process that ended must take longer to come back, if it comes back
-	// under the same name.
+	// MinRestartTime is the time after an apparent crash within which an answer of the worker
+	// shows that it did not crash; 0 means two seconds. A process that did crash must take
+	// longer to restart, if it restarts under the same name.
 	MinRestartTime time.Duration
-	// RenamedOnRestart says that a worker comes back under a new name, or not so soon: one that is
-	// there again did not end.
+	// RenamedOnRestart states that workers restart under a new name, or not within
+	// MinRestartTime. A worker that is seen again under its name within that time did not
+	// crash.
 	RenamedOnRestart bool
 
-	records map[Fingerprint]*record
-	marked  time.Time     // when the last mark was made
-	caught  []Entry       // held back since it was last asked
-	freed   []Fingerprint // let go since it was last asked
+	records          map[Fingerprint]*record
+	lastMark         time.Time     // time of the latest mark
+	newlyQuarantined []Entry       // quarantined since the last DrainQuarantined
+	newlyReleased    []Fingerprint // released since the last DrainReleased
 }
 
-// WorkerCrashed takes that a worker ended with a request that was sent to it at a time.
+// WorkerCrashed records that a worker crashed with a request that was sent to it at the given
+// time.
 func (b *Tracker) WorkerCrashed(now time.Time, f Fingerprint, worker string, sent time.Time) {
 	r := b.records[f]
 	switch {
 	case f == 0:
 		return
-	case r != nil && r.held(now):
-		r.take(mark{worker, now})
+	case r != nil && r.quarantined(now):
+		r.addMark(mark{worker, now})
 		return
-	case b.explained(mark{worker, now}):
+	case b.isExplained(mark{worker, now}):
 		return
 	case r == nil:
 		r = b.add(f)
-	case !sent.After(r.last()):
-		return // it was on its way as the worker before ended
-	case b.again(now, r, worker):
+	case !sent.After(r.lastMark()):
+		return // the previous crash happened while this copy was under way
+	case b.stillRunning(now, r, worker):
 		return
 	}
 	r.marks = append(r.marks, mark{worker, now})
-	b.marked = now
-	if len(r.marks) < r.need {
+	b.lastMark = now
+	if len(r.marks) < r.needed {
 		return
 	}
-	r.span = min(max(2*r.span, heldFirst), heldMost)
-	r.hold(now, r.span)
-	b.clear(now, r)
-	b.caught = append(b.caught, r.as(now, f))
+	r.duration = min(max(2*r.duration, firstDuration), maxDuration)
+	r.quarantine(now, r.duration)
+	b.clearExplained(now, r)
+	b.newlyQuarantined = append(b.newlyQuarantined, r.entry(now, f))
 }
 
-// again says that a worker ended under a request that has just had a mark of it: it was
-// there, so that what ended then was a connection.
-func (b *Tracker) again(now time.Time, r *record, worker string) bool {
+// stillRunning reports whether the request has a recent mark for the same worker. The worker
+// then did not crash the first time, only a connection broke; the mark moves to now.
+func (b *Tracker) stillRunning(now time.Time, r *record, worker string) bool {
 	i := slices.IndexFunc(r.marks, func(m mark) bool { return m.worker == worker })
-	if !b.RenamedOnRestart || i < 0 || now.Sub(r.marks[i].at) >= b.within() {
+	if !b.RenamedOnRestart || i < 0 || now.Sub(r.marks[i].at) >= b.minRestartTime() {
 		return false
 	}
 	r.marks[i].at = now
 	return true
 }
 
-// within is how soon after its end an answer shows that a worker did not end.
-func (b *Tracker) within() time.Duration { return cmp.Or(b.MinRestartTime, aliveWithin) }
+// minRestartTime returns MinRestartTime or its default.
+func (b *Tracker) minRestartTime() time.Duration {
+	return cmp.Or(b.MinRestartTime, defaultMinRestartTime)
+}
 
-// DrainQuarantined is the requests that are held back by what was told since DrainQuarantined was last asked.
+// DrainQuarantined returns the requests quarantined by this host since the last call.
 func (b *Tracker) DrainQuarantined() []Entry {
-	caught := b.caught
-	b.caught = nil
+	caught := b.newlyQuarantined
+	b.newlyQuarantined = nil
 	return caught
 }
 
-// DrainReleased is the requests whose time was over since DrainReleased was last asked.
+// DrainReleased returns the requests released since the last call.
 func (b *Tracker) DrainReleased() []Fingerprint {
-	freed := b.freed
-	b.freed = nil
+	freed := b.newlyReleased
+	b.newlyReleased = nil
 	return freed
 }
 
-// take takes the end of a worker by a copy that was under way.
-func (r *record) take(m mark) {
+// addMark adds the crash of a worker by a copy that was under way as the request was
+// quarantined.
+func (r *record) addMark(m mark) {
 	if !r.explains(m) {
 		r.marks = append(r.marks, m)
-		r.marks = slices.Delete(r.marks, 0, max(0, len(r.marks)-workersMost))
+		r.marks = slices.Delete(r.marks, 0, max(0, len(r.marks)-maxWorkers))
 	}
 }
 
-// explained says that a request that is held back ended the worker in that moment.
-func (b *Tracker) explained(m mark) bool {
+// isExplained reports whether a quarantined request caused the crash that a mark stands for.
+func (b *Tracker) isExplained(m mark) bool {
 	for _, r := range b.records {
-		if r.held(m.at) && r.explains(m) {
+		if r.quarantined(m.at) && r.explains(m) {
 			return true
 		}
 	}
 	return false
 }
 
-// clear takes the marks off others that a request held back explains.
-func (b *Tracker) clear(now time.Time, by *record) {
+// clearExplained removes the marks of other requests for crashes that a quarantined request
+// explains.
+func (b *Tracker) clearExplained(now time.Time, by *record) {
 	for f, r := range b.records {
-		if r == by || r.held(now) {
+		if r == by || r.quarantined(now) {
 			continue
 		}
 		r.marks = slices.DeleteFunc(r.marks, by.explains)
@@ -208,39 +218,40 @@
 	}
 }
 
-// add begins a record; where there are too many, some go.
+// add creates a record, after dropping old ones if there are too many.
 func (b *Tracker) add(f Fingerprint) *record {
 	if b.records == nil {
 		b.records = map[Fingerprint]*record{}
 	}
-	if len(b.records) >= recordsMost {
+	if len(b.records) >= maxRecords {
 		b.shrink()
 	}
-	r := &record{need: marksMost}
+	r := &record{needed: maxMarks}
 	b.records[f] = r
 	return r
 }
 
-// shrink drops a quarter of the records: the oldest, of those not held back first.
+// shrink drops a quarter of the records: those not quarantined first, the oldest of them before
+// others.
 func (b *Tracker) shrink() {
 	all := slices.SortedFunc(maps.Keys(b.records), func(x, y Fingerprint) int {
-		return cmp.Or(b.records[x].until.Compare(b.records[y].until), b.records[x].last().Compare(b.records[y].last()))
+		return cmp.Or(b.records[x].until.Compare(b.records[y].until), b.records[x].lastMark().Compare(b.records[y].lastMark()))
 	})
 	for _, f := range all[:len(all)/4] {
 		delete(b.records, f)
 	}
 }
 
-// Answered takes that a worker answered a request, whatever it said: it runs, and the
-// worker goes on.
+// Answered records that a worker answered a request, even with an error: the request does not
+// crash its worker, so its record is removed.
 func (b *Tracker) Answered(f Fingerprint) { delete(b.records, f) }
 
-// Alive takes that a worker was there at a time. What ended before that was a connection,
-// not the worker. It returns true where that takes a mark off.
+// Alive records that a worker was alive at a given time. If it seemed to crash before that,
+// only a connection broke. Alive reports whether it removed a mark.
 func (b *Tracker) Alive(now time.Time, worker string, at time.Time) bool {
-	within := b.within()
-	if now.Sub(b.marked) >= within {
-		return false // no mark is young enough
+	within := b.minRestartTime()
+	if now.Sub(b.lastMark) >= within {
+		return false // no mark is recent enough
 	}
 	some := false
 	for f, r := range b.records {
@@ -249,8 +260,8 @@
 			return m.worker == worker && at.Sub(m.at) > UsualUpdateDelay && now.Sub(m.at) < within
 		})
 		some = some || len(r.marks) < before
-		if len(r.marks) < r.need && r.held(now) {
-			r.until, r.span = time.Time{}, 0
+		if len(r.marks) < r.needed && r.quarantined(now) {
+			r.until, r.duration = time.Time{}, 0
 		}
 		if r.empty() {
 			delete(b.records, f)
@@ -259,50 +270,50 @@
 	return some
 }
 
-// Suspected says that a request has a mark.
+// Suspected reports whether a request has a record.
 func (b *Tracker) Suspected(f Fingerprint) bool { return b.records[f] != nil }
 
-// Quarantined says whether a request is held back, and for how long.
+// Quarantined reports whether a request is quarantined, and for how much longer.
 func (b *Tracker) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
 	r := b.records[f]
-	if r == nil || !r.held(now) {
+	if r == nil || !r.quarantined(now) {
 		return 0, false
 	}
 	return r.until.Sub(now), true
 }
 
-// List is the requests that are held back, by their fingerprints.
+// List returns the quarantined requests, ordered by fingerprint.
 func (b *Tracker) List(now time.Time) []Entry {
 	var out []Entry
 	for f, r := range b.records {
-		if r.held(now) {
-			out = append(out, r.as(now, f))
+		if r.quarantined(now) {
+			out = append(out, r.entry(now, f))
 		}
 	}
 	slices.SortFunc(out, func(x, y Entry) int { return cmp.Compare(x.Fingerprint, y.Fingerprint) })
 	return out
 }
 
-func (r *record) as(now time.Time, f Fingerprint) Entry {
-	return Entry{Fingerprint: f, Remaining: r.until.Sub(now), Duration: r.span, Workers: r.workers()}
+func (r *record) entry(now time.Time, f Fingerprint) Entry {
+	return Entry{Fingerprint: f, Remaining: r.until.Sub(now), Duration: r.duration, Workers: r.workers()}
 }
 
 func (r *record) workers() []string {
 	var out []string
-	for _, m := range r.marks[:min(len(r.marks), marksMost)] {
+	for _, m := range r.marks[:min(len(r.marks), maxMarks)] {
 		out = append(out, m.worker)
 	}
 	return out
 }
 
-// Receive takes a request that another host holds back. It returns true where this one did
-// not.
+// Receive adds a request that another host has quarantined. It reports whether it was not
+// quarantined here yet.
 func (b *Tracker) Receive(now time.Time, h Entry) bool {
 	if h.Fingerprint == 0 || h.Remaining <= 0 {
 		return false
 	}
 	r := b.records[h.Fingerprint]
-	if r != nil && r.held(now) {
+	if r != nil && r.quarantined(now) {
 		return false
 	}
 	if r == nil {
@@ -312,24 +323,24 @@
 	for _, worker := range h.Workers {
 		r.marks = append(r.marks, mark{worker, now})
 	}
-	r.span = min(h.Duration, heldMost)
-	r.hold(now, min(h.Remaining, heldMost))
-	b.clear(now, r)
+	r.duration = min(h.Duration, maxDuration)
+	r.quarantine(now, min(h.Remaining, maxDuration))
+	b.clearExplained(now, r)
 	return true
 }
 
-// Sweep lets go those whose time is over, on probation: one more end, and they are held
-// back again, for longer. It forgets marks that are old.
+// Sweep releases requests whose quarantine is over, on probation: a single further crash
+// quarantines them again, for longer. It also removes old records.
 func (b *Tracker) Sweep(now time.Time) {
 	for f, r := range b.records {
 		switch {
-		case r.held(now):
-		case r.span > 0 && !r.let:
-			b.freed = append(b.freed, f)
-			r.marks, r.need, r.let = nil, 1, true
-		case now.Sub(r.idle()) > max(forgetAfter, r.span):
+		case r.quarantined(now):
+		case r.duration > 0 && !r.released:
+			b.newlyReleased = append(b.newlyReleased, f)
+			r.marks, r.needed, r.released = nil, 1, true
+		case now.Sub(r.idleSince()) > max(forgetAfter, r.duration):
 			delete(b.records, f)
 		}
 	}
-	slices.Sort(b.freed)
+	slices.Sort(b.newlyReleased)
 }
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -10,7 +10,7 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-var _ = Describe("Book", func() {
+var _ = Describe("Tracker", func() {
 	const (
 		bad   = quarantiner.Fingerprint(7)
 		sound = quarantiner.Fingerprint(8)
@@ -21,7 +21,7 @@
 	)
 	BeforeEach(func() { b, now = &quarantiner.Tracker{}, time.Unix(1000, 0) })
 	pass := func(d time.Duration) time.Time { now = now.Add(d); return now }
-	// ends has a worker end with requests that were sent to it just before.
+	// crash crashes a worker with requests that were sent to it just before.
 	ends := func(worker string, fs ...quarantiner.Fingerprint) {
 		sent := pass(100 * time.Millisecond)
 		pass(50 * time.Millisecond)
@@ -34,7 +34,7 @@
 		return ok
 	}
 
-	It("holds a request back as the third worker ends under it, and no sooner", func() {
+	It("quarantines a request when the third worker crashes, and no sooner", func() {
 		for i := range 3 {
 			Expect(held(bad)).To(BeFalse())
 			ends(fmt.Sprint("w-", i), bad)
@@ -47,8 +47,8 @@
 		Expect(b.List(now)).To(Equal([]quarantiner.Entry{{Fingerprint: bad, Remaining: left, Duration: left, Workers: []string{"w-0", "w-1", "w-2"}}}))
 	})
 
-	// Guards against requests being held back that were under way as all workers lost power.
-	It("takes ends of one moment for one", func() {
+	// Guards against quarantining requests that were under way when all workers lost power.
+	It("counts crashes of copies that were sent before the previous crash once", func() {
 		sent := now
 		pass(time.Second)
 		for i := range 9 {
@@ -57,8 +57,8 @@
 		Expect(held(bad)).To(BeFalse())
 	})
 
-	// Guards against a request that is asked for all the time being held back for workers that fail.
-	It("clears what a worker answered", func() {
+	// Guards against quarantining a frequent request because unrelated workers fail.
+	It("clears the marks of a request that was answered", func() {
 		ends("w-0", bad)
 		ends("w-1", bad)
 		b.Answered(bad)
@@ -67,8 +67,8 @@
 		Expect(b.Suspected(bad)).To(BeTrue())
 	})
 
-	// Guards against connections that are reset passing for workers that end.
-	It("takes a mark off where the worker goes on", func() {
+	// Guards against taking reset connections for crashes.
+	It("removes the mark if the worker is still alive", func() {
 		ends("w-0", bad)
 		ends("w-1", bad)
 		b.Alive(pass(200*time.Millisecond), "w-1", now.Add(-50*time.Millisecond))
@@ -77,11 +77,11 @@
 		ends("w-3", bad)
 		Expect(held(bad)).To(BeTrue())
 		b.Alive(pass(200*time.Millisecond), "w-3", now.Add(-50*time.Millisecond))
-		Expect(held(bad)).To(BeFalse(), "also of one that is held back")
+		Expect(held(bad)).To(BeFalse(), "also for a quarantined request")
 	})
 
-	// Guards against an answer on its way passing for one of the process that follows.
-	It("goes by what was said after the end, and soon after it", func() {
+	// Guards against taking an answer that was on its way for one of the restarted process.
+	It("only accepts signs of life from after the crash, and soon after it", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("w-", i), bad)
 		}
@@ -91,35 +91,36 @@
 		Expect(held(bad)).To(BeTrue())
 	})
 
-	// Guards against those being held back that were at the same workers by chance.
-	It("counts no end against others that a request held back explains", func() {
+	// Guards against quarantining requests that were at the same workers by chance.
+	It("does not count crashes that a quarantined request explains", func() {
 		ends("w-0", sound, bad)
 		ends("w-1", bad, sound)
 		ends("w-2", bad)
 		Expect(held(bad)).To(BeTrue())
 		Expect(b.Suspected(sound)).To(BeFalse())
-		ends("w-3", bad) // it was under way
+		ends("w-3", bad) // a copy that was under way
 		for range 3 {
 			ends("w-3", sound)
 		}
 		Expect(b.Suspected(sound)).To(BeFalse())
 	})
 
-	// Guards against two workers that break off their answers having a sound request held back.
-	It("takes a worker that is there again at once for one that did not end", func() {
+	// Guards against quarantining a sound request because two workers break off their answers.
+	It("takes a worker that is seen again immediately for one that did not crash", func() {
 		b.RenamedOnRestart = true
 		for range 9 {
 			ends("w-0", bad)
 			ends("w-1", bad)
 		}
 		Expect(held(bad)).To(BeFalse())
-		pass(3 * time.Second) // it may have come back
+		pass(3 * time.Second) // long enough for a restart
 		ends("w-0", bad)
 		Expect(held(bad)).To(BeTrue())
 	})
 
-	// Guards against one request held back hiding all others at workers that keep their names.
-	It("explains an end by one of the same moment only", func() {
+	// Guards against one quarantined request hiding all others at workers that keep their
+	// names.
+	It("explains a crash only by one at the same time", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("w-", i), bad)
 		}
@@ -131,7 +132,7 @@
 		Expect(held(sound)).To(BeTrue())
 	})
 
-	It("lets a request go after a while, and holds it back for longer at the next end", func() {
+	It("releases a request after its quarantine, and doubles the next one", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("w-", i), bad)
 		}
@@ -153,7 +154,7 @@
 		Expect(b.Suspected(bad)).To(BeFalse())
 	})
 
-	It("takes what another host holds back, once", func() {
+	It("accepts the quarantine of another host once", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("w-", i), bad)
 		}
@@ -165,7 +166,7 @@
 		Expect(other.List(now)).To(Equal(b.List(now)))
 	})
 
-	It("keeps no more than so many, and those held back longest", func() {
+	It("bounds its records, and keeps quarantined requests longest", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("w-", i), bad)
 		}
@@ -177,7 +178,7 @@
 		Expect(b.Suspected(10099)).To(BeTrue())
 	})
 
-	It("knows nothing of a request without a fingerprint", func() {
+	It("ignores requests without a fingerprint", func() {
 		for i := range 9 {
 			ends(fmt.Sprint("w-", i), 0)
 		}
