--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -269,7 +269,7 @@
 	d.ended.add(w.ask.Request, w.ask.Attempt)
 	w.class.counts.Refused++
 	d.send(w.from, messenger.Refuse{
-		Request: w.ask.Request, Attempt: w.ask.Attempt, Cell: d.cell.Name, Reason: reason, After: after,
+		Request: w.ask.Request, Attempt: w.ask.Attempt, Cell: d.cell.Name, Reason: reason, RetryAfter: after,
 		Wait: d.expectedWait(w.class, nil), Class: w.class.name,
 	})
 }
--- a/dispatcher/policy_test.go
+++ b/dispatcher/policy_test.go
@@ -177,7 +177,7 @@
 			for _, class := range []string{"summary", "check"} {
 				for _, r := range only[messenger.Refuse](d.Handle(now, "a", ask(fmt.Sprintf("%s-x%d", class, i), class))) {
 					Expect(r.Reason).To(Equal(dispatcher.ReasonOverload))
-					refused[class] = append(refused[class], r.After)
+					refused[class] = append(refused[class], r.RetryAfter)
 				}
 			}
 		}
--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -55,7 +55,7 @@
 			s.checkSlots(m.Worker)
 		case messenger.Refuse:
 			s.answer(m.Request)
-			if m.After <= 0 {
+			if m.RetryAfter <= 0 {
 				s.t.Fatalf("refused without a retry time")
 			}
 		}
--- a/messenger/message.go
+++ b/messenger/message.go
@@ -60,16 +60,16 @@
 }
 
 // Refuse is the final answer to an Ask: the request was not run and may be
-// asked again after After.
+// asked again after RetryAfter.
 type Refuse struct {
-	_msgpack struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Request  string        `msgpack:"request"`
-	Attempt  uint64        `msgpack:"attempt"`
-	Cell     string        `msgpack:"cell"`
-	Reason   string        `msgpack:"reason"`
-	After    time.Duration `msgpack:"after"`
-	Class    string        `msgpack:"class"`
-	Wait     time.Duration `msgpack:"wait"` // as in Grant
+	_msgpack   struct{}      `msgpack:",as_array"` //nolint:unused // read by msgpack
+	Request    string        `msgpack:"request"`
+	Attempt    uint64        `msgpack:"attempt"`
+	Cell       string        `msgpack:"cell"`
+	Reason     string        `msgpack:"reason"`
+	RetryAfter time.Duration `msgpack:"after"`
+	Class      string        `msgpack:"class"`
+	Wait       time.Duration `msgpack:"wait"` // as in Grant
 }
 
 // Preempt asks the entry to stop a request in flight and to ask again.
--- a/messenger/message_once.go
+++ b/messenger/message_once.go
@@ -40,15 +40,15 @@
 
 // OnceVerdict is a keeper's answer to a Once. Kind is a keeper.Kind.
 type OnceVerdict struct {
-	_msgpack struct{}            `msgpack:",as_array"` //nolint:unused // read by msgpack
-	Request  string              `msgpack:"request"`
-	Kind     uint8               `msgpack:"kind"`
-	Reason   string              `msgpack:"reason"`
-	After    time.Duration       `msgpack:"after"`
-	Order    uint64              `msgpack:"order"` // 0 if the keeper has not read its log yet
-	Status   int                 `msgpack:"status"`
-	Header   map[string][]string `msgpack:"header"`
-	Body     []byte              `msgpack:"body"`
+	_msgpack   struct{}            `msgpack:",as_array"` //nolint:unused // read by msgpack
+	Request    string              `msgpack:"request"`
+	Kind       uint8               `msgpack:"kind"`
+	Reason     string              `msgpack:"reason"`
+	RetryAfter time.Duration       `msgpack:"after"`
+	Order      uint64              `msgpack:"order"` // 0 if the keeper has not read its log yet
+	Status     int                 `msgpack:"status"`
+	Header     map[string][]string `msgpack:"header"`
+	Body       []byte              `msgpack:"body"`
 }
 
 func (Once) kind() string           { return "once" }
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -96,7 +96,7 @@
 		return
 	}
 	delete(c.calls, m.Request)
-	k.reply <- placeReply{refusal: &server.Refusal{Reason: m.Reason, After: m.After}}
+	k.reply <- placeReply{refusal: &server.Refusal{Reason: m.Reason, After: m.RetryAfter}}
 }
 
 func (c *control) preempted(m messenger.Preempt) {
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -214,7 +214,7 @@
 	k.metrics.verdict(v.Kind)
 	k.log.Info("once", zap.String("request", o.Request), zap.String("entry", o.To), zap.Int("partition", p.partition),
 		zap.String("verdict", v.Kind.String()), zap.String("reason", v.Reason), zap.Uint64("order", v.Order))
-	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, After: v.RetryAfter, Order: v.Order}
+	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, RetryAfter: v.RetryAfter, Order: v.Order}
 	if v.Answer != nil {
 		m.Status, m.Header, m.Body = v.Answer.Status, v.Answer.Header, v.Answer.Body
 	}
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -56,7 +56,7 @@
 func (k *keeping) begin(now time.Time, e onceAsked) {
 	if k == nil || k.partitions == 0 {
 		// The key may have run before this host was started.
-		e.reply <- messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonStore, After: time.Second}
+		e.reply <- messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonStore, RetryAfter: time.Second}
 		return
 	}
 	c := &onceCall{message: e.message, reply: e.reply, ends: now.Add(e.message.Ask.Deadline)}
@@ -125,11 +125,11 @@
 	if c == nil {
 		return // late, or twice
 	}
-	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, RetryAfter: m.After, Order: m.Order})
+	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, RetryAfter: m.RetryAfter, Order: m.Order})
 	if !last {
 		c.again, c.moved = now.Add(movedPause), true
 		return
 	}
-	m.Kind, m.Reason, m.After = uint8(v.Kind), v.Reason, v.RetryAfter
+	m.Kind, m.Reason, m.RetryAfter = uint8(v.Kind), v.Reason, v.RetryAfter
 	k.tell(c, m)
 }
--- a/server/once.go
+++ b/server/once.go
@@ -109,7 +109,7 @@
 		f.status, f.code, f.run = http.StatusUnprocessableEntity, "key_reused", RunNo
 		f.message = "the key belongs to another call; this one was not run"
 	case keeper.KindNotRun, keeper.KindMoved:
-		f.status, f.run, f.after = http.StatusServiceUnavailable, RunNo, max(v.After, time.Millisecond)
+		f.status, f.run, f.after = http.StatusServiceUnavailable, RunNo, max(v.RetryAfter, time.Millisecond)
 		f.message = "the request was not run: " + v.Reason
 		if v.Reason == keeper.ReasonFuture {
 			f.status, f.after = http.StatusBadRequest, 0
@@ -122,8 +122,8 @@
 			f.status = http.StatusGatewayTimeout
 		}
 		f.message = "the call may have run: ask the service, do not repeat it"
-		if v.After > 0 { // the keeper can't read its log: later it will know
-			f.status, f.after = http.StatusServiceUnavailable, v.After
+		if v.RetryAfter > 0 { // the keeper can't read its log: later it will know
+			f.status, f.after = http.StatusServiceUnavailable, v.RetryAfter
 			f.message = "the call may have run before: ask again with the same key"
 		}
 	}
--- a/server/once_test.go
+++ b/server/once_test.go
@@ -112,12 +112,12 @@
 			Expect(told).To(Equal(again))
 			Expect(resp.header.Get(server.HeaderKey)).To(Equal("k1"))
 		},
-		Entry("not run", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonStore, After: time.Second}, 503, "store_down", "no", true),
+		Entry("not run", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonStore, RetryAfter: time.Second}, 503, "store_down", "no", true),
 		Entry("not run, no time given", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonFull}, 503, "once_full", "no", true),
 		Entry("key of the future", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonFuture}, 400, "key_in_future", "no", false),
 		Entry("unknown", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown)}, 502, "may_have_run", "unknown", false),
 		Entry("unknown at the deadline", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonDeadline}, 504, "deadline", "unknown", false),
-		Entry("unknown until the log can be read", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonStore, After: time.Second}, 503, "store_down", "unknown", true),
+		Entry("unknown until the log can be read", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonStore, RetryAfter: time.Second}, 503, "store_down", "unknown", true),
 		Entry("key forgotten", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonExpired}, 502, "key_expired", "unknown", false),
 		Entry("ran, answer not kept", messenger.OnceVerdict{Kind: uint8(keeper.KindGone)}, 409, "answer_not_kept", "yes", false),
 		Entry("key of another call", messenger.OnceVerdict{Kind: uint8(keeper.KindReused)}, 422, "key_reused", "no", false),
