--- a/observer/client.go
+++ b/observer/client.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	reportTimeout = time.Second
-	listTimeout   = 3 * time.Second
-	maxReport     = 64 << 10 // bytes
-	maxList       = 4 << 20  // bytes
+	reportTimeout  = time.Second
+	listTimeout    = 3 * time.Second
+	maxReportBytes = 64 << 10
+	maxListBytes   = 4 << 20
 )
 
-// ErrUnavailable says that a list or report could not be had.
-var ErrUnavailable = errors.New("no list or report")
+// ErrUnavailable is wrapped by errors about a list or report that could not be read.
+var ErrUnavailable = errors.New("not available")
 
 // Client reads the platform's host list and workers' load reports.
 type Client struct {
@@ -28,34 +28,35 @@
 	http     *http.Client
 }
 
-// NewClient returns a client and its clean-up.
+// NewClient returns a client and a function that closes its idle connections.
 func NewClient(platform string) (*Client, func()) {
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: reportTimeout}).DialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}
 	return &Client{platform: strings.TrimRight(platform, "/"), http: &http.Client{Transport: t}}, t.CloseIdleConnections
 }
 
-// List is the platform's host list.
+// List returns the platform's host list.
 func (c *Client) List(ctx context.Context) ([]Listing, error) {
 	var body struct {
 		Hosts []Listing `json:"hosts"`
 	}
-	if err := c.get(ctx, c.platform+"/hosts", listTimeout, maxList, &body); err != nil {
+	if err := c.get(ctx, c.platform+"/hosts", listTimeout, maxListBytes, &body); err != nil {
 		return nil, fmt.Errorf("host list: %w", err)
 	}
 	return body.Hosts, nil
 }
 
-// Report is the load report of the worker at address. A worker that answers, but
-// has no report, gives a zero Report.
+// Report returns the load report of the worker at address. If the worker answers, but has no
+// report, the Report is zero.
 func (c *Client) Report(ctx context.Context, address string) (Report, error) {
 	var r Report
-	if err := c.get(ctx, "http://"+address+"/load", reportTimeout, maxReport, &r); err != nil {
+	if err := c.get(ctx, "http://"+address+"/load", reportTimeout, maxReportBytes, &r); err != nil {
 		return r, fmt.Errorf("load report of %s: %w", address, err)
 	}
 	return r, nil
 }
 
-func (c *Client) get(ctx context.Context, url string, timeout time.Duration, limit int64, into any) error {
+// get reads a JSON document into out, which stays unchanged if the server answers 404.
+func (c *Client) get(ctx context.Context, url string, timeout time.Duration, limit int64, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -77,7 +78,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
-	if err := json.Unmarshal(body, into); err != nil {
+	if err := json.Unmarshal(body, out); err != nil {
 		return fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	return nil
--- a/observer/directory.go
+++ b/observer/directory.go
@@ -6,62 +6,64 @@
 	"time"
 )
 
-// returnTime is how long after an outage of the source a worker whose entry is
-// missing still counts as there. Entries may lapse while their writers can't
-// reach the source; who lives writes again within two seconds of its return.
-const returnTime = 2 * time.Second
+// recoveryGrace is how long after an outage of the source a worker whose entry is missing
+// still counts as present. Entries may expire while their writers can't reach the source; a
+// running worker writes its entry again within two seconds after the source is available.
+const recoveryGrace = 2 * time.Second
 
-// Entry is one worker as it describes itself at the source.
+// Entry describes one worker as it registered itself at the source.
 type Entry struct {
 	Listing
-	Incarnation string        // tells a process from the one before it under the same name; may be empty
-	WarmUp      time.Duration // it stays slow for that much longer
+	Incarnation string        // distinguishes a process from an earlier one with the same name; may be empty
+	WarmUp      time.Duration // time for which it is still slow
 }
 
-// Directory is the workers that registered themselves at a source that may be
-// away. It is pure, and not safe for concurrent use. The zero Directory is empty.
+// Directory is the set of workers that registered themselves at a source that may be
+// unavailable. It does no I/O and is not safe for concurrent use. The zero Directory is empty.
 type Directory struct {
-	entries map[string]*registered // by name
-	away    bool                   // the source can't be read
-	back    time.Time              // when it could be read again
-	listed  bool                   // it was ever read
-	gone    map[string]time.Time   // when an entry went, by name
+	entries     map[string]*trackedEntry // by name
+	unavailable bool                     // the source can't be read
+	recoveredAt time.Time                // when the source could be read again
+	loaded      bool                     // the source was read at least once
+	removedAt   map[string]time.Time     // when an entry was removed, by name
 }
 
-// registered is an entry and whether it still lies at the source.
-type registered struct {
+// trackedEntry is an entry with its state at the source.
+type trackedEntry struct {
 	Entry
-	missing time.Time // since when it does not; zero where it does
-	doubted time.Time // since when the source has only an older word of it; zero where not
-	older   *Entry    // that word, of an earlier process; nil where the worker is leaving or gone
+	missingSince time.Time // since when the source does not have the entry; zero if it does
+	staleSince   time.Time // when the source was restored with an older entry of the worker; zero if not
+	restored     *Entry    // that entry, of an earlier process; nil if the worker is leaving or gone
 }
 
-// Loaded says that the source was ever read.
-func (d *Directory) Loaded() bool { return d.listed }
+// Loaded reports whether the source was ever read.
+func (d *Directory) Loaded() bool { return d.loaded }
 
-// Failed takes that the source can't be read. What is known stays.
-func (d *Directory) Failed() { d.away = d.listed }
+// Failed records that the source can't be read. The known entries are kept.
+func (d *Directory) Failed() { d.unavailable = d.loaded }
 
-// Listed takes all entries of the source.
+// Listed applies the complete list of the source.
 func (d *Directory) Listed(now time.Time, entries []Entry) {
-	d.returned(now)
-	d.list(now, entries, func(e Entry) {
-		// Failure: the list is of the same older copy; a worker that left would count by it.
-		if r := d.entries[e.Name]; r != nil && r.doubts(e) {
-			r.missing = time.Time{}
+	d.noteRecovery(now)
+	d.applyList(now, entries, func(e Entry) {
+		// The list may come from the same older snapshot; a worker that left must not become
+		// available by it.
+		if r := d.entries[e.Name]; r != nil && r.isStale(e) {
+			r.missingSince = time.Time{}
 			return
 		}
 		d.put(e)
 	})
 }
 
-// list takes all entries of the source, one by one with take.
-func (d *Directory) list(now time.Time, entries []Entry, take func(Entry)) {
-	d.listed = true
+// applyList applies the complete list of the source: it calls apply for each entry and removes
+// those that are not in the list.
+func (d *Directory) applyList(now time.Time, entries []Entry, apply func(Entry)) {
+	d.loaded = true
 	present := map[string]bool{}
 	for _, e := range entries {
 		present[e.Name] = true
-		take(e)
+		apply(e)
 	}
 	for name := range d.entries {
 		if !present[name] {
@@ -70,88 +72,89 @@
 	}
 }
 
-// returned notes the source's return from an outage.
-func (d *Directory) returned(now time.Time) {
-	if d.away {
-		d.away, d.back = false, now
+// noteRecovery records the end of an outage of the source.
+func (d *Directory) noteRecovery(now time.Time) {
+	if d.unavailable {
+		d.unavailable, d.recoveredAt = false, now
 	}
 }
 
-// Changed takes one new or changed entry.
+// Changed applies one new or changed entry.
 func (d *Directory) Changed(now time.Time, e Entry) {
-	d.returned(now)
+	d.noteRecovery(now)
 	d.put(e)
 }
 
 func (d *Directory) put(e Entry) {
 	if d.entries == nil {
-		d.entries = map[string]*registered{}
+		d.entries = map[string]*trackedEntry{}
 	}
-	d.entries[e.Name] = &registered{Entry: e}
+	d.entries[e.Name] = &trackedEntry{Entry: e}
 }
 
-// Removed takes that an entry is gone. Its worker gets nothing new, except just
-// after an outage, where the entry may have lapsed for want of the source.
+// Removed applies the removal of an entry. Its worker gets no new requests, except shortly
+// after an outage of the source, when the entry may have expired because of the outage.
 func (d *Directory) Removed(now time.Time, name string) {
 	r := d.entries[name]
 	if r == nil {
 		return
 	}
-	if r.Leaving || !d.returning(now) {
-		d.drop(now, name)
+	if r.Leaving || !d.recentlyRecovered(now) {
+		d.remove(now, name)
 		return
 	}
-	if r.missing.IsZero() {
-		r.missing = now
+	if r.missingSince.IsZero() {
+		r.missingSince = now
 	}
 }
 
-// returning says that the source came back a moment ago.
-func (d *Directory) returning(now time.Time) bool {
-	return !d.back.IsZero() && now.Sub(d.back) < returnTime
+// recentlyRecovered reports whether an outage of the source ended within recoveryGrace.
+func (d *Directory) recentlyRecovered(now time.Time) bool {
+	return !d.recoveredAt.IsZero() && now.Sub(d.recoveredAt) < recoveryGrace
 }
 
-// drop forgets a worker, but for that it is gone.
-func (d *Directory) drop(now time.Time, name string) {
+// remove forgets an entry, but remembers that it was removed.
+func (d *Directory) remove(now time.Time, name string) {
 	delete(d.entries, name)
-	if d.gone == nil {
-		d.gone = map[string]time.Time{}
+	if d.removedAt == nil {
+		d.removedAt = map[string]time.Time{}
 	}
-	d.gone[name] = now
+	d.removedAt[name] = now
 }
 
-// Sweep drops the entries that did not come back after an outage, and has those count that
-// came back with an older copy and still lie there. It says whether there were any.
+// Sweep removes the entries that are still missing after an outage, and makes available those
+// that an older snapshot restored and that are still at the source after staleHold. It reports
+// whether there were any.
 func (d *Directory) Sweep(now time.Time) bool {
-	for name, at := range d.gone {
-		if now.Sub(at) >= goneTime {
-			delete(d.gone, name)
+	for name, at := range d.removedAt {
+		if now.Sub(at) >= removedRetention {
+			delete(d.removedAt, name)
 		}
 	}
-	if d.away || d.returning(now) {
+	if d.unavailable || d.recentlyRecovered(now) {
 		return false
 	}
 	swept := false
 	for name, r := range d.entries {
 		switch {
-		case !r.missing.IsZero():
-			d.drop(now, name)
+		case !r.missingSince.IsZero():
+			d.remove(now, name)
 			swept = true
-		case !r.doubted.IsZero() && now.Sub(r.doubted) >= doubtTime:
-			if r.older != nil {
-				r.Entry = *r.older
+		case !r.staleSince.IsZero() && now.Sub(r.staleSince) >= staleHold:
+			if r.restored != nil {
+				r.Entry = *r.restored
 			}
-			r.doubted, r.older, swept = time.Time{}, nil, true
+			r.staleSince, r.restored, swept = time.Time{}, nil, true
 		}
 	}
 	return swept
 }
 
-// Available is the workers that may get new requests, by service and name.
+// Available returns the workers that may get new requests, sorted by service and name.
 func (d *Directory) Available() []Entry {
 	out := []Entry{}
 	for _, r := range d.entries {
-		if r.counts() {
+		if r.available() {
 			out = append(out, r.Entry)
 		}
 	}
--- a/observer/directory_restored.go
+++ b/observer/directory_restored.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// doubtTime is how long an entry that an older copy of the source brought back does not
-// count: its worker had gone, or told that it leaves. Until then who lives has written
-// again, and what nobody writes has lapsed.
-const doubtTime = 6 * time.Second
-
-// goneTime is how long a worker that is gone is remembered: the oldest copy and an outage.
-const goneTime = time.Minute
-
-// Restored takes all entries of a source that came back from an older copy of itself. What
-// is missing may have been written since, and what is there may have gone since: neither
-// counts before their writers had time to write again.
+// staleHold is how long an entry that was restored by an older snapshot of the source is not
+// used if its worker was gone or leaving. By then every running worker has written its entry
+// again, and entries that nobody writes have expired.
+const staleHold = 6 * time.Second
+
+// removedRetention is how long a removed worker is remembered. It covers the age of the oldest
+// snapshot and an outage.
+const removedRetention = time.Minute
+
+// Restored applies the complete list of a source that was restored from an older snapshot.
+// Missing entries may have been written after the snapshot, and listed ones removed after it;
+// neither takes effect before their writers had time to write again.
 func (d *Directory) Restored(now time.Time, entries []Entry) {
-	d.away, d.back = false, now
-	d.list(now, entries, func(e Entry) {
-		if known := d.entries[e.Name]; known != nil && known.stands(e) {
-			known.missing, known.doubted, known.older = time.Time{}, now, &e
+	d.unavailable, d.recoveredAt = false, now
+	d.applyList(now, entries, func(e Entry) {
+		if known := d.entries[e.Name]; known != nil && known.staysCurrent(e) {
+			known.missingSince, known.staleSince, known.restored = time.Time{}, now, &e
 			return
 		}
-		doubted := d.left(e)
-		if d.put(e); doubted {
-			d.entries[e.Name].doubted = now
+		stale := d.knownGone(e)
+		if d.put(e); stale {
+			d.entries[e.Name].staleSince = now
 		}
 	})
 }
 
-// stands says that an entry goes on to count, though an older copy of the source has one of
-// another process of the worker. Failure: a worker that had restarted is asked where it was
-// before.
-func (r *registered) stands(e Entry) bool {
-	return !r.Leaving && !e.Leaving && r.Incarnation != e.Incarnation && (r.doubted.IsZero() || r.older != nil)
+// staysCurrent reports whether the entry stays in use although an older snapshot of the source
+// has one of another process of the worker. Otherwise requests would be sent to the address
+// that the worker had before it restarted.
+func (r *trackedEntry) staysCurrent(e Entry) bool {
+	return !r.Leaving && !e.Leaving && r.Incarnation != e.Incarnation && (r.staleSince.IsZero() || r.restored != nil)
 }
 
-// counts says that the worker may get new requests.
-func (r *registered) counts() bool {
-	return !r.Leaving && (r.doubted.IsZero() || r.older != nil)
+// available reports whether the worker may get new requests.
+func (r *trackedEntry) available() bool {
+	return !r.Leaving && (r.staleSince.IsZero() || r.restored != nil)
 }
 
-// left says that an entry's worker is known to be gone or to leave.
-func (d *Directory) left(e Entry) bool {
+// knownGone reports whether the worker of an entry is known to be gone or leaving.
+func (d *Directory) knownGone(e Entry) bool {
 	if r := d.entries[e.Name]; r != nil {
-		return r.Incarnation == e.Incarnation && !r.counts()
+		return r.Incarnation == e.Incarnation && !r.available()
 	}
-	_, gone := d.gone[e.Name]
+	_, gone := d.removedAt[e.Name]
 	return gone
 }
 
-// doubts says that an entry is the older word that does not count.
-func (r *registered) doubts(e Entry) bool {
-	if r.older != nil {
-		return *r.older == e
+// isStale reports whether e is the older entry that was restored and is not in use.
+func (r *trackedEntry) isStale(e Entry) bool {
+	if r.restored != nil {
+		return *r.restored == e
 	}
-	return !r.doubted.IsZero() && r.Entry == e
+	return !r.staleSince.IsZero() && r.Entry == e
 }
--- a/observer/directory_test.go
+++ b/observer/directory_test.go
@@ -22,7 +22,7 @@
 		return out
 	}
 
-	It("knows nothing before it was told, and forgets at once who goes", func() {
+	It("knows nothing before the first list, and removes workers immediately", func() {
 		var d observer.Directory
 		Expect(d.Loaded()).To(BeFalse())
 		d.Failed()
@@ -35,9 +35,9 @@
 		Expect(names(&d)).To(Equal([]string{"b"}))
 	})
 
-	// The store is away, and entries lapse because their workers can't write there.
-	// Were they gone with the first list after it, a whole service would be refused.
-	It("keeps for two seconds after an outage who is missing, and then no longer", func() {
+	// Guards against a whole service being refused after an outage of the source: entries expire
+	// while their workers can't write, and are missing in the first list after it.
+	It("keeps missing workers for two seconds after an outage, and then no longer", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", false), entry("b", false), entry("c", true)})
 		d.Failed()
@@ -52,23 +52,23 @@
 		Expect(names(&d)).To(Equal([]string{"b"}))
 	})
 
-	// Guards against requests to workers that had told of their end in what the source lost.
-	It("does not bring back, with an older copy of the source, who was leaving or gone", func() {
+	// Guards against requests to workers that reported their end in what the source has lost.
+	It("does not restore leaving or removed workers by an older snapshot of the source", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", false), entry("b", true), entry("c", false), entry("d", false)})
 		d.Removed(start, "c")
 		back := start.Add(5 * time.Second)
 		d.Restored(back, []observer.Entry{entry("a", false), entry("b", false), entry("c", false)})
 		Expect(names(&d)).To(Equal([]string{"a", "d"}))
-		d.Changed(back.Add(time.Second), entry("b", false)) // its own word, later than its leaving
+		d.Changed(back.Add(time.Second), entry("b", false)) // written by the worker after it was leaving
 		Expect(names(&d)).To(Equal([]string{"a", "b", "d"}))
 		d.Sweep(back.Add(2 * time.Second))
 		Expect(names(&d)).To(Equal([]string{"a", "b"}))
 	})
 
-	// Guards against a worker that serves and is never asked: a write that changes nothing
-	// is no event.
-	It("has them count once an entry that nobody writes would have lapsed", func() {
+	// Guards against a running worker that never gets requests: a write that changes nothing is
+	// not an event.
+	It("makes them available once an entry that nobody writes would have expired", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", false)})
 		d.Removed(start, "a")
@@ -79,8 +79,8 @@
 		Expect(names(&d)).To(Equal([]string{"a"}))
 	})
 
-	// Guards against a list of the same copy that comes after another host told of it.
-	It("does not bring them back with the next list of that copy either", func() {
+	// Guards against a list of the same snapshot that arrives after another host's list.
+	It("does not restore them by the next list of that snapshot either", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", true), entry("b", false)})
 		copied := []observer.Entry{entry("a", false), entry("b", false)}
@@ -89,8 +89,9 @@
 		Expect(names(&d)).To(Equal([]string{"b"}))
 	})
 
-	// Guards against requests to where a worker was before it restarted, as the copy has that.
-	It("goes on with the last process of a worker, until it is told of another", func() {
+	// Guards against requests to the address that a worker had before it restarted, which is in
+	// the snapshot.
+	It("keeps the last process of a worker until another one is written", func() {
 		at := func(address, born string) observer.Entry {
 			e := entry("a", false)
 			e.Address, e.Incarnation = address, born
@@ -100,7 +101,7 @@
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{at("127.0.0.1:1", "0")})
 		d.Changed(start, at("127.0.0.1:2", "1"))
-		for i := range 2 { // returns
+		for i := range 2 { // restores
 			d.Restored(start.Add(time.Duration(i)*time.Second), []observer.Entry{at("127.0.0.1:1", "0")})
 			Expect(address(&d)).To(Equal("127.0.0.1:2"))
 		}
@@ -113,8 +114,8 @@
 		Expect(d.Sweep(start.Add(20 * time.Second))).To(BeFalse())
 	})
 
-	// Guards against a second return, a moment later, by which they count after all.
-	It("does not bring them back with a second copy either", func() {
+	// Guards against a second restore, a moment later, making them available.
+	It("does not restore them by a second snapshot either", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", true), entry("b", false)})
 		d.Restored(start, []observer.Entry{entry("a", false), entry("b", false)})
@@ -122,7 +123,7 @@
 		Expect(names(&d)).To(Equal([]string{"b"}))
 	})
 
-	It("does not bring back during an outage who was leaving before it", func() {
+	It("does not make a leaving worker available again by an outage", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", true)})
 		d.Failed()
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -1,9 +1,8 @@
-// Package observer knows which backend servers are there and which of them are
-// leaving. Three sources say so, each late in its own way: the platform's host
-// list, the worker's own load report, and its refusal of a call.
+// Package observer tracks which backend servers exist and which of them are leaving. It
+// combines three sources, each of which may be late: the platform's host list, the worker's
+// own load report, and its refusal of a call.
 //
-// Observer is pure: time comes in as an argument. Client is the adapter that
-// reads lists and reports over HTTP.
+// Observer does no I/O, and the time is an argument. Client reads lists and reports over HTTP.
 package observer
 
 import (
@@ -18,14 +17,14 @@
 )
 
 const (
-	// refusalHold is how long a refusal alone keeps new work away. A load report
-	// may be older than the refusal, so none ends it sooner.
+	// refusalHold is how long a refusal alone keeps new work away from a worker. A load
+	// report may be older than the refusal, so no report ends the hold early.
 	refusalHold = 3 * time.Second
-	// silentHold is how long a worker that the host list lost is kept after its
-	// last answer: the list may be late or wrong.
-	silentHold = 10 * time.Second
-	// unseenHold is the same for a worker that this host does not ask itself.
-	unseenHold = time.Minute
+	// silentRetention is how long a worker that is missing from the host list is kept after
+	// its last answer, because the list may be late or wrong.
+	silentRetention = 10 * time.Second
+	// unseenRetention is the same for a worker that this host does not ask for reports.
+	unseenRetention = time.Minute
 )
 
 // Report is a worker's load report.
@@ -45,58 +44,58 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// key names a worker.
+// key identifies a worker.
 type key struct{ service, name string }
 
-// worker is what is known of one backend server.
+// worker is the state of one backend server.
 type worker struct {
 	loader.Worker
-	fixed    bool // named by the folder
-	missing  time.Time
-	answered time.Time // its last answer to this host; zero before the first
-	refused  time.Time
-	listed   bool // as leaving, in the host list
-	reported bool // itself as leaving
-	report   Report
+	configured      bool      // listed in the configuration
+	missingSince    time.Time // zero while it is in the host list
+	lastReport      time.Time // received by this host; zero before the first
+	refusedAt       time.Time // zero before the first refusal
+	listedLeaving   bool      // the host list reports it as leaving
+	reportedLeaving bool      // it reports itself as leaving
+	report          Report
 }
 
-// present says whether the worker may get new work. Whichever source says first
-// that it leaves is believed, and each must take its own word back.
-func (w *worker) present(now time.Time) bool {
-	return !w.listed && !w.reported && (w.refused.IsZero() || now.Sub(w.refused) >= refusalHold)
+// available reports whether the worker may get new work. The first source that reports it as
+// leaving is believed, and only the same source can revoke that.
+func (w *worker) available(now time.Time) bool {
+	return !w.listedLeaving && !w.reportedLeaving && (w.refusedAt.IsZero() || now.Sub(w.refusedAt) >= refusalHold)
 }
 
-// Observer is the workers of all services. The zero Observer knows none. It is
-// not safe for concurrent use: the control goroutine owns it.
+// Observer is the set of workers of all services. The zero Observer has none. It is not safe
+// for concurrent use: the control goroutine owns it.
 type Observer struct {
 	services map[string]loader.Service
 	workers  map[key]*worker
 }
 
-// Configure takes the services of a new configuration.
+// Configure sets the services of a new configuration.
 func (o *Observer) Configure(services map[string]loader.Service) {
 	o.services = services
-	old := o.workers
+	previous := o.workers
 	o.workers = map[key]*worker{}
 	for name, s := range services {
 		for _, w := range s.Workers {
 			k := key{name, w.Name}
-			o.workers[k] = &worker{Worker: w, fixed: true}
-			if x := old[k]; x != nil && x.Address == w.Address {
+			o.workers[k] = &worker{Worker: w, configured: true}
+			if x := previous[k]; x != nil && x.Address == w.Address {
 				*o.workers[k] = *x
-				o.workers[k].Worker, o.workers[k].fixed = w, true
+				o.workers[k].Worker, o.workers[k].configured = w, true
 			}
 		}
 	}
-	for k, x := range old {
-		if o.services[k.service].Hosts && !x.fixed && o.workers[k] == nil {
+	for k, x := range previous {
+		if o.services[k.service].Hosts && !x.configured && o.workers[k] == nil {
 			o.workers[k] = x
 		}
 	}
 }
 
-// Listed takes the whole host list. A worker that it lost is kept while it
-// answers: only a list that says "leaving" takes work away.
+// Listed applies the complete host list. A worker that is missing from it is kept while it
+// answers: only a list that reports it as leaving keeps new work away.
 func (o *Observer) Listed(now time.Time, list []Listing) {
 	seen := map[key]bool{}
 	for _, l := range list {
@@ -107,37 +106,37 @@
 		seen[k] = true
 		w := loader.Worker{Name: l.Name, Address: l.Address, Zone: l.Zone, Slots: l.Slots}
 		x := o.workers[k]
-		if x == nil || (!x.fixed && x.Worker != w) {
+		if x == nil || (!x.configured && x.Worker != w) {
 			x = &worker{Worker: w}
 			o.workers[k] = x
 		}
-		x.listed, x.missing = l.Leaving, time.Time{}
+		x.listedLeaving, x.missingSince = l.Leaving, time.Time{}
 	}
 	for k, x := range o.workers {
-		if !seen[k] && o.services[k.service].Hosts && x.missing.IsZero() {
-			x.missing = now
+		if !seen[k] && o.services[k.service].Hosts && x.missingSince.IsZero() {
+			x.missingSince = now
 		}
 	}
 }
 
-// Reported takes a worker's load report, and says whether that changes which
-// workers may get new work.
+// Reported applies a worker's load report and reports whether that changes which workers may
+// get new work.
 func (o *Observer) Reported(now time.Time, address string, r Report) (changed bool) {
-	for _, x := range o.at(address) {
-		changed = changed || x.reported != r.Leaving
-		x.answered, x.report, x.reported = now, r, r.Leaving
+	for _, x := range o.byAddress(address) {
+		changed = changed || x.reportedLeaving != r.Leaving
+		x.lastReport, x.report, x.reportedLeaving = now, r, r.Leaving
 	}
 	return changed
 }
 
-// Refused takes that a worker answered a call with "not run".
+// Refused records that a worker answered a call with "not run".
 func (o *Observer) Refused(now time.Time, address string) {
-	for _, x := range o.at(address) {
-		x.refused = now
+	for _, x := range o.byAddress(address) {
+		x.refusedAt = now
 	}
 }
 
-func (o *Observer) at(address string) []*worker {
+func (o *Observer) byAddress(address string) []*worker {
 	var out []*worker
 	for _, x := range o.workers {
 		if x.Address == address {
@@ -147,24 +146,24 @@
 	return out
 }
 
-// Sweep forgets workers that the host list lost and that do not answer. It says
+// Sweep removes the workers that are missing from the host list and don't answer. It reports
 // whether there were any.
 func (o *Observer) Sweep(now time.Time) bool {
 	before := len(o.workers)
 	maps.DeleteFunc(o.workers, func(_ key, x *worker) bool {
-		if x.fixed || x.missing.IsZero() {
+		if x.configured || x.missingSince.IsZero() {
 			return false
 		}
-		if x.answered.IsZero() {
-			return now.Sub(x.missing) >= unseenHold
+		if x.lastReport.IsZero() {
+			return now.Sub(x.missingSince) >= unseenRetention
 		}
-		return now.Sub(x.missing) >= silentHold && now.Sub(x.answered) >= silentHold
+		return now.Sub(x.missingSince) >= silentRetention && now.Sub(x.lastReport) >= silentRetention
 	})
 	return len(o.workers) != before
 }
 
-// Services is the configured services with every known worker, leaving ones
-// included: which worker is in which cell must not change when one leaves.
+// Services returns the configured services with all known workers, including leaving ones: the
+// assignment of workers to cells must not change when one leaves.
 func (o *Observer) Services() map[string]loader.Service {
 	out := maps.Clone(o.services)
 	for name, s := range out {
@@ -180,41 +179,41 @@
 	return out
 }
 
-// Available is a cell with only the workers that may get new work.
+// Available returns a cell with only those of its workers that may get new work.
 func (o *Observer) Available(now time.Time, c dispatcher.Cell) dispatcher.Cell {
 	c.Workers = slices.DeleteFunc(slices.Clone(c.Workers), func(w loader.Worker) bool {
 		x := o.workers[key{c.Service, w.Name}]
-		return x == nil || !x.present(now)
+		return x == nil || !x.available(now)
 	})
 	return c
 }
 
-// State is what is known of one worker, for operators.
+// State describes one worker to operators.
 type State struct {
 	Service   string `json:"service"`
 	Name      string `json:"name"`
 	Address   string `json:"address"`
 	Available bool   `json:"present"`
-	Reason    string `json:"why,omitempty"` // it gets nothing new: list, report or refusal
+	Reason    string `json:"why,omitempty"` // why it gets no new work: list, report or refusal
 	Report    Report `json:"report"`
 }
 
-// States is the state of every worker, in order.
+// States returns the state of every worker, sorted by service and name.
 func (o *Observer) States(now time.Time) []State {
 	out := slices.AppendSeq([]State{}, o.All(now))
 	Sort(out)
 	return out
 }
 
-// Sort puts states in the order of their services and names.
+// Sort sorts states by service and name.
 func Sort(states []State) {
 	slices.SortFunc(states, func(a, b State) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// All is the state of every worker, in no order. Each host goes over all workers
-// of the fleet, so this allocates nothing.
+// All returns the state of every worker, in no particular order. It does not allocate, because
+// each host iterates over all workers of the fleet.
 func (o *Observer) All(now time.Time) iter.Seq[State] {
 	return func(yield func(State) bool) {
 		for k, x := range o.workers {
@@ -226,12 +225,12 @@
 }
 
 func (w *worker) state(now time.Time, k key) State {
-	s := State{Service: k.service, Name: k.name, Address: w.Address, Available: w.present(now), Report: w.report}
+	s := State{Service: k.service, Name: k.name, Address: w.Address, Available: w.available(now), Report: w.report}
 	switch {
 	case s.Available:
-	case w.reported:
+	case w.reportedLeaving:
 		s.Reason = "report"
-	case w.listed:
+	case w.listedLeaving:
 		s.Reason = "list"
 	default:
 		s.Reason = "refusal"
--- a/observer/observer_suite_test.go
+++ b/observer/observer_suite_test.go
@@ -10,7 +10,7 @@
 
 func TestObserver(t *testing.T) {
 	RegisterFailHandler(Fail)
-	// A fixed seed: the same schedules, and the same verdict, every run.
+	// The seed is fixed so that every run tests the same schedules.
 	if err := flag.Set("rapid.seed", "20261202"); err != nil {
 		t.Fatal(err)
 	}
--- a/observer/observer_test.go
+++ b/observer/observer_test.go
@@ -18,8 +18,8 @@
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// folder has one worker named in it and takes others from the host list.
-func folder() map[string]loader.Service {
+// configuration returns a service with one configured worker and others from the host list.
+func configuration() map[string]loader.Service {
 	return map[string]loader.Service{"lm": {Hosts: true, Workers: []loader.Worker{{Name: "fixed", Address: "fixed", Slots: 1}}}}
 }
 
@@ -32,16 +32,16 @@
 	return out
 }
 
-// act is one thing that a source says: at a second, about a worker.
-type act struct {
+// event is an input of one source, or a sweep, at a time in seconds.
+type event struct {
 	at   float64
-	what string // list, report, refuse or sweep
+	kind string // list, report, refuse or sweep
 	args string // names; ! marks a leaving one
 }
 
-func (a act) on(o *observer.Observer) {
+func (a event) applyTo(o *observer.Observer) {
 	name, leaving := strings.CutSuffix(a.args, "!")
-	switch a.what {
+	switch a.kind {
 	case "list":
 		o.Listed(at(a.at), listing(strings.Fields(a.args)...))
 	case "report":
@@ -53,8 +53,8 @@
 	}
 }
 
-// present is the workers that get new work.
-func present(o *observer.Observer, now time.Time) string {
+// available returns the workers that get new work.
+func available(o *observer.Observer, now time.Time) string {
 	var names []string
 	for _, c := range dispatcher.SplitCells("lm", o.Services()["lm"]) {
 		for _, w := range o.Available(now, c).Workers {
@@ -65,60 +65,60 @@
 }
 
 var _ = Describe("Observer", func() {
-	// Story: a backend server is about to be replaced. It must get nothing new,
-	// whichever of the host list, its report and its refusal says so first; a later
-	// word of another source, which may be older, must not bring it back.
+	// Guards against new work for a worker that is about to be replaced. It must get none as soon
+	// as the host list, its report or its refusal shows that, and a later message of another
+	// source, which may be older, must not revoke it.
 	DescribeTable("decides which workers get new work",
-		func(second float64, want string, acts ...act) {
+		func(second float64, want string, events ...event) {
 			o := &observer.Observer{}
-			o.Configure(folder())
-			for _, a := range acts {
-				a.on(o)
+			o.Configure(configuration())
+			for _, a := range events {
+				a.applyTo(o)
 			}
 			o.Sweep(at(second))
-			Expect(present(o, at(second))).To(Equal(want))
+			Expect(available(o, at(second))).To(Equal(want))
 		},
-		Entry("the folder alone", 0.0, "fixed"),
-		Entry("folder and list", 1.0, "a b fixed", act{0, "list", "a b"}),
-		Entry("the list says leaving", 1.0, "b fixed", act{0, "list", "a! b"}),
-		Entry("the report says leaving", 2.0, "b fixed", act{0, "list", "a b"}, act{1, "report", "a!"}),
-		Entry("a refusal says leaving", 2.0, "b fixed", act{0, "list", "a b"}, act{1, "refuse", "a"}),
-		Entry("a refusal alone is forgotten", 6.0, "a b fixed", act{0, "list", "a b"}, act{1, "refuse", "a"}),
-		Entry("a report that is older than the refusal changes nothing", 2.0, "b fixed", act{0, "list", "a b"}, act{1, "refuse", "a"}, act{1.5, "report", "a"}),
-		Entry("a late list does not take back what the report says", Label(prover.Cell(prover.Granted, prover.LateList), prover.Cell(prover.Sent, prover.LateList), prover.Cell(prover.Draining, prover.LateList)),
-			3.0, "b fixed", act{0, "list", "a b"}, act{1, "report", "a!"}, act{2, "list", "a b"}),
-		Entry("a report does not take back what the list says", 3.0, "b fixed", act{0, "list", "a! b"}, act{2, "report", "a"}),
-		Entry("a restarted worker is taken again when its report says so", 3.0, "a b fixed", act{0, "list", "a b"}, act{1, "report", "a!"}, act{2, "report", "a"}),
-		Entry("a worker is taken again when the list says so", 3.0, "a b fixed", act{0, "list", "a! b"}, act{2, "list", "a b"}),
-		Entry("a list that lost a worker which answers removes nothing", 31.0, "a b fixed",
-			act{0, "list", "a b"}, act{1, "list", "b"}, act{15, "report", "a"}, act{16, "sweep", ""}, act{30, "report", "a"}),
-		Entry("a list that lost a worker which is silent removes it", 31.0, "b fixed", act{0, "list", "a b"}, act{1, "report", "a"}, act{2, "list", "b"}),
-		Entry("a list that lost a worker which others ask removes it later", 31.0, "a b fixed", act{0, "list", "a b"}, act{2, "list", "b"}),
-		Entry("and then does", 63.0, "b fixed", act{0, "list", "a b"}, act{2, "list", "b"}),
-		Entry("a list never removes a worker of the folder", 100.0, "b fixed", act{0, "list", "b"}),
-		Entry("a list may say that a worker of the folder leaves", 1.0, "b", act{0, "list", "b fixed!"}),
-		Entry("a new address is a new worker", 3.0, "a fixed", act{0, "report", "a!"}, act{1, "list", "a"}),
+		Entry("the configuration alone", 0.0, "fixed"),
+		Entry("configuration and list", 1.0, "a b fixed", event{0, "list", "a b"}),
+		Entry("the list says leaving", 1.0, "b fixed", event{0, "list", "a! b"}),
+		Entry("the report says leaving", 2.0, "b fixed", event{0, "list", "a b"}, event{1, "report", "a!"}),
+		Entry("a refusal says leaving", 2.0, "b fixed", event{0, "list", "a b"}, event{1, "refuse", "a"}),
+		Entry("a refusal alone expires", 6.0, "a b fixed", event{0, "list", "a b"}, event{1, "refuse", "a"}),
+		Entry("a report that is older than the refusal changes nothing", 2.0, "b fixed", event{0, "list", "a b"}, event{1, "refuse", "a"}, event{1.5, "report", "a"}),
+		Entry("a late list does not revoke what the report says", Label(prover.Cell(prover.Granted, prover.LateList), prover.Cell(prover.Sent, prover.LateList), prover.Cell(prover.Draining, prover.LateList)),
+			3.0, "b fixed", event{0, "list", "a b"}, event{1, "report", "a!"}, event{2, "list", "a b"}),
+		Entry("a report does not revoke what the list says", 3.0, "b fixed", event{0, "list", "a! b"}, event{2, "report", "a"}),
+		Entry("a restarted worker is available again when its report says so", 3.0, "a b fixed", event{0, "list", "a b"}, event{1, "report", "a!"}, event{2, "report", "a"}),
+		Entry("a worker is available again when the list says so", 3.0, "a b fixed", event{0, "list", "a! b"}, event{2, "list", "a b"}),
+		Entry("a list without a worker that answers removes nothing", 31.0, "a b fixed",
+			event{0, "list", "a b"}, event{1, "list", "b"}, event{15, "report", "a"}, event{16, "sweep", ""}, event{30, "report", "a"}),
+		Entry("a list without a worker that no longer answers removes it", 31.0, "b fixed", event{0, "list", "a b"}, event{1, "report", "a"}, event{2, "list", "b"}),
+		Entry("a list without a worker that only other hosts ask removes it later", 31.0, "a b fixed", event{0, "list", "a b"}, event{2, "list", "b"}),
+		Entry("and then does", 63.0, "b fixed", event{0, "list", "a b"}, event{2, "list", "b"}),
+		Entry("a list never removes a configured worker", 100.0, "b fixed", event{0, "list", "b"}),
+		Entry("a list may report a configured worker as leaving", 1.0, "b", event{0, "list", "b fixed!"}),
+		Entry("a new address is a new worker", 3.0, "a fixed", event{0, "report", "a!"}, event{1, "list", "a"}),
 	)
 
-	It("keeps what it knows of a worker over a new configuration", func() {
+	It("keeps the state of a worker when the configuration changes", func() {
 		o := &observer.Observer{}
-		o.Configure(folder())
+		o.Configure(configuration())
 		o.Listed(at(0), listing("a", "b"))
 		o.Reported(at(0), "a", observer.Report{Leaving: true})
 		o.Reported(at(0), "fixed", observer.Report{Leaving: true})
-		o.Configure(folder())
-		Expect(present(o, at(1))).To(Equal("b"))
-		o.Configure(map[string]loader.Service{"lm": {Workers: folder()["lm"].Workers}})
-		Expect(present(o, at(1))).To(BeEmpty())
+		o.Configure(configuration())
+		Expect(available(o, at(1))).To(Equal("b"))
+		o.Configure(map[string]loader.Service{"lm": {Workers: configuration()["lm"].Workers}})
+		Expect(available(o, at(1))).To(BeEmpty())
 		Expect(o.States(at(1))).To(HaveLen(1))
 	})
 
-	// Whatever the order of sources, a worker that one of them says is leaving, and
-	// which none has taken back since, gets nothing.
-	It("never gives work to a worker that a source says is leaving", func() {
+	// In whatever order the sources report, a worker that one of them reports as leaving, and
+	// none has revoked since, gets no work.
+	It("never gives work to a worker that a source reports as leaving", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			o := &observer.Observer{}
-			o.Configure(folder())
+			o.Configure(configuration())
 			o.Listed(at(0), listing("a"))
 			list, report, refused := false, false, -100.0
 			for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -137,10 +137,10 @@
 				case 3:
 					o.Sweep(at(second))
 				case 4:
-					o.Configure(folder())
+					o.Configure(configuration())
 				}
-				away := list || report || second-refused < 3
-				if got := strings.Contains(present(o, at(second)), "a"); got && away {
+				leaving := list || report || second-refused < 3
+				if got := strings.Contains(available(o, at(second)), "a"); got && leaving {
 					t.Fatalf("at %v: list %v report %v refused %v", second, list, report, refused)
 				}
 			}
