--- a/observer/observer.go
+++ b/observer/observer.go
@@ -59,8 +59,8 @@
 	report          Report
 }
 
-// available reports whether the worker may get new work. The first source that reports it as
-// leaving is believed, and only the same source can revoke that.
+// available reports whether the worker may get new work. It may not as soon as any source
+// reports it as leaving, and only the same source can revoke that.
 func (w *worker) available(now time.Time) bool {
 	return !w.listedLeaving && !w.reportedLeaving && (w.refusedAt.IsZero() || now.Sub(w.refusedAt) >= refusalHold)
 }
--- a/registrar/churn_test.go
+++ b/registrar/churn_test.go
@@ -86,12 +86,12 @@
 // losePower stops all hosts at once and later restarts them under new names. Each reads the
 // records of the previous processes after it has written its own.
 func (f *fleet) losePower(away time.Duration, step time.Duration) {
-	before := slices.Clone(f.names)
-	for _, name := range before {
+	stopped := slices.Clone(f.names)
+	for _, name := range stopped {
 		f.kill(name)
 	}
 	f.after(away, func() {
-		for i, name := range before {
+		for i, name := range stopped {
 			f.after(time.Duration(i)*step, func() { f.restartAs(name, uint64(timeAt(f.now).UnixNano())) })
 		}
 	})
--- a/registrar/fleet_test.go
+++ b/registrar/fleet_test.go
@@ -258,9 +258,9 @@
 	}
 	n.frozen = false
 	f.input(n, name, n.m.Tick)
-	waiting := n.queued
+	queued := n.queued
 	n.queued = nil
-	for _, w := range waiting {
+	for _, w := range queued {
 		w()
 	}
 }
--- a/registrar/members.go
+++ b/registrar/members.go
@@ -114,7 +114,7 @@
 	ringStale         bool // the ring must be rebuilt
 	digest            uint64
 	digestChangedAt   time.Time
-	pending           []pendingFact // facts to send on
+	pending           []pendingFact // facts to forward
 	lastSpread        time.Time     // when pending facts were last sent
 	// introducedTo is the incarnation of each observer to which this host's fact was sent.
 	introducedTo     map[string]uint64
@@ -257,7 +257,7 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Status, b.Status)) > 0
 }
 
-// merge applies facts from a host, or from the store if from is empty, and sends on those
+// merge applies facts from a host, or from the store if from is empty, and forwards those
 // that are new. A fact is only ever replaced by a newer one, so connected hosts converge in
 // whatever order they receive facts.
 func (m *Members) merge(now time.Time, from string, facts []messenger.Fact) {
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -178,7 +178,7 @@
 	return c
 }
 
-// post queues an input and blocks while the queue is full, until Run has returned.
+// post queues an input. It blocks while the queue is full, unless Run has returned.
 func (r *Registrar) post(in func(time.Time) []Output) {
 	select {
 	case r.inputs <- in:
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -250,7 +250,7 @@
 	// Guards against records and leases of processes from before a power failure staying in the
 	// store, which removes nothing by itself.
 	It("removes the record and the lease of an earlier process at its address, and no others", func() {
-		leave := func(name, control string) {
+		put := func(name, control string) {
 			value, err := json.Marshal(registrar.Record{Name: name, Control: control, Incarnation: 1})
 			Expect(err).NotTo(HaveOccurred())
 			for _, prefix := range []string{registrar.Prefix, registrar.LeasePrefix} {
@@ -258,19 +258,19 @@
 				Expect(err).NotTo(HaveOccurred())
 			}
 		}
-		leave("before", "a")
-		leave("elsewhere", "b")
+		put("before", "a")
+		put("elsewhere", "b")
 		a, _ := w.join(store, "a", 7)
-		there := func(key string) bool {
+		exists := func(key string) bool {
 			_, err := store.Get(context.Background(), key)
 			return err == nil
 		}
 		Eventually(func() bool {
-			return there(registrar.Prefix+"before") || there(registrar.LeasePrefix+"before")
+			return exists(registrar.Prefix+"before") || exists(registrar.LeasePrefix+"before")
 		}).WithTimeout(5 * time.Second).Should(BeFalse())
 		Expect(incarnations(a)).NotTo(HaveKey("before"))
-		Expect(there(registrar.Prefix + "elsewhere")).To(BeTrue())
-		Expect(there(registrar.LeasePrefix + "elsewhere")).To(BeTrue())
+		Expect(exists(registrar.Prefix + "elsewhere")).To(BeTrue())
+		Expect(exists(registrar.LeasePrefix + "elsewhere")).To(BeTrue())
 	})
 
 	It("a new host removes records that dead hosts left behind", func() {
--- a/registrar/spreading.go
+++ b/registrar/spreading.go
@@ -7,13 +7,13 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// pendingFact is a host whose fact is to be sent on.
+// pendingFact is a host whose fact is to be forwarded.
 type pendingFact struct {
 	host   string
 	source string // the host that sent it; "" for the store and for this host itself
 }
 
-// queueFact queues a host's fact to be sent on.
+// queueFact queues a host's fact to be forwarded.
 func (m *Members) queueFact(host, from string) {
 	m.pending = append(m.pending, pendingFact{host, from})
 }
@@ -27,9 +27,9 @@
 	}
 }
 
-// spreadPending sends the pending facts to this host's observers and neighbours. Every host
-// sends each fact once, so it reaches all hosts in a few steps, and the cost per fact and
-// host is constant.
+// spreadPending forwards the pending facts to this host's observers and neighbours. Every
+// host forwards each fact once, so it reaches all hosts in a few steps, and the cost per fact
+// and host is constant.
 func (m *Members) spreadPending(now time.Time) {
 	if len(m.pending) == 0 {
 		return
@@ -60,7 +60,7 @@
 	return out
 }
 
-// targets returns the hosts to which this host sends facts on.
+// targets returns the hosts to which this host forwards facts.
 func (r ring) targets() []string {
 	out := slices.Clone(r.observers[r.self])
 	for _, n := range r.neighbours {
--- a/registrar/ticking.go
+++ b/registrar/ticking.go
@@ -45,6 +45,8 @@
 	return m.takeOutputs()
 }
 
+// sendHeartbeats sends a heartbeat to this host's observers and, every remoteBeats, the
+// messages to other hosts.
 func (m *Members) sendHeartbeats(now time.Time) {
 	m.beatsSent++
 	for _, o := range m.ring.observers[m.self.fact.Name] {
