--- a/commander/cmd_pull.go
+++ b/commander/cmd_pull.go
@@ -43,7 +43,7 @@
 		if err := checkout.Pull(head, force); err != nil {
 			return pushFailed(err)
 		}
-		kept := checkout.Base().Touched(checkout.Files())
+		kept := checkout.Base().ChangedFiles(checkout.Files())
 		fmt.Fprintf(c.OutOrStdout(), "generation %d, %d files changed here\n", head.Generation, len(kept))
 		return nil
 	},
--- a/commander/cmd_push.go
+++ b/commander/cmd_push.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return pushFailed(err)
 		}
-		if err := checkout.Landed(r.Head); err != nil {
+		if err := checkout.FastForward(r.Head); err != nil {
 			return fmt.Errorf("generation %d has landed, but: %w", r.Generation, err)
 		}
 		return printPush(c, r)
@@ -61,11 +61,11 @@
 
 // pushFailed gives an error of a push its exit code.
 func pushFailed(err error) error {
-	var clash *publisher.ClashError
+	var clash *publisher.ConflictError
 	switch {
-	case errors.As(err, &clash), errors.Is(err, publisher.ErrRaced), errors.Is(err, publisher.ErrRestored), errors.Is(err, publisher.ErrMerged):
+	case errors.As(err, &clash), errors.Is(err, publisher.ErrRaced), errors.Is(err, publisher.ErrRestored), errors.Is(err, publisher.ErrInvalidMerge):
 		return exitError{code: ExitConflict, err: err}
-	case errors.Is(err, publisher.ErrUnsettled):
+	case errors.Is(err, publisher.ErrOutcomeUnknown):
 		return exitError{code: ExitUnsettled, err: err}
 	case errors.Is(err, publisher.ErrTooLarge):
 		return usage(err)
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -97,16 +97,16 @@
 	return l, d.Err() == nil && !l.At.IsZero() && l.Event != ""
 }
 
-// Story is what is known of one request.
-type Story struct {
+// Timeline is what is known of one request.
+type Timeline struct {
 	Request string
 	Lines   []Line   // in the order of their times
 	Unknown []string // what the logs can't tell
 }
 
 // Explain tells the story of a request.
-func Explain(request string, logs []Log) Story {
-	s := Story{Request: request}
+func Explain(request string, logs []Log) Timeline {
+	s := Timeline{Request: request}
 	var own, all []Line
 	strange, dropped := 0, 0
 	for _, l := range logs {
@@ -169,7 +169,7 @@
 }
 
 // String is the story as text, a line an event, times from the first one.
-func (s Story) String() string {
+func (s Timeline) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s\n", s.Request)
 	start := s.Lines[0].At
--- a/publisher/bench_test.go
+++ b/publisher/bench_test.go
@@ -129,7 +129,7 @@
 	followers := make([]*publisher.Follower, n)
 	for i := range followers {
 		followers[i] = publisher.NewFollower(store, publisher.Timing{}, zap.NewNop(), publisher.Actions{
-			Enforce: func(*loader.Folder, uint64) {}, Ask: func(string, uint64) {}, Ready: func(bool) {},
+			Enforce: func(*loader.Folder, uint64) {}, RequestHead: func(string, uint64) {}, SetReady: func(bool) {},
 		})
 		tasks.Go(func() { followers[i].Run(ctx) })
 	}
--- a/publisher/checkout.go
+++ b/publisher/checkout.go
@@ -61,7 +61,7 @@
 }
 
 // Pull brings the folder up to head and keeps the files that were changed here.
-// A file changed on both sides is a *ClashError; force takes the head's then.
+// A file changed on both sides is a *ConflictError; force takes the head's then.
 func (c *Checkout) Pull(head Head, force bool) error {
 	files, err := c.Merged(head)
 	if force {
@@ -73,9 +73,9 @@
 	return c.write(files, BaseOf(head.Generation, head.Files))
 }
 
-// Landed brings the folder up to a head that holds a push of it: its own changes
+// FastForward brings the folder up to a head that holds a push of it: its own changes
 // are in there, and others' maybe on top.
-func (c *Checkout) Landed(head Head) error {
+func (c *Checkout) FastForward(head Head) error {
 	return c.write(head.Files, BaseOf(head.Generation, head.Files))
 }
 
--- a/publisher/checkout_test.go
+++ b/publisher/checkout_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		return c.Landed(r.Head)
+		return c.FastForward(r.Head)
 	}
 	BeforeEach(func() {
 		store = &fakeStore{}
@@ -66,11 +66,11 @@
 		write(ann, "20.json", class("chat", 5))
 		Expect(open(ann).Pull(store.head(), false)).To(Succeed())
 		Expect(open(ann).Files()).To(Equal(loader.Files{"10.json": class("hold", 4), "20.json": class("chat", 5)}))
-		Expect(open(ann).Base().Touched(open(ann).Files())).To(Equal([]string{"20.json"}))
+		Expect(open(ann).Base().ChangedFiles(open(ann).Files())).To(Equal([]string{"20.json"}))
 
 		write(ben, "20.json", class("chat", 6))
 		Expect(push(ben)).To(Succeed())
-		var clash *publisher.ClashError
+		var clash *publisher.ConflictError
 		Expect(errors.As(open(ann).Pull(store.head(), false), &clash)).To(BeTrue())
 		Expect(clash.Files).To(Equal([]string{"20.json"}))
 		Expect(open(ann).Pull(store.head(), true)).To(Succeed())
--- a/publisher/fleet_test.go
+++ b/publisher/fleet_test.go
@@ -132,7 +132,7 @@
 	}
 	h.lastBeat = f.now
 	for _, o := range f.hosts {
-		f.frame(h, o, publisher.PeerSeen{Peer: h.name, Generation: h.force.Generation})
+		f.frame(h, o, publisher.GenerationReceived{Peer: h.name, Generation: h.force.Generation})
 	}
 }
 
@@ -157,7 +157,7 @@
 		case publisher.ReadPlatform:
 			h.reads++
 			f.read(h)
-		case publisher.AskPeer:
+		case publisher.RequestHead:
 			f.ask(h, o)
 		case publisher.Enforce:
 			if o.Head.Generation <= h.force.Generation {
@@ -175,24 +175,24 @@
 
 func (f *fleet) read(h *host) {
 	if h.noStore || f.store.down || f.slow > 3*time.Second {
-		f.send(h, min(f.slow, 3*time.Second), publisher.HeadFailed{Err: publisher.ErrUnreadable})
+		f.send(h, min(f.slow, 3*time.Second), publisher.HeadReadFailed{Err: publisher.ErrUnreadable})
 		return
 	}
 	head, err := publisher.Read(context.Background(), f.store)
 	if err != nil {
-		f.send(h, f.slow, publisher.HeadBad{Err: err})
+		f.send(h, f.slow, publisher.HeadInvalid{Err: err})
 		return
 	}
 	f.send(h, f.slow, publisher.HeadRead{Head: head})
 }
 
-func (f *fleet) ask(h *host, a publisher.AskPeer) {
+func (f *fleet) ask(h *host, a publisher.RequestHead) {
 	for _, o := range f.hosts {
 		asked := a.Peer == "" || a.Peer == o.name
 		if !asked || o == h || o.dead || o.frozen || o.deaf || o.noPeers || h.noPeers {
 			continue
 		}
-		answer := publisher.PeerAnswered{Peer: o.name}
+		answer := publisher.HeadReceived{Peer: o.name}
 		if o.force.Generation > a.Have {
 			answer.Head = o.force
 		}
--- a/publisher/follower.go
+++ b/publisher/follower.go
@@ -27,29 +27,29 @@
 type Source struct {
 	Key    string // of the object
 	Decode func(storer.Object) (Head, error)
-	// Wait is how long one watch waits. A watch whose connection went silent hides
+	// WatchTimeout is how long one watch waits. A watch whose connection went silent hides
 	// changes for that long.
-	Wait time.Duration
-	// Retries is how often the pause after a failed watch doubles.
-	Retries int
-	// Turn says whether this host is to watch: others learn of a change by the
+	WatchTimeout time.Duration
+	// BackoffDoublings is how often the pause after a failed watch doubles.
+	BackoffDoublings int
+	// ShouldWatch says whether this host is to watch: others learn of a change by the
 	// generation in its frames, and read the head then. Nil is always.
-	Turn func() bool
+	ShouldWatch func() bool
 }
 
-// Pushed is the source of configurations that operators push.
-func Pushed() Source {
-	return Source{Key: Key, Decode: headOf, Wait: watchWait, Retries: watchRetries}
+// PushedSource is the source of configurations that operators push.
+func PushedSource() Source {
+	return Source{Key: Key, Decode: headOf, WatchTimeout: watchWait, BackoffDoublings: watchRetries}
 }
 
 // Actions is what a follower does to the rest of its host. The functions run on
 // the follower's goroutine and must not block for long.
 type Actions struct {
 	Enforce func(*loader.Folder, uint64) // a configuration comes in force
-	// Ask asks a peer by name, or a few of them for "", for a head newer than
+	// RequestHead asks a peer by name, or a few of them for "", for a head newer than
 	// have; what comes back goes to Follower.Received.
-	Ask   func(peer string, have uint64)
-	Ready func(bool) // towards the platform's balancer
+	RequestHead func(peer string, have uint64)
+	SetReady    func(bool) // towards the platform's balancer
 }
 
 // Follower keeps the configuration in force on one host. It never goes back.
@@ -79,8 +79,8 @@
 // NewFollower returns a follower that does nothing before Run.
 func NewFollower(s storer.Store, t Timing, log *zap.Logger, a Actions) *Follower {
 	return &Follower{
-		store: s, log: log, actions: a, source: Pushed(), inputs: make(chan Input, inputBacklog),
-		tracker: NewTracker(t, rand.Float64, time.Now()), tick: t.withDefaults().Tick,
+		store: s, log: log, actions: a, source: PushedSource(), inputs: make(chan Input, inputBacklog),
+		tracker: NewTracker(t, rand.Float64, time.Now()), tick: t.withDefaults().TickInterval,
 	}
 }
 
@@ -112,10 +112,10 @@
 	return Status{}
 }
 
-// Confirmed takes the generation that a frame from another host carries. It is
+// ReceiveGeneration takes the generation that a frame from another host carries. It is
 // called for each frame, from any goroutine, and never blocks: where the
 // generation is the one in force, which is the rule, it only notes the time.
-func (f *Follower) Confirmed(peer string, generation uint64, now time.Time) {
+func (f *Follower) ReceiveGeneration(peer string, generation uint64, now time.Time) {
 	have := f.Head().Generation
 	if generation == have {
 		f.confirmed.Store(&sighting{generation: generation, at: now})
@@ -123,13 +123,13 @@
 	if generation <= have {
 		return
 	}
-	f.offer(PeerSeen{Peer: peer, Generation: generation})
+	f.offer(GenerationReceived{Peer: peer, Generation: generation})
 }
 
-// Received takes a packed head that another host sent; empty where it has none.
-func (f *Follower) Received(peer string, packed []byte) {
+// ReceiveHead takes a packed head that another host sent; empty where it has none.
+func (f *Follower) ReceiveHead(peer string, packed []byte) {
 	if len(packed) == 0 {
-		f.offer(PeerAnswered{Peer: peer})
+		f.offer(HeadReceived{Peer: peer})
 		return
 	}
 	h, err := Unpack(packed)
@@ -137,7 +137,7 @@
 		f.log.Warn("configuration of a peer", zap.String("peer", peer), zap.Error(err))
 		return
 	}
-	f.offer(PeerAnswered{Peer: peer, Head: h})
+	f.offer(HeadReceived{Peer: peer, Head: h})
 }
 
 // offer drops what comes faster than it is taken: peers repeat it.
@@ -176,7 +176,7 @@
 func (f *Follower) handle(ctx context.Context, tasks *sync.WaitGroup, i Input) {
 	now := time.Now()
 	if seen := f.confirmed.Swap(nil); seen != nil {
-		f.act(ctx, tasks, f.tracker.Handle(seen.at, PeerSeen{Generation: seen.generation}))
+		f.act(ctx, tasks, f.tracker.Handle(seen.at, GenerationReceived{Generation: seen.generation}))
 	}
 	f.act(ctx, tasks, f.tracker.Handle(now, i))
 	s := f.tracker.Status(now)
@@ -188,22 +188,22 @@
 		switch o := o.(type) {
 		case ReadPlatform:
 			tasks.Go(func() { f.read(ctx) })
-		case AskPeer:
-			f.actions.Ask(o.Peer, o.Have)
+		case RequestHead:
+			f.actions.RequestHead(o.Peer, o.Have)
 		case Enforce:
 			f.force.Store(&o)
 			f.log.Info("configuration in force", zap.Uint64("generation", o.Head.Generation), zap.Int("bytes", len(o.Head.packed)))
 			f.actions.Enforce(o.Folder, o.Head.Generation)
 		case SetReady:
-			f.actions.Ready(o.Ready)
+			f.actions.SetReady(o.Ready)
 		case Report:
 			f.log.Warn("configuration", zap.String("event", o.Event), zap.Uint64("generation", o.Generation), zap.Error(o.Err))
 		}
 	}
 }
 
-// Checker is a Store that can tell cheaply whether an object changed.
-type Checker interface {
+// ConditionalReader is a Store that can tell cheaply whether an object changed.
+type ConditionalReader interface {
 	// Changed reads an object unless it still has the version have; false then.
 	Changed(ctx context.Context, key string, have storer.Version) (storer.Object, bool, error)
 }
@@ -211,7 +211,7 @@
 // read is the poll behind the watch: a watch can go silent or miss a change
 // without any error, and would hide it for good.
 func (f *Follower) read(ctx context.Context) {
-	c, ok := f.store.(Checker)
+	c, ok := f.store.(ConditionalReader)
 	if !ok {
 		o, err := f.store.Get(ctx, f.source.Key)
 		f.learn(ctx, o, err)
@@ -235,12 +235,12 @@
 		return
 	}
 	if err != nil {
-		f.put(ctx, HeadFailed{Err: err})
+		f.put(ctx, HeadReadFailed{Err: err})
 		return
 	}
 	h, err := f.source.Decode(o)
 	if err != nil {
-		f.put(ctx, HeadBad{Err: err})
+		f.put(ctx, HeadInvalid{Err: err})
 		return
 	}
 	f.mu.Lock()
@@ -271,7 +271,7 @@
 			if f.waitTurn(ctx) {
 				break // others watched meanwhile: list anew
 			}
-			objects, revision, err = f.store.Watch(ctx, f.source.Key, revision, f.source.Wait)
+			objects, revision, err = f.store.Watch(ctx, f.source.Key, revision, f.source.WatchTimeout)
 		}
 		if err == nil {
 			continue
@@ -281,7 +281,7 @@
 			continue // a gap: the revision is forgotten
 		}
 		f.log.Debug("watch configuration", zap.Error(err))
-		wait := watchRetry << min(failures, f.source.Retries)
+		wait := watchRetry << min(failures, f.source.BackoffDoublings)
 		pause(ctx, wait-time.Duration(rand.Float64()*float64(wait)/2))
 		failures++
 	}
@@ -290,7 +290,7 @@
 // waitTurn waits until it is this host's turn to watch, and says whether it had to.
 func (f *Follower) waitTurn(ctx context.Context) bool {
 	waited := false
-	for f.source.Turn != nil && !f.source.Turn() && ctx.Err() == nil {
+	for f.source.ShouldWatch != nil && !f.source.ShouldWatch() && ctx.Err() == nil {
 		waited = true
 		pause(ctx, turnEvery)
 	}
--- a/publisher/follower_test.go
+++ b/publisher/follower_test.go
@@ -39,15 +39,15 @@
 	m := &member{asked: make(chan string, 64)}
 	m.Follower = publisher.NewFollower(s, t, zap.NewNop(), publisher.Actions{
 		Enforce: func(*loader.Folder, uint64) {},
-		Ask: func(peer string, _ uint64) {
+		RequestHead: func(peer string, _ uint64) {
 			select {
 			case m.asked <- peer:
 			default:
 			}
 		},
-		Ready: m.ready.Store,
+		SetReady: m.ready.Store,
 	})
-	source := publisher.Pushed()
+	source := publisher.PushedSource()
 	for _, f := range change {
 		f(&source)
 	}
@@ -97,11 +97,11 @@
 		var clean func()
 		store, clean = adapter.NewStore(server.URL)
 		DeferCleanup(clean)
-		quick = publisher.Timing{Gather: 10 * time.Millisecond, Poll: 300 * time.Millisecond}
+		quick = publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: 300 * time.Millisecond}
 	})
 
 	It("puts each push in force by its watch", func() {
-		m := follow(store, publisher.Timing{Gather: 10 * time.Millisecond, Poll: time.Hour})
+		m := follow(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour})
 		for _, name := range []string{"a", "b", "c"} {
 			g := push(name)
 			Eventually(generation(m), 5*time.Second, 5*time.Millisecond).Should(Equal(g))
@@ -114,14 +114,14 @@
 	It("does not watch while others do, and lists anew when it is to", func() {
 		var turn atomic.Bool
 		g := push("a")
-		m := follow(store, publisher.Timing{Gather: 10 * time.Millisecond, Poll: time.Hour}, func(s *publisher.Source) { s.Turn = turn.Load })
+		m := follow(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour}, func(s *publisher.Source) { s.ShouldWatch = turn.Load })
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 		g = push("b")
 		before, _ := platform.Calls()
 		Consistently(generation(m), time.Second).ShouldNot(Equal(g))
 		after, _ := platform.Calls()
 		Expect(after).To(Equal(before))
-		m.Confirmed("h2", g, time.Now())
+		m.ReceiveGeneration("h2", g, time.Now())
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 		g = push("c")
 		turn.Store(true)
@@ -150,9 +150,9 @@
 		peer := &fakeStore{}
 		_, err := (&operator{store: peer, files: files}).edit("b", 1).push(int64(g + 5))
 		Expect(err).NotTo(HaveOccurred())
-		m.Confirmed("h2", g+5, time.Now())
+		m.ReceiveGeneration("h2", g+5, time.Now())
 		Eventually(m.asked, 5*time.Second).Should(Receive(Equal("h2")))
-		m.Received("h2", peer.head().Packed())
+		m.ReceiveHead("h2", peer.head().Packed())
 		Eventually(generation(m), 5*time.Second).Should(Equal(g + 5))
 	})
 
@@ -162,7 +162,7 @@
 	// a peer, of which none was there.
 	It("has the platform's configuration in force at once where that is always current", Label(prover.Cell(prover.InForce, prover.Kill)), func() {
 		generation := push("a")
-		m := follow(deafStore{store}, publisher.Timing{Current: true, Gather: time.Hour, Tick: time.Hour})
+		m := follow(deafStore{store}, publisher.Timing{AlwaysCurrent: true, GatherTimeout: time.Hour, TickInterval: time.Hour})
 		Eventually(func() uint64 { return m.Head().Generation }).Should(Equal(generation))
 	})
 
--- a/publisher/head.go
+++ b/publisher/head.go
@@ -20,9 +20,9 @@
 
 // Bounds of the stored object.
 const (
-	// MaxObject is the most bytes that the packed configuration may take. It lies in
+	// MaxObjectBytes is the most bytes that the packed configuration may take. It lies in
 	// the platform as text, a third longer: that stays under the platform's megabyte.
-	MaxObject = 750_000
+	MaxObjectBytes = 750_000
 	// maxUnpacked bounds what a damaged object can cost a host that reads it.
 	maxUnpacked = 32 << 20
 	// maxLanded is how many pushes the object remembers. A push whose reply was
@@ -32,8 +32,8 @@
 
 // Errors of this package.
 var (
-	// ErrObject says that a stored configuration can't be read.
-	ErrObject = errors.New("bad configuration object")
+	// ErrInvalidObject says that a stored configuration can't be read.
+	ErrInvalidObject = errors.New("bad configuration object")
 	// ErrTooLarge says that the folder does not fit in one object.
 	ErrTooLarge = errors.New("folder is too large")
 	// ErrUnreadable says that the platform could not be read: nothing was written.
@@ -94,13 +94,13 @@
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := json.NewEncoder(z).Encode(stored{Generation: h.Generation, Files: h.Files, Landed: h.landed}); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrObject, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidObject, err)
 	}
 	if err := z.Close(); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrObject, err)
+		return nil, fmt.Errorf("%w: %v", ErrInvalidObject, err)
 	}
-	if b.Len() > MaxObject {
-		return nil, fmt.Errorf("%w: %d bytes packed, %d at most; largest file: %s", ErrTooLarge, b.Len(), MaxObject, largest(h.Files))
+	if b.Len() > MaxObjectBytes {
+		return nil, fmt.Errorf("%w: %d bytes packed, %d at most; largest file: %s", ErrTooLarge, b.Len(), MaxObjectBytes, largest(h.Files))
 	}
 	return b.Bytes(), nil
 }
@@ -114,21 +114,21 @@
 func Unpack(packed []byte) (Head, error) {
 	z, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return Head{}, fmt.Errorf("%w: %v", ErrObject, err)
+		return Head{}, fmt.Errorf("%w: %v", ErrInvalidObject, err)
 	}
 	text, err := io.ReadAll(io.LimitReader(z, maxUnpacked+1))
 	if err != nil {
-		return Head{}, fmt.Errorf("%w: %v", ErrObject, err)
+		return Head{}, fmt.Errorf("%w: %v", ErrInvalidObject, err)
 	}
 	if len(text) > maxUnpacked {
-		return Head{}, fmt.Errorf("%w: over %d bytes unpacked", ErrObject, maxUnpacked)
+		return Head{}, fmt.Errorf("%w: over %d bytes unpacked", ErrInvalidObject, maxUnpacked)
 	}
 	var v stored
 	if err := json.Unmarshal(text, &v); err != nil {
-		return Head{}, fmt.Errorf("%w: %v", ErrObject, err)
+		return Head{}, fmt.Errorf("%w: %v", ErrInvalidObject, err)
 	}
 	if v.Generation == 0 {
-		return Head{}, fmt.Errorf("%w: no generation", ErrObject)
+		return Head{}, fmt.Errorf("%w: no generation", ErrInvalidObject)
 	}
 	return Head{Files: v.Files, Generation: v.Generation, landed: v.Landed, packed: packed}, nil
 }
--- a/publisher/input.go
+++ b/publisher/input.go
@@ -11,20 +11,20 @@
 // HeadUnchanged is the platform's word that the head is still the one read last.
 type HeadUnchanged struct{}
 
-// HeadBad is a platform's head that can't be read as one.
-type HeadBad struct{ Err error }
+// HeadInvalid is a platform's head that can't be read as one.
+type HeadInvalid struct{ Err error }
 
-// HeadFailed is a read of the platform that failed.
-type HeadFailed struct{ Err error }
+// HeadReadFailed is a read of the platform that failed.
+type HeadReadFailed struct{ Err error }
 
-// PeerSeen is a frame from another host, which carries its generation.
-type PeerSeen struct {
+// GenerationReceived is a frame from another host, which carries its generation.
+type GenerationReceived struct {
 	Peer       string
 	Generation uint64
 }
 
-// PeerAnswered is a head that another host sent.
-type PeerAnswered struct {
+// HeadReceived is a head that another host sent.
+type HeadReceived struct {
 	Peer string
 	Head Head
 }
@@ -32,13 +32,13 @@
 // Tick is the passing of time.
 type Tick struct{}
 
-func (HeadRead) input()      {}
-func (HeadUnchanged) input() {}
-func (HeadBad) input()       {}
-func (HeadFailed) input()    {}
-func (PeerSeen) input()      {}
-func (PeerAnswered) input()  {}
-func (Tick) input()          {}
+func (HeadRead) input()           {}
+func (HeadUnchanged) input()      {}
+func (HeadInvalid) input()        {}
+func (HeadReadFailed) input()     {}
+func (GenerationReceived) input() {}
+func (HeadReceived) input()       {}
+func (Tick) input()               {}
 
 // Output is what a Tracker wants done.
 type Output interface{ output() }
@@ -46,8 +46,8 @@
 // ReadPlatform wants the platform read; one of the Head inputs answers it.
 type ReadPlatform struct{}
 
-// AskPeer wants a peer's head; Peer "" stands for a few of them.
-type AskPeer struct {
+// RequestHead wants a peer's head; Peer "" stands for a few of them.
+type RequestHead struct {
 	Peer string
 	Have uint64
 }
@@ -69,7 +69,7 @@
 }
 
 func (ReadPlatform) output() {}
-func (AskPeer) output()      {}
+func (RequestHead) output()  {}
 func (Enforce) output()      {}
 func (SetReady) output()     {}
 func (Report) output()       {}
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -29,13 +29,13 @@
 var (
 	// ErrRaced says that other pushes landed first, each time this one tried.
 	ErrRaced = errors.New("other pushes landed first")
-	// ErrUnsettled says that the push may have landed.
-	ErrUnsettled = errors.New("the push may have landed; push again: the same push lands once")
+	// ErrOutcomeUnknown says that the push may have landed.
+	ErrOutcomeUnknown = errors.New("the push may have landed; push again: the same push lands once")
 	// ErrRestored says that the platform holds an older generation than the folder
 	// was pulled at: it was restored from a backup.
 	ErrRestored = errors.New("the platform is older than this folder")
-	// ErrMerged says that the folder checks, but not together with the head.
-	ErrMerged = errors.New("does not check together with the head")
+	// ErrInvalidMerge says that the folder checks, but not together with the head.
+	ErrInvalidMerge = errors.New("does not check together with the head")
 )
 
 // Change is what an operator wants in force.
@@ -59,7 +59,7 @@
 	Store storer.Store
 	// Now is the time, and Pause waits; both default to the system's clock.
 	Now   func() time.Time
-	Pause func(context.Context, time.Duration)
+	Sleep func(context.Context, time.Duration)
 }
 
 func (p Pusher) now() time.Time {
@@ -70,15 +70,15 @@
 }
 
 func (p Pusher) pause(ctx context.Context, d time.Duration) {
-	if p.Pause == nil {
+	if p.Sleep == nil {
 		pause(ctx, d)
 		return
 	}
-	p.Pause(ctx, d)
+	p.Sleep(ctx, d)
 }
 
 // Push brings c into the head: at once where the head is c's base, else rebased
-// onto the head. Its error is a *ClashError, one of this package's errors, or
+// onto the head. Its error is a *ConflictError, one of this package's errors, or
 // loader Problems.
 func (p Pusher) Push(ctx context.Context, c Change) (Result, error) {
 	if _, err := c.Files.Parse(); err != nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	if t.doubt {
-		return Result{}, fmt.Errorf("push: %w", ErrUnsettled)
+		return Result{}, fmt.Errorf("push: %w", ErrOutcomeUnknown)
 	}
 	return Result{}, fmt.Errorf("push: %w, %d times", ErrRaced, maxRaces)
 }
@@ -122,7 +122,7 @@
 		head, err = Read(ctx, t.Store)
 	}
 	if err != nil && t.doubt {
-		return Head{}, fmt.Errorf("push: %w: %v", ErrUnsettled, err)
+		return Head{}, fmt.Errorf("push: %w: %v", ErrOutcomeUnknown, err)
 	}
 	if err != nil {
 		return Head{}, fmt.Errorf("push: %w", err)
@@ -131,7 +131,7 @@
 		// The doubtful write had the older version as its condition: it can't land
 		// any more. Whether it did shows only as far back as the head remembers.
 		if !head.remembers(t.doubtful.Generation) {
-			return Head{}, fmt.Errorf("push: %w: too many pushes landed since", ErrUnsettled)
+			return Head{}, fmt.Errorf("push: %w: too many pushes landed since", ErrOutcomeUnknown)
 		}
 		t.doubt = false
 	}
@@ -170,7 +170,7 @@
 		t.doubt, t.doubtful = true, head
 		return Result{}, ErrRaced
 	case t.doubt:
-		return Result{}, fmt.Errorf("push: %w: %v", ErrUnsettled, err)
+		return Result{}, fmt.Errorf("push: %w: %v", ErrOutcomeUnknown, err)
 	default:
 		return Result{}, fmt.Errorf("push: nothing landed: %w: %v", ErrUnreadable, err)
 	}
@@ -191,7 +191,7 @@
 		return nil, fmt.Errorf("push: %w", err)
 	}
 	if _, err := files.Parse(); err != nil {
-		return nil, fmt.Errorf("push: %w: generation %d: %w", ErrMerged, head.Generation, err)
+		return nil, fmt.Errorf("push: %w: generation %d: %w", ErrInvalidMerge, head.Generation, err)
 	}
 	return files, nil
 }
--- a/publisher/push_test.go
+++ b/publisher/push_test.go
@@ -53,9 +53,9 @@
 			Expect(err).NotTo(HaveOccurred())
 		}
 		_, err := ann.edit("hold", 3).edit("quote", 0).push(101)
-		var clash *publisher.ClashError
+		var clash *publisher.ConflictError
 		Expect(errors.As(err, &clash)).To(BeTrue())
-		Expect(*clash).To(Equal(publisher.ClashError{Files: []string{"hold.json"}, Generation: 101}))
+		Expect(*clash).To(Equal(publisher.ConflictError{Files: []string{"hold.json"}, Generation: 101}))
 		Expect(store.head().Files["hold.json"]).To(Equal(class("hold", 2)))
 	})
 
@@ -64,7 +64,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		ann.files["z.json"] = class("plan", 1)
 		_, err = ann.push(102)
-		Expect(err).To(MatchError(publisher.ErrMerged))
+		Expect(err).To(MatchError(publisher.ErrInvalidMerge))
 		Expect(err).To(MatchError(ContainSubstring("z.json:1: classes/plan: defined already")))
 	})
 
@@ -112,10 +112,10 @@
 		func(fate outcome) {
 			store.fates = []outcome{fate}
 			down := &racing{fakeStore: store, race: func() { store.down = true }}
-			p := publisher.Pusher{Store: down, Pause: ann.pause}
+			p := publisher.Pusher{Store: down, Sleep: ann.pause}
 			change := publisher.Change{Files: ann.edit("quote", 0).files, Base: ann.base}
 			_, err := p.Push(context.Background(), change)
-			Expect(err).To(MatchError(publisher.ErrUnsettled))
+			Expect(err).To(MatchError(publisher.ErrOutcomeUnknown))
 			store.down = false
 			_, err = newOperator(store).edit("plan", 2).push(150)
 			Expect(err).NotTo(HaveOccurred())
@@ -139,7 +139,7 @@
 			}
 		}}
 		_, err := publisher.Pusher{Store: busy}.Push(context.Background(), publisher.Change{Files: ann.edit("quote", 0).files, Base: ann.base})
-		Expect(err).To(MatchError(publisher.ErrUnsettled))
+		Expect(err).To(MatchError(publisher.ErrOutcomeUnknown))
 		Expect(store.written).To(HaveLen(66))
 	})
 
@@ -187,7 +187,7 @@
 	})
 
 	It("refuses a folder that is too large, with the file to blame", func() {
-		big := make([]byte, publisher.MaxObject*2)
+		big := make([]byte, publisher.MaxObjectBytes*2)
 		g := rand.New(rand.NewPCG(1, 1))
 		for i := range big {
 			big[i] = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789+-"[g.IntN(64)]
@@ -231,7 +231,7 @@
 			}
 			o.edit(name, rapid.IntRange(0, 5).Draw(t, "tier"))
 			touched := map[string]string{}
-			for _, f := range o.base.Touched(o.files) {
+			for _, f := range o.base.ChangedFiles(o.files) {
 				touched[f] = o.files[f]
 			}
 			s.fates = append(s.fates, outcome(rapid.IntRange(0, 4).Draw(t, "fate")))
--- a/publisher/rebase.go
+++ b/publisher/rebase.go
@@ -32,9 +32,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Touched is the names of the files that f adds, edits or removes against the
+// ChangedFiles is the names of the files that f adds, edits or removes against the
 // base, in order.
-func (b Base) Touched(f loader.Files) []string {
+func (b Base) ChangedFiles(f loader.Files) []string {
 	var names []string
 	for name, text := range f {
 		if b.Files[name] != hashOf(text) {
@@ -55,21 +55,21 @@
 func (b Base) nonce(f loader.Files) string {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d\n", b.Generation)
-	for _, name := range b.Touched(f) {
+	for _, name := range b.ChangedFiles(f) {
 		text, ok := f[name]
 		fmt.Fprintf(sum, "%q %t %s\n", name, ok, hashOf(text))
 	}
 	return hex.EncodeToString(sum.Sum(nil))[:32]
 }
 
-// ClashError says that files were changed both here and in the head.
-type ClashError struct {
+// ConflictError says that files were changed both here and in the head.
+type ConflictError struct {
 	Files      []string // names, in order
 	Generation uint64   // of the head
 }
 
 // Error implements error.
-func (e *ClashError) Error() string {
+func (e *ConflictError) Error() string {
 	return fmt.Sprintf("changed here and in generation %d: %s", e.Generation, strings.Join(e.Files, ", "))
 }
 
@@ -80,9 +80,9 @@
 	if merged == nil {
 		merged = loader.Files{}
 	}
-	theirs := b.Touched(head.Files)
+	theirs := b.ChangedFiles(head.Files)
 	var clash []string
-	for _, name := range b.Touched(f) {
+	for _, name := range b.ChangedFiles(f) {
 		text, here := f[name]
 		other, there := head.Files[name]
 		if slices.Contains(theirs, name) && (here != there || text != other) {
@@ -96,7 +96,7 @@
 		}
 	}
 	if len(clash) > 0 {
-		return nil, &ClashError{Files: clash, Generation: head.Generation}
+		return nil, &ConflictError{Files: clash, Generation: head.Generation}
 	}
 	return merged, nil
 }
--- a/publisher/store_test.go
+++ b/publisher/store_test.go
@@ -148,7 +148,7 @@
 	p := publisher.Pusher{
 		Store: o.store,
 		Now:   func() time.Time { return time.Unix(seconds, 0) },
-		Pause: o.pause,
+		Sleep: o.pause,
 	}
 	r, err := p.Push(context.Background(), publisher.Change{Files: maps.Clone(o.files), Base: o.base})
 	if err == nil {
--- a/publisher/timing.go
+++ b/publisher/timing.go
@@ -5,15 +5,15 @@
 // Timing is how long a Tracker waits for what. Zero fields take the defaults of
 // withDefaults.
 type Timing struct {
-	Confirm time.Duration // without word from platform or peer, before unready
-	Poll    time.Duration // between reads of the platform, behind the watch
-	Gather  time.Duration // a fresh host waits that long for the highest generation
-	Fetch   time.Duration // for one source to answer, before the next is asked
-	Tick    time.Duration // between looks at what is due
-	// Current says that the platform's answers are never older than what a host may
+	ConfirmTimeout time.Duration // without word from platform or peer, before unready
+	PollInterval   time.Duration // between reads of the platform, behind the watch
+	GatherTimeout  time.Duration // a fresh host waits that long for the highest generation
+	FetchTimeout   time.Duration // for one source to answer, before the next is asked
+	TickInterval   time.Duration // between looks at what is due
+	// AlwaysCurrent says that the platform's answers are never older than what a host may
 	// have: it loses nothing, and is not restored from backups. A fresh host need not
 	// hear a peer as well.
-	Current bool
+	AlwaysCurrent bool
 }
 
 const (
@@ -27,20 +27,20 @@
 )
 
 func (t Timing) withDefaults() Timing {
-	if t.Confirm == 0 {
-		t.Confirm = defaultConfirm
+	if t.ConfirmTimeout == 0 {
+		t.ConfirmTimeout = defaultConfirm
 	}
-	if t.Poll == 0 {
-		t.Poll = t.Confirm / 2
+	if t.PollInterval == 0 {
+		t.PollInterval = t.ConfirmTimeout / 2
 	}
-	if t.Gather == 0 {
-		t.Gather = defaultGather
+	if t.GatherTimeout == 0 {
+		t.GatherTimeout = defaultGather
 	}
-	if t.Fetch == 0 {
-		t.Fetch = defaultFetch
+	if t.FetchTimeout == 0 {
+		t.FetchTimeout = defaultFetch
 	}
-	if t.Tick == 0 {
-		t.Tick = defaultTick
+	if t.TickInterval == 0 {
+		t.TickInterval = defaultTick
 	}
 	return t
 }
--- a/publisher/tracker.go
+++ b/publisher/tracker.go
@@ -27,11 +27,11 @@
 	confirmed time.Time // last word that nothing newer is known
 	ready     bool
 
-	wanted   PeerSeen  // the newest generation that a peer told of
-	toldAt   time.Time // when a peer last did
-	askedAt  time.Time // when a peer, or the platform for what it told of, was last asked
-	anyAsked time.Time // when just any peers were last asked
-	rejected uint64    // newest generation that could not be used
+	wanted   GenerationReceived // the newest generation that a peer told of
+	toldAt   time.Time          // when a peer last did
+	askedAt  time.Time          // when a peer, or the platform for what it told of, was last asked
+	anyAsked time.Time          // when just any peers were last asked
+	rejected uint64             // newest generation that could not be used
 	refusal  error
 	wentBack bool // the platform holds an older generation; reported once
 }
@@ -51,15 +51,15 @@
 	case HeadUnchanged:
 		t.platformAnswered(now)
 		t.confirm(now)
-	case HeadBad:
+	case HeadInvalid:
 		t.platformAnswered(now)
 		t.confirm(now)
 		out = t.reject(0, i.Err)
-	case HeadFailed:
+	case HeadReadFailed:
 		out = t.readFailed(now, i.Err)
-	case PeerSeen:
+	case GenerationReceived:
 		out = t.peerSeen(now, i)
-	case PeerAnswered:
+	case HeadReceived:
 		t.peered = true
 		if i.Head.Generation == t.generation {
 			t.confirm(now)
@@ -75,7 +75,7 @@
 // platformAnswered notes that the platform is up; the next read is a poll.
 func (t *Tracker) platformAnswered(now time.Time) {
 	t.platform, t.answered, t.failures, t.reading = true, true, 0, time.Time{}
-	t.nextRead = now.Add(t.spread(t.timing.Poll))
+	t.nextRead = now.Add(t.spread(t.timing.PollInterval))
 }
 
 // spread takes up to a fifth off a wait, so that hosts do not go in step.
@@ -137,8 +137,8 @@
 // newer generation that this host can't get, no such word counts. What nobody
 // tells of any more is given up: its only holders are gone.
 func (t *Tracker) confirm(now time.Time) {
-	if now.Sub(t.toldAt) >= t.timing.Confirm {
-		t.wanted = PeerSeen{}
+	if now.Sub(t.toldAt) >= t.timing.ConfirmTimeout {
+		t.wanted = GenerationReceived{}
 	}
 	if t.wanted.Generation <= max(t.generation, t.rejected) && now.After(t.confirmed) {
 		t.confirmed = now
@@ -158,7 +158,7 @@
 func (t *Tracker) readFailed(now time.Time, err error) []Output {
 	first := t.platform || !t.answered && t.failures == 0
 	t.platform, t.reading = false, time.Time{}
-	wait := t.timing.Poll
+	wait := t.timing.PollInterval
 	if t.failures < 8 {
 		wait = min(wait, firstRetry<<t.failures)
 	}
@@ -171,7 +171,7 @@
 	return append(out, t.fetch(now)...)
 }
 
-func (t *Tracker) peerSeen(now time.Time, p PeerSeen) []Output {
+func (t *Tracker) peerSeen(now time.Time, p GenerationReceived) []Output {
 	switch {
 	case p.Generation == t.generation:
 		t.confirm(now)
@@ -181,7 +181,7 @@
 	case p.Generation >= t.wanted.Generation:
 		t.wanted, t.toldAt = p, now
 	}
-	if t.platform && t.reading.IsZero() && now.Sub(t.askedAt) >= t.timing.Fetch {
+	if t.platform && t.reading.IsZero() && now.Sub(t.askedAt) >= t.timing.FetchTimeout {
 		t.reading, t.askedAt = now, now
 		return []Output{ReadPlatform{}}
 	}
@@ -192,7 +192,7 @@
 // the platform that is the only way; where the platform answers, but slowly or
 // with an older head, it is the second.
 func (t *Tracker) fetch(now time.Time) []Output {
-	wait := t.timing.Fetch
+	wait := t.timing.FetchTimeout
 	if !t.platform {
 		wait /= 4
 	}
@@ -200,7 +200,7 @@
 		return nil
 	}
 	t.askedAt = now
-	return []Output{AskPeer{Peer: t.wanted.Peer, Have: t.generation}}
+	return []Output{RequestHead{Peer: t.wanted.Peer, Have: t.generation}}
 }
 
 func (t *Tracker) tick(now time.Time) []Output {
@@ -209,11 +209,11 @@
 		t.reading = now
 		out = append(out, ReadPlatform{})
 	}
-	if t.generation == 0 && now.Sub(t.anyAsked) >= t.timing.Fetch/4 {
+	if t.generation == 0 && now.Sub(t.anyAsked) >= t.timing.FetchTimeout/4 {
 		// Often: the roster fills in the first moments, and a host without a
 		// configuration serves nobody. It must not put off the question of who has one.
 		t.anyAsked = now
-		out = append(out, AskPeer{})
+		out = append(out, RequestHead{})
 	}
 	return append(out, t.fetch(now)...)
 }
@@ -227,8 +227,8 @@
 	if t.generation > 0 || t.best.Generation == 0 {
 		return nil
 	}
-	complete := t.answered && (t.peered || t.timing.Current) && t.best.Generation >= t.wanted.Generation
-	if !complete && now.Sub(t.started) < t.timing.Gather {
+	complete := t.answered && (t.peered || t.timing.AlwaysCurrent) && t.best.Generation >= t.wanted.Generation
+	if !complete && now.Sub(t.started) < t.timing.GatherTimeout {
 		return nil
 	}
 	h, f := t.best, t.bestFolder
@@ -240,7 +240,7 @@
 // for too long: it may serve a configuration that was replaced long ago. A
 // platform outage alone turns none, as peers confirm each other.
 func (t *Tracker) readiness(now time.Time) []Output {
-	ready := t.generation > 0 && now.Sub(t.confirmed) < t.timing.Confirm
+	ready := t.generation > 0 && now.Sub(t.confirmed) < t.timing.ConfirmTimeout
 	if ready == t.ready {
 		return nil
 	}
--- a/publisher/tracker_test.go
+++ b/publisher/tracker_test.go
@@ -180,7 +180,7 @@
 		f.store.down = true
 		h := f.hosts[0]
 		for range 60 {
-			f.feed(h, publisher.PeerSeen{Peer: "h9", Generation: h.force.Generation + 7})
+			f.feed(h, publisher.GenerationReceived{Peer: "h9", Generation: h.force.Generation + 7})
 			f.run(step)
 		}
 		Expect(h.ready).To(BeFalse())
@@ -318,7 +318,7 @@
 			at = at.Add(250 * time.Millisecond)
 			t.Handle(at, publisher.Tick{})
 		}
-		out := t.Handle(at.Add(50*time.Millisecond), publisher.PeerSeen{Peer: "h9", Generation: 4})
+		out := t.Handle(at.Add(50*time.Millisecond), publisher.GenerationReceived{Peer: "h9", Generation: 4})
 		Expect(out).To(ContainElement(publisher.ReadPlatform{}))
 	})
 })
--- a/runner/following.go
+++ b/runner/following.go
@@ -36,11 +36,11 @@
 // enforce the control goroutine.
 func newFollowing(s loader.Host, store storer.Store, m sender, log *zap.Logger, ready func(bool), enforce func(*loader.Folder, uint64)) *following {
 	g := &following{settings: s, log: log, sender: m}
-	timing := publisher.Timing{Confirm: s.Limits.Confirm.Std()}
+	timing := publisher.Timing{ConfirmTimeout: s.Limits.Confirm.Std()}
 	if s.Dialect == loader.DialectPlatform {
-		timing.Poll, timing.Current = operatorPoll, true
+		timing.PollInterval, timing.AlwaysCurrent = operatorPoll, true
 	}
-	g.Follower = publisher.NewFollower(store, timing, log, publisher.Actions{Enforce: enforce, Ask: g.ask, Ready: ready})
+	g.Follower = publisher.NewFollower(store, timing, log, publisher.Actions{Enforce: enforce, RequestHead: g.ask, SetReady: ready})
 	if s.Dialect == loader.DialectPlatform {
 		g.SetSource(operatorSource(func() bool { return g.calls == nil || g.calls() }))
 	}
@@ -64,12 +64,12 @@
 // was all: configurations travel beside the control state, so that one of a
 // megabyte does not hold up grants.
 func (g *following) take(e messenger.Envelope, m messenger.Message) bool {
-	g.Confirmed(e.From, e.Generation, time.Now())
+	g.ReceiveGeneration(e.From, e.Generation, time.Now())
 	switch m := m.(type) {
 	case messenger.ConfigRequest:
 		g.answer(m)
 	case messenger.ConfigReply:
-		g.Received(e.From, m.Packed)
+		g.ReceiveHead(e.From, m.Packed)
 	default:
 		return false
 	}
--- a/runner/operator.go
+++ b/runner/operator.go
@@ -27,7 +27,7 @@
 // store; turn says whether this host is to watch it.
 func operatorSource(turn func() bool) publisher.Source {
 	return publisher.Source{
-		Key: platform.ConfigurationKey, Decode: decodeOperator, Wait: relayer.WatchTimeout, Retries: operatorRetries, Turn: turn,
+		Key: platform.ConfigurationKey, Decode: decodeOperator, WatchTimeout: relayer.WatchTimeout, BackoffDoublings: operatorRetries, ShouldWatch: turn,
 	}
 }
 
@@ -36,11 +36,11 @@
 func decodeOperator(o storer.Object) (publisher.Head, error) {
 	c, err := platform.DecodeConfiguration(o.Value)
 	if err != nil {
-		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrObject, err)
+		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrInvalidObject, err)
 	}
 	text, err := json.Marshal(c.Folder)
 	if err != nil {
-		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrObject, err)
+		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrInvalidObject, err)
 	}
 	return publisher.NewHead(loader.Files{operatorFile: string(text)}, c.Version)
 }
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -2,7 +2,7 @@
 // its adapter.
 //
 // Everything the system must keep lives behind the Store interface. Values are
-// opaque bytes of at most MaxValue; versions grow with every write to any object.
+// opaque bytes of at most MaxValueBytes; versions grow with every write to any object.
 package storer
 
 import (
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// MaxValue is the largest value, in bytes, that the platform takes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value, in bytes, that the platform takes.
+const MaxValueBytes = 1 << 20
 
 // Errors of a Store. Adapters return them wrapped.
 var (
