--- a/storer/metered.go
+++ b/storer/metered.go
@@ -10,8 +10,8 @@
 // Metered is a Store whose calls are counted.
 type Metered struct {
 	Store Store
-	// Count is told of each call that ended: what it was, the kind of what it read or
-	// wrote, which is the first part of its key, and its result.
+	// Count is called after each call, with its name, the kind of object, which is the
+	// first part of the key, and the result.
 	Count func(call, kind, result string)
 }
 
@@ -27,7 +27,8 @@
 	return o, err
 }
 
-// Changed reads an object unless it still has the version have; false then.
+// Changed reads an object unless its version is still have; it then returns false. If Store
+// has no such method, Changed reads the object with Get and compares the versions.
 func (m Metered) Changed(ctx context.Context, key string, have Version) (Object, bool, error) {
 	c, ok := m.Store.(interface {
 		Changed(ctx context.Context, key string, have Version) (Object, bool, error)
@@ -55,7 +56,7 @@
 	return err
 }
 
-// List implements Store. A list of several pages counts once.
+// List implements Store. A list of several pages is counted once.
 func (m Metered) List(ctx context.Context, prefix string) ([]Object, Version, error) {
 	all, revision, err := m.Store.List(ctx, prefix)
 	m.count("list", prefix, err)
@@ -69,7 +70,7 @@
 	return changed, revision, err
 }
 
-// resultOf names a call's error for a metric.
+// resultOf returns the value of the metric label for a call's error.
 func resultOf(err error) string {
 	switch {
 	case err == nil:
--- a/storer/storer.go
+++ b/storer/storer.go
@@ -1,8 +1,8 @@
-// Package storer is the port to the platform's store of objects; package platform has
-// its adapter.
+// Package storer defines the interface to the platform's object store; package platform
+// implements it.
 //
-// Everything the system must keep lives behind the Store interface. Values are
-// opaque bytes of at most MaxValueBytes; versions grow with every write to any object.
+// All persistent state of the system is accessed through Store. Values are opaque bytes of
+// at most MaxValueBytes; versions grow with every write to any object.
 package storer
 
 import (
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value, in bytes, that the platform takes.
+// MaxValueBytes is the size of the largest value that the platform accepts.
 const MaxValueBytes = 1 << 20
 
-// Errors of a Store. Adapters return them wrapped.
+// Errors of a Store. Implementations return them wrapped.
 var (
-	// ErrNotFound says that the object does not exist.
+	// ErrNotFound reports that the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict says that a condition did not hold; nothing was written.
+	// ErrConflict reports that a condition did not hold; nothing was written.
 	ErrConflict = errors.New("condition failed")
-	// ErrUnavailable says that the call certainly took no effect.
+	// ErrUnavailable reports that the call failed and certainly had no effect.
 	ErrUnavailable = errors.New("object api unavailable")
-	// ErrUnknown says that a write may have taken effect: its reply was lost.
-	// Settle it by reading back, never by assuming.
+	// ErrUnknown reports that the reply to a write was lost: the write may have taken
+	// effect. Callers must read the object back to find out.
 	ErrUnknown = errors.New("write outcome unknown")
 )
 
-// Object is one stored value.
+// Object is a stored value with its key and version.
 type Object struct {
 	Key     string
 	Value   []byte
 	Version Version
-	// Deleted marks the last event of an object that is gone; it is set by Watch only.
+	// Deleted marks the deletion of the object; it is set by Watch only.
 	Deleted bool
 }
 
-// Condition guards a write. The zero value writes whatever is there.
+// Condition is the precondition of a write. The zero value writes unconditionally.
 type Condition struct {
-	// Match is the version that the object must have; 0 asks for none.
+	// Match is the version that the object must have; 0 means any.
 	Match Version
-	// Absent demands that the object does not exist.
+	// Absent requires that the object does not exist.
 	Absent bool
 }
 
-// Store is the Object API.
+// Store is the platform's Object API.
 type Store interface {
 	// Get reads one object.
 	Get(ctx context.Context, key string) (Object, error)
@@ -52,10 +52,10 @@
 	Put(ctx context.Context, key string, value []byte, c Condition) (Version, error)
 	// Delete removes one object.
 	Delete(ctx context.Context, key string, c Condition) error
-	// List reads all objects below a prefix, and the revision the list stands at.
+	// List reads all objects with a key prefix, and returns the revision of the list.
 	List(ctx context.Context, prefix string) ([]Object, Version, error)
-	// Watch waits at most wait for changes below prefix after a revision, and
-	// returns them in order with the revision to go on from. A revision that the
-	// platform no longer remembers, or one of an earlier era, is ErrConflict: list again.
+	// Watch waits at most wait for changes below prefix after a revision, and returns them
+	// in order with the revision to continue from. It returns ErrConflict for a revision
+	// that the platform has discarded, or one of an earlier era: the caller must list again.
 	Watch(ctx context.Context, prefix string, after Version, wait time.Duration) ([]Object, Version, error)
 }
