--- a/logger/logger.go
+++ b/logger/logger.go
@@ -1,6 +1,6 @@
-// Package logger writes a host's log: one line of key=value pairs for each event,
-// through zap. It never waits for who reads it, and it is bounded: in a second so
-// many lines of each kind, and a queue that drops what it can't take.
+// Package logger writes a host's log: one line of key=value pairs per event, through zap.
+// It never waits for the reader of the log. The lines per second of each kind are limited,
+// and so is the queue of lines to write; lines over these limits are dropped and counted.
 package logger
 
 import (
@@ -15,50 +15,50 @@
 )
 
 const (
-	// queueMost is the lines that wait for a reader: about 100 KB.
-	queueMost = 512
-	// kindMost is the lines of one message and level a second that are all written;
-	// of those beyond, one in kindBeyond. Failed requests have a level of their own,
-	// so that successful ones can't use up their room.
-	kindMost   = 300
-	kindBeyond = 50
-	// closeTime bounds the wait for the last lines to be written.
-	closeTime = 200 * time.Millisecond
+	// maxQueuedLines limits the lines that wait to be written: about 100 KB.
+	maxQueuedLines = 512
+	// maxLinesPerKind is the number of lines per second with the same message and level
+	// that are all written; of further ones, every sampleInterval-th is. Failed requests
+	// are logged at another level than successful ones, so that these can't displace them.
+	maxLinesPerKind = 300
+	sampleInterval  = 50
+	// closeTimeout bounds the wait for the last lines to be written.
+	closeTimeout = 200 * time.Millisecond
 )
 
-// Logger is a zap logger with its queue.
+// Logger is a zap logger that writes through a queue.
 type Logger struct {
 	*zap.Logger
 	queue *queue
 }
 
-// New returns a logger to w for lines of a level and above, and its clean-up, which
-// writes what still waits.
+// New returns a logger that writes lines of the given level and above to w, and a function
+// that writes the queued lines and closes the logger.
 func New(w io.Writer, level zapcore.Level) (*Logger, func()) {
-	q := &queue{lines: make(chan []byte, queueMost), closing: make(chan struct{}), ended: make(chan struct{})}
+	q := &queue{lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go q.run(w)
 	config := zap.NewProductionEncoderConfig()
 	config.EncodeTime = zapcore.ISO8601TimeEncoder
 	config.EncodeDuration = zapcore.StringDurationEncoder
 	core := zapcore.NewCore(zaplogfmt.NewEncoder(config), q, level)
-	core = zapcore.NewSamplerWithOptions(core, time.Second, kindMost, kindBeyond, zapcore.SamplerHook(q.sampled))
+	core = zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerKind, sampleInterval, zapcore.SamplerHook(q.countSampled))
 	return &Logger{Logger: zap.New(core), queue: q}, q.close
 }
 
-// Dropped is the lines that were not written so far.
+// Dropped returns the number of lines that were not written so far.
 func (l *Logger) Dropped() uint64 { return l.queue.dropped.Load() }
 
-// queue is a zapcore.WriteSyncer that never waits.
+// queue is a zapcore.WriteSyncer that never blocks.
 type queue struct {
-	lines   chan []byte
-	closing chan struct{}
-	ended   chan struct{}
-	dropped atomic.Uint64
-	told    uint64 // of dropped; run's goroutine only
-	closed  atomic.Bool
+	lines    chan []byte
+	closing  chan struct{}
+	done     chan struct{}
+	dropped  atomic.Uint64
+	reported uint64 // part of dropped that was logged; used by run's goroutine only
+	closed   atomic.Bool
 }
 
-// Write implements io.Writer. It keeps a copy: zap uses its buffer again.
+// Write implements io.Writer. It queues a copy, as zap reuses its buffer.
 func (q *queue) Write(p []byte) (int, error) {
 	if q.closed.Load() {
 		return len(p), nil
@@ -71,31 +71,32 @@
 	return len(p), nil
 }
 
-// Sync implements zapcore.WriteSyncer. Nothing waits for the reader.
+// Sync implements zapcore.WriteSyncer. It does nothing, so that no caller waits for the
+// reader.
 func (q *queue) Sync() error { return nil }
 
-// sampled counts the lines that are over their kind's bound.
-func (q *queue) sampled(_ zapcore.Entry, d zapcore.SamplingDecision) {
+// countSampled counts the lines that the sampler drops.
+func (q *queue) countSampled(_ zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped > 0 {
 		q.dropped.Add(1)
 	}
 }
 
 func (q *queue) run(w io.Writer) {
-	defer close(q.ended)
+	defer close(q.done)
 	for {
 		select {
 		case line := <-q.lines:
 			q.write(w, line)
 		case <-q.closing:
-			q.rest(w)
+			q.drain(w)
 			return
 		}
 	}
 }
 
-// rest writes what still waits when the queue is closed.
-func (q *queue) rest(w io.Writer) {
+// drain writes the lines that are still queued when the logger is closed.
+func (q *queue) drain(w io.Writer) {
 	for {
 		select {
 		case line := <-q.lines:
@@ -106,16 +107,16 @@
 	}
 }
 
-// write writes a line and, with none waiting, how many were dropped. A log that
-// can't be written can't be told of either: the count of dropped lines is the
-// metric's.
+// write writes a line and, if no further line is queued, the number of lines dropped since
+// the last such report. A failed write can't be logged: it is counted as a dropped line,
+// which shows in the metric.
 func (q *queue) write(w io.Writer, line []byte) {
 	if _, err := w.Write(line); err != nil {
 		q.dropped.Add(1)
 	}
-	if n := q.dropped.Load(); n > q.told && len(q.lines) == 0 {
-		_, _ = fmt.Fprintf(w, "ts=%s level=warn msg=dropped lines=%d\n", time.Now().UTC().Format("2006-01-02T15:04:05.000Z"), n-q.told)
-		q.told = n
+	if n := q.dropped.Load(); n > q.reported && len(q.lines) == 0 {
+		_, _ = fmt.Fprintf(w, "ts=%s level=warn msg=dropped lines=%d\n", time.Now().UTC().Format("2006-01-02T15:04:05.000Z"), n-q.reported)
+		q.reported = n
 	}
 }
 
@@ -125,7 +126,7 @@
 	}
 	close(q.closing)
 	select {
-	case <-q.ended:
-	case <-time.After(closeTime):
+	case <-q.done:
+	case <-time.After(closeTimeout):
 	}
 }
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -32,9 +32,8 @@
 		Expect(out.String()).To(MatchRegexp(`^ts=\S+ level=info msg=request request=a1 took=12ms\n$`))
 	})
 
-	// Whoever reads the log stops reading. Were the write to wait, every request
-	// would wait with it.
-	It("goes on without waiting while nobody reads", func() {
+	// Guards against requests that block on a log whose reader has stopped reading.
+	It("does not block while nobody reads", func() {
 		r, w := io.Pipe()
 		l, clean := logger.New(w, zapcore.InfoLevel)
 		done := make(chan struct{})
@@ -57,7 +56,7 @@
 		Eventually(read, 5*time.Second).Should(Receive(ContainSubstring("msg=dropped lines=")))
 	})
 
-	It("tells of dropped lines also when it is closed before it has caught up", func() {
+	It("reports dropped lines even if it is closed with lines queued", func() {
 		w := &blockedWriter{opened: make(chan struct{}), through: make(chan struct{})}
 		l, clean := logger.New(w, zapcore.InfoLevel)
 		for i := range 2000 {
@@ -73,7 +72,7 @@
 		Eventually(w.text, 5*time.Second).Should(ContainSubstring("msg=dropped lines="))
 	})
 
-	It("keeps failed requests when there are too many successful ones", func() {
+	It("writes failed requests while successful ones are over the limit", func() {
 		var out bytes.Buffer
 		l, clean := logger.New(&out, zapcore.InfoLevel)
 		for range 400 {
@@ -86,8 +85,8 @@
 	})
 })
 
-// blockedWriter is a writer of which no write returns before it is opened, but for those
-// let through one by one.
+// blockedWriter is a writer whose writes block until opened is closed; each send to through
+// lets one write return before.
 type blockedWriter struct {
 	opened  chan struct{}
 	through chan struct{}
