--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -1,6 +1,6 @@
-// Package explainer puts the story of one request together from the logs of
-// several hosts: its own lines, and what the hosts came to believe meanwhile of the
-// workers, the configuration, the store and each other.
+// Package explainer assembles the timeline of one request from the logs of several hosts:
+// the lines of the request itself, and those that show how the hosts' view of the workers,
+// the configuration, the store and each other changed meanwhile.
 package explainer
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// around is how long before a request a belief may have changed to be told with
-// it: longer than any wait of a request, and than the bounds of configurations.
-const around = 5 * time.Second
+// contextWindow is the time before a request whose log lines are included for context. It
+// is longer than any wait of a request, and than the timeouts set in configurations.
+const contextWindow = 5 * time.Second
 
-// lineMost is the most bytes of one line of a log.
-const lineMost = 1 << 20
+// maxLineBytes limits the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Line is one line of a log.
+// Line is one parsed line of a log.
 type Line struct {
 	At     time.Time
 	Host   string
@@ -32,7 +32,7 @@
 
 type field struct{ name, value string }
 
-// Get is the value of a field; "" where the line has none.
+// Get returns the value of a field, or "" if the line has no such field.
 func (l Line) Get(name string) string {
 	for _, f := range l.fields {
 		if f.name == name {
@@ -42,23 +42,23 @@
 	return ""
 }
 
-// Log is the lines of one file, and how many of them can't be read.
+// Log holds the lines of one file, and the number of lines that can't be parsed.
 type Log struct {
-	lines   []Line
-	strange int
-	dropped int // lines that say that others were dropped
+	lines    []Line
+	unparsed int
+	dropped  int // number of lines that report dropped lines
 }
 
-// Read reads a log. Lines that are not one of ours are counted and left out.
+// Read reads a log. Lines that are not in the hosts' log format are counted and skipped.
 func Read(r io.Reader) (Log, error) {
 	var l Log
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, lineMost)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		line, ok := parse(s.Text())
 		switch {
 		case !ok:
-			l.strange++
+			l.unparsed++
 			continue
 		case line.Event == "dropped":
 			l.dropped++
@@ -70,7 +70,7 @@
 
 func parse(text string) (Line, bool) {
 	if i := strings.Index(text, "ts="); i > 0 {
-		text = text[i:] // whoever collected it put something before
+		text = text[i:] // skip a prefix added by a log collector
 	}
 	var l Line
 	d := logfmt.NewDecoder(strings.NewReader(text))
@@ -97,20 +97,20 @@
 	return l, d.Err() == nil && !l.At.IsZero() && l.Event != ""
 }
 
-// Timeline is what is known of one request.
+// Timeline is what the logs show about one request.
 type Timeline struct {
 	Request string
-	Lines   []Line   // in the order of their times
-	Unknown []string // what the logs can't tell
+	Lines   []Line   // ordered by time
+	Unknown []string // questions that the logs leave open
 }
 
-// Explain tells the story of a request.
+// Explain returns the timeline of a request. It has no lines if the logs have none of it.
 func Explain(request string, logs []Log) Timeline {
 	s := Timeline{Request: request}
 	var own, all []Line
-	strange, dropped := 0, 0
+	unparsed, dropped := 0, 0
 	for _, l := range logs {
-		strange, dropped = strange+l.strange, dropped+l.dropped
+		unparsed, dropped = unparsed+l.unparsed, dropped+l.dropped
 		all = append(all, l.lines...)
 	}
 	for _, l := range all {
@@ -123,52 +123,54 @@
 	}
 	byTime := func(a, b Line) int { return a.At.Compare(b.At) }
 	slices.SortStableFunc(own, byTime)
-	s.Lines = slices.Concat(own, beliefs(own, all))
+	s.Lines = slices.Concat(own, contextLines(own, all))
 	slices.SortStableFunc(s.Lines, byTime)
-	s.Unknown = unknown(own, strange, dropped)
+	s.Unknown = gaps(own, unparsed, dropped)
 	return s
 }
 
-// beliefs is the lines of the request's hosts that tell of what they believed, from
-// a while before it to its end.
-func beliefs(own, all []Line) []Line {
+// contextLines returns the lines of the request's hosts that belong to no request, from
+// contextWindow before the request to its end. Lines about workers that the request was
+// not sent to are left out.
+func contextLines(own, all []Line) []Line {
 	hosts := map[string]bool{}
 	workers := map[string]bool{}
 	for _, l := range own {
 		hosts[l.Host] = true
 		workers[l.Get("worker")] = true
 	}
-	from, to := own[0].At.Add(-around), own[len(own)-1].At
+	from, to := own[0].At.Add(-contextWindow), own[len(own)-1].At
 	var out []Line
 	for _, l := range all {
-		mine := hosts[l.Host] && l.Get("request") == "" && l.At.After(from) && !l.At.After(to)
-		if mine && (l.Event != "worker" || workers[l.Get("worker")]) {
+		relevant := hosts[l.Host] && l.Get("request") == "" && l.At.After(from) && !l.At.After(to)
+		if relevant && (l.Event != "worker" || workers[l.Get("worker")]) {
 			out = append(out, l)
 		}
 	}
 	return out
 }
 
-// unknown is what the request's lines leave open.
-func unknown(own []Line, strange, dropped int) []string {
+// gaps returns the questions that the request's lines leave open.
+func gaps(own []Line, unparsed, dropped int) []string {
 	var out []string
 	last := own[len(own)-1]
 	if last.Event != "request" {
-		out = append(out, "how it ended: its host wrote no last line, and may have been killed")
+		out = append(out, "how it ended: its host wrote no final line and may have been killed")
 	}
 	if last.Get("exposed") == "true" && last.Get("outcome") != "answered" {
-		out = append(out, "whether a worker ran it to its end: its answer did not come")
+		out = append(out, "whether a worker ran it to completion: its answer did not arrive")
 	}
 	if dropped > 0 {
-		out = append(out, fmt.Sprintf("what stood in lines that were dropped (%d times)", dropped))
+		out = append(out, fmt.Sprintf("what the dropped lines contained (lines were dropped %d times)", dropped))
 	}
-	if strange > 0 {
-		out = append(out, fmt.Sprintf("what %d lines mean that are none of ours", strange))
+	if unparsed > 0 {
+		out = append(out, fmt.Sprintf("what %d lines in an unknown format contained", unparsed))
 	}
 	return out
 }
 
-// String is the story as text, a line an event, times from the first one.
+// String formats the timeline as text, one line per event, with times relative to the
+// first event.
 func (s Timeline) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s\n", s.Request)
--- a/explainer/explainer_test.go
+++ b/explainer/explainer_test.go
@@ -15,7 +15,7 @@
 	RunSpecs(t, "explainer")
 }
 
-const one = `ts=2026-12-02T22:00:00.000Z level=info msg=worker host=h-1 worker=w-1 state=present
+const firstLog = `ts=2026-12-02T22:00:00.000Z level=info msg=worker host=h-1 worker=w-1 state=present
 ts=2026-12-02T22:00:01.000Z level=warn msg="workers can't be listed" host=h-1 error=down
 ts=2026-12-02T22:00:02.000Z level=warn msg=send host=h-1 request=a1 worker=w-1 final=false error="the connection broke"
 ts=2026-12-02T22:00:02.500Z level=info msg=request host=h-1 request=a2 outcome=answered
@@ -24,7 +24,7 @@
 ts=2026-12-02T22:00:04.000Z level=info msg=worker host=h-1 worker=w-1 state=away
 `
 
-const two = `  12.0 h-2 ts=2026-12-02T22:00:01.500Z level=warn msg=send host=h-2 request=a1 worker=w-2 final=true
+const secondLog = `  12.0 h-2 ts=2026-12-02T22:00:01.500Z level=warn msg=send host=h-2 request=a1 worker=w-2 final=true
 ts=2026-12-02T22:00:01.600Z level=info msg=worker host=h-2 worker=w-9 state=away
 ts=2026-12-02T22:00:01.700Z level=warn msg=dropped lines=7
 `
@@ -36,8 +36,8 @@
 		return l
 	}
 
-	It("tells a request's lines of all hosts in order, with what they believed", func() {
-		s := explainer.Explain("a1", []explainer.Log{read(one), read(two)})
+	It("orders a request's lines of all hosts by time, with lines for context", func() {
+		s := explainer.Explain("a1", []explainer.Log{read(firstLog), read(secondLog)})
 		var events []string
 		for _, l := range s.Lines {
 			events = append(events, l.Host+" "+l.Event)
@@ -50,9 +50,9 @@
 		Expect(s.String()).To(ContainSubstring("not known: whether a worker ran it"))
 	})
 
-	It("says where the last line is missing, and nothing of who is not there", func() {
-		s := explainer.Explain("a1", []explainer.Log{read(two)})
+	It("reports a missing final line, and returns nothing for an unknown request", func() {
+		s := explainer.Explain("a1", []explainer.Log{read(secondLog)})
 		Expect(s.Unknown[0]).To(HavePrefix("how it ended"))
-		Expect(explainer.Explain("a9", []explainer.Log{read(one)}).Lines).To(BeEmpty())
+		Expect(explainer.Explain("a9", []explainer.Log{read(firstLog)}).Lines).To(BeEmpty())
 	})
 })
