--- a/publisher/bench_test.go
+++ b/publisher/bench_test.go
@@ -19,7 +19,8 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// folderOf is a folder with so many organisations, two keys each, and workers.
+// folderOf returns a folder with the given numbers of organisations, each with two keys,
+// and workers.
 func folderOf(organisations, workers int) loader.Files {
 	files := loader.Files{"10.json": `{"classes": {"quote": {"tier": 0, "whole": "1s"}, "chat": {"tier": 1, "whole": "20s"}, "plan": {"tier": 2, "whole": "90s"}}}`}
 	const part = 100
@@ -42,7 +43,8 @@
 	return files
 }
 
-// BenchmarkSize packs and reads folders; bytes as written and as stored.
+// BenchmarkSize pushes, unpacks and parses folders, and reports their size as text and
+// packed.
 func BenchmarkSize(b *testing.B) {
 	for _, n := range []int{10, 100, 940} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
@@ -72,14 +74,15 @@
 }
 
 const (
-	// quietWindow is how long reads are counted where nothing changes.
+	// quietWindow is the time in which reads are counted while nothing changes.
 	quietWindow = 10 * time.Second
-	// changeWindow is how long reads after a change are counted once all have it.
+	// changeWindow is the time in which reads are still counted after all followers have a
+	// change in force.
 	changeWindow = 500 * time.Millisecond
 )
 
-// BenchmarkReads counts what followers ask of the platform: at rest, and for one
-// change.
+// BenchmarkReads counts the followers' reads of the platform, while nothing changes and
+// for one change.
 func BenchmarkReads(b *testing.B) {
 	for _, n := range []int{4, 16, 64, 360} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
--- a/publisher/checkout.go
+++ b/publisher/checkout.go
@@ -13,20 +13,20 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// baseFile remembers, in a folder, what it was pulled at.
+// baseFile is the file of a folder that stores its Base.
 const baseFile = ".generation"
 
-// ErrCheckout says that a folder on the operator's disk can't be read or written.
+// ErrCheckout reports that a folder on the operator's disk can't be read or written.
 var ErrCheckout = errors.New("folder")
 
-// Checkout is a folder on an operator's disk.
+// Checkout is a working copy of the configuration, a folder on an operator's disk.
 type Checkout struct {
 	dir   string
 	base  Base
 	files loader.Files
 }
 
-// OpenCheckout reads a folder and the base that it remembers.
+// OpenCheckout reads a folder and its stored base.
 func OpenCheckout(dir string) (*Checkout, error) {
 	files, err := loader.ReadFiles(dir)
 	if err != nil {
@@ -46,13 +46,13 @@
 	return c, nil
 }
 
-// Files is the folder's files.
+// Files returns the folder's files.
 func (c *Checkout) Files() loader.Files { return c.files }
 
-// Base is what the folder was pulled at; the zero Base where it never was.
+// Base returns the base of the folder; the zero Base if it was never pulled or pushed.
 func (c *Checkout) Base() Base { return c.base }
 
-// Merged is the folder as a push would put it in force on top of head.
+// Merged returns the files that a push would put in force on top of head.
 func (c *Checkout) Merged(head Head) (loader.Files, error) {
 	if head.Generation == 0 {
 		return c.files, nil
@@ -60,8 +60,9 @@
 	return rebase(c.base, c.files, head)
 }
 
-// Pull brings the folder up to head and keeps the files that were changed here.
-// A file changed on both sides is a *ConflictError; force takes the head's then.
+// Pull updates the folder to head and keeps files that were changed locally. If files were
+// changed on both sides, it returns a *ConflictError. With force, the folder becomes an
+// exact copy of the head instead.
 func (c *Checkout) Pull(head Head, force bool) error {
 	files, err := c.Merged(head)
 	if force {
@@ -73,24 +74,23 @@
 	return c.write(files, BaseOf(head.Generation, head.Files))
 }
 
-// FastForward brings the folder up to a head that holds a push of it: its own changes
-// are in there, and others' maybe on top.
+// FastForward replaces the folder by a head that contains its push, and possibly other
+// operators' changes.
 func (c *Checkout) FastForward(head Head) error {
 	return c.write(head.Files, BaseOf(head.Generation, head.Files))
 }
 
-// write changes the files first and the base last: if it is broken off between,
-// the files are newer than the base, which the next push takes for the same
-// change on both sides.
+// write updates the files first and the base last. If it is interrupted, the files are
+// newer than the base, which the next push treats as the same change on both sides.
 func (c *Checkout) write(files loader.Files, base Base) error {
 	for _, name := range slices.Sorted(maps.Keys(files)) {
 		if !loader.IsFile(name) {
-			return fmt.Errorf("%w: %q is not a file's name", ErrCheckout, name)
+			return fmt.Errorf("%w: %q is not a valid file name", ErrCheckout, name)
 		}
 		if text, ok := c.files[name]; ok && text == files[name] {
 			continue
 		}
-		if err := replace(filepath.Join(c.dir, name), []byte(files[name])); err != nil {
+		if err := replaceFile(filepath.Join(c.dir, name), []byte(files[name])); err != nil {
 			return err
 		}
 	}
@@ -107,16 +107,16 @@
 		return fmt.Errorf("%w: %v", ErrCheckout, err)
 	}
 	c.files, c.base = files, base
-	return replace(filepath.Join(c.dir, baseFile), append(text, '\n'))
+	return replaceFile(filepath.Join(c.dir, baseFile), append(text, '\n'))
 }
 
-// replace writes a file whole or not at all.
-func replace(path string, text []byte) error {
-	temporary := path + ".new"
-	if err := os.WriteFile(temporary, text, 0o644); err != nil {
+// replaceFile writes a file atomically.
+func replaceFile(path string, text []byte) error {
+	temp := path + ".new"
+	if err := os.WriteFile(temp, text, 0o644); err != nil {
 		return fmt.Errorf("%w: %v", ErrCheckout, err)
 	}
-	if err := os.Rename(temporary, path); err != nil {
+	if err := os.Rename(temp, path); err != nil {
 		return fmt.Errorf("%w: %v", ErrCheckout, err)
 	}
 	return nil
--- a/publisher/checkout_test.go
+++ b/publisher/checkout_test.go
@@ -44,9 +44,9 @@
 		Expect(open(ben).Pull(store.head(), false)).To(Succeed())
 	})
 
-	// Ann's push was rebased onto Ben's. Her folder does not have his file; if it
-	// only remembered the new generation, her next push would remove it.
-	It("takes over what a rebased push was put on", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+	// Guards against a push that removes another operator's file: after a rebased push the
+	// folder would have the new base, but not the files that the push was rebased onto.
+	It("gets the other changes in the head after a rebased push", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
 		write(ben, "30.json", class("plan", 2))
 		Expect(os.Remove(filepath.Join(ben, "20.json"))).To(Succeed())
 		Expect(push(ben)).To(Succeed())
@@ -60,7 +60,7 @@
 		Expect(open(ann).Files()).To(Equal(store.head().Files))
 	})
 
-	It("keeps local changes on pull, and names the files that clash", func() {
+	It("keeps local changes on pull, and reports conflicting files", func() {
 		write(ben, "10.json", class("hold", 4))
 		Expect(push(ben)).To(Succeed())
 		write(ann, "20.json", class("chat", 5))
@@ -70,29 +70,29 @@
 
 		write(ben, "20.json", class("chat", 6))
 		Expect(push(ben)).To(Succeed())
-		var clash *publisher.ConflictError
-		Expect(errors.As(open(ann).Pull(store.head(), false), &clash)).To(BeTrue())
-		Expect(clash.Files).To(Equal([]string{"20.json"}))
+		var conflict *publisher.ConflictError
+		Expect(errors.As(open(ann).Pull(store.head(), false), &conflict)).To(BeTrue())
+		Expect(conflict.Files).To(Equal([]string{"20.json"}))
 		Expect(open(ann).Pull(store.head(), true)).To(Succeed())
 		Expect(open(ann).Files()).To(Equal(store.head().Files))
 	})
 
-	// The process dies after it changed some files and before the base: the folder
-	// looks half old, half new. The next push must not undo anything.
-	It("is none the worse for a pull that was broken off", Label(prover.Cell(prover.Written, prover.Kill)), func() {
+	// Guards against a push that reverts others' changes after an interrupted pull: some of
+	// the files are new, the others and the base are old.
+	It("reverts nothing after an interrupted pull", Label(prover.Cell(prover.Written, prover.Kill)), func() {
 		write(ben, "10.json", class("hold", 4))
 		write(ben, "20.json", class("chat", 4))
 		Expect(push(ben)).To(Succeed())
-		write(ann, "10.json", class("hold", 4)) // and dead
+		write(ann, "10.json", class("hold", 4)) // interrupted here
 		Expect(push(ann)).To(Succeed())
 		Expect(store.head().Files).To(Equal(loader.Files{"10.json": class("hold", 4), "20.json": class("chat", 4)}))
 	})
 
-	It("refuses file names that lead out of the folder", func() {
+	It("rejects file names outside of the folder", func() {
 		Expect(open(ann).Pull(publisher.Head{Generation: 9, Files: loader.Files{"../x.json": "{}"}}, true)).To(MatchError(publisher.ErrCheckout))
 	})
 
-	It("refuses a base that can't be read", func() {
+	It("rejects a base file that can't be decoded", func() {
 		write(ann, ".generation", "{")
 		_, err := publisher.OpenCheckout(ann)
 		Expect(err).To(MatchError(ContainSubstring("pull again")))
--- a/publisher/fleet_test.go
+++ b/publisher/fleet_test.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	step      = 250 * time.Millisecond
-	heartbeat = time.Second
-	// bound is within what an accepted push is in force on a live host that can
-	// reach the platform or a host that has it.
-	bound = 16 * time.Second
+	step              = 250 * time.Millisecond
+	heartbeatInterval = time.Second
+	// maxDelay is the time in which an accepted push must be in force on a running host
+	// that can reach the platform or a host that has the push.
+	maxDelay = 16 * time.Second
 )
 
-// fleet plays a few hosts' trackers against a fake store, in steps of a fake
-// clock, and keeps a history of what was accepted and what came in force.
+// fleet simulates the trackers of a few hosts against a fake store with a fake clock, and
+// records which pushes were accepted and which generations were in force.
 type fleet struct {
-	now      time.Time
-	store    *fakeStore
-	slow     time.Duration // of the platform's answers
-	crossed  bool          // frames between hosts arrive twice, the second time late
-	hosts    []*host
-	queue    []delivery
-	accepted []accepted
-	faults   []string // broken promises
-	pushes   int
-}
-
-type accepted struct {
+	now        time.Time
+	store      *fakeStore
+	storeDelay time.Duration // delay of the platform's answers
+	duplicate  bool          // each frame between hosts arrives a second time, 3 s later
+	hosts      []*host
+	queue      []delivery
+	accepted   []acceptedGeneration
+	violations []string // violations of the invariants, as messages
+	pushes     int
+}
+
+type acceptedGeneration struct {
 	generation uint64
 	at         time.Time
 }
 
 // host is one host of a fleet.
 type host struct {
-	name     string
-	tracker  *publisher.Tracker
-	force    publisher.Head
-	history  []uint64 // generations that came in force
-	ready    bool
-	unready  int // how often it turned unready
-	dead     bool
-	frozen   bool
-	noStore  bool // can't reach the platform
-	noPeers  bool // can't reach other hosts
-	deaf     bool // hears nothing from other hosts
-	silent   bool // its watch tells nothing
-	watched  storer.Version
-	reads    int
-	lastBeat time.Time
-	rejoined time.Time // when it could last reach nobody
+	name          string
+	tracker       *publisher.Tracker
+	active        publisher.Head
+	history       []uint64 // generations that were put in force, in order
+	ready         bool
+	unreadyCount  int // number of changes to unready
+	dead          bool
+	frozen        bool
+	noStore       bool // can't reach the platform
+	noPeers       bool // can't reach other hosts
+	noReceive     bool // receives nothing from other hosts
+	watchStalled  bool // its watch delivers no events
+	watched       storer.Version
+	reads         int
+	lastHeartbeat time.Time
+	lastIsolated  time.Time // last time it was down, frozen or not connected
 }
 
 type delivery struct {
@@ -71,23 +71,23 @@
 	return f
 }
 
-// boot starts a host afresh: it remembers nothing.
+// boot starts a new process of a host, with no state.
 func (f *fleet) boot(h *host) {
-	*h = host{name: h.name, rejoined: f.now, unready: h.unready}
+	*h = host{name: h.name, lastIsolated: f.now, unreadyCount: h.unreadyCount}
 	h.tracker = publisher.NewTracker(publisher.Timing{}, func() float64 { return 0.5 }, f.now)
 }
 
-// push lets an operator add or edit a file.
+// push has an operator add or edit a file, and push.
 func (f *fleet) push(o *operator, name string) error {
 	f.pushes++
 	r, err := o.edit(name, f.pushes).push(f.now.Unix())
 	if err == nil {
-		f.accepted = append(f.accepted, accepted{generation: r.Generation, at: f.now})
+		f.accepted = append(f.accepted, acceptedGeneration{generation: r.Generation, at: f.now})
 	}
 	return err
 }
 
-// run plays d of time.
+// run simulates a period of time.
 func (f *fleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(step)
@@ -96,8 +96,8 @@
 				continue
 			}
 			f.watch(h)
-			f.beat(h)
-			f.feed(h, publisher.Tick{})
+			f.sendHeartbeats(h)
+			f.handle(h, publisher.Tick{})
 		}
 		f.deliver()
 		f.check()
@@ -111,124 +111,124 @@
 		if d.at.After(f.now) || d.to.frozen {
 			f.queue = append(f.queue, d)
 		} else if !d.to.dead {
-			f.feed(d.to, d.input)
+			f.handle(d.to, d.input)
 		}
 	}
 }
 
-// watch tells a host of a change, unless its watch is silent.
+// watch has a host read the store after a change, unless its watch is stalled.
 func (f *fleet) watch(h *host) {
-	if h.silent || h.noStore || f.store.down || f.store.version <= h.watched {
+	if h.watchStalled || h.noStore || f.store.down || f.store.version <= h.watched {
 		return
 	}
 	h.watched = f.store.version
 	f.read(h)
 }
 
-// beat sends the heartbeat to each other host.
-func (f *fleet) beat(h *host) {
-	if f.now.Sub(h.lastBeat) < heartbeat {
+// sendHeartbeats sends a host's heartbeat to all others when it is due.
+func (f *fleet) sendHeartbeats(h *host) {
+	if f.now.Sub(h.lastHeartbeat) < heartbeatInterval {
 		return
 	}
-	h.lastBeat = f.now
+	h.lastHeartbeat = f.now
 	for _, o := range f.hosts {
-		f.frame(h, o, publisher.GenerationReceived{Peer: h.name, Generation: h.force.Generation})
+		f.sendFrame(h, o, publisher.GenerationReceived{Peer: h.name, Generation: h.active.Generation})
 	}
 }
 
-func (f *fleet) frame(from, to *host, i publisher.Input) {
-	if from == to || from.noPeers || to.noPeers || to.deaf {
+func (f *fleet) sendFrame(from, to *host, i publisher.Input) {
+	if from == to || from.noPeers || to.noPeers || to.noReceive {
 		return
 	}
-	f.send(to, 0, i)
-	if f.crossed {
-		f.send(to, 3*time.Second, i)
+	f.schedule(to, 0, i)
+	if f.duplicate {
+		f.schedule(to, 3*time.Second, i)
 	}
 }
 
-func (f *fleet) send(to *host, after time.Duration, i publisher.Input) {
+func (f *fleet) schedule(to *host, after time.Duration, i publisher.Input) {
 	f.queue = append(f.queue, delivery{at: f.now.Add(after), to: to, input: i})
 }
 
-// feed gives a tracker one input and does what it says.
-func (f *fleet) feed(h *host, i publisher.Input) {
+// handle passes one input to a tracker and executes its outputs.
+func (f *fleet) handle(h *host, i publisher.Input) {
 	for _, o := range h.tracker.Handle(f.now, i) {
 		switch o := o.(type) {
 		case publisher.ReadPlatform:
 			h.reads++
 			f.read(h)
 		case publisher.RequestHead:
-			f.ask(h, o)
+			f.requestHead(h, o)
 		case publisher.Enforce:
-			if o.Head.Generation <= h.force.Generation {
-				f.faults = append(f.faults, fmt.Sprintf("%s went back from %d to %d", h.name, h.force.Generation, o.Head.Generation))
+			if o.Head.Generation <= h.active.Generation {
+				f.violations = append(f.violations, fmt.Sprintf("%s went back from %d to %d", h.name, h.active.Generation, o.Head.Generation))
 			}
-			h.force, h.history = o.Head, append(h.history, o.Head.Generation)
+			h.active, h.history = o.Head, append(h.history, o.Head.Generation)
 		case publisher.SetReady:
 			h.ready = o.Ready
 			if !o.Ready {
-				h.unready++
+				h.unreadyCount++
 			}
 		}
 	}
 }
 
 func (f *fleet) read(h *host) {
-	if h.noStore || f.store.down || f.slow > 3*time.Second {
-		f.send(h, min(f.slow, 3*time.Second), publisher.HeadReadFailed{Err: publisher.ErrUnreadable})
+	if h.noStore || f.store.down || f.storeDelay > 3*time.Second {
+		f.schedule(h, min(f.storeDelay, 3*time.Second), publisher.HeadReadFailed{Err: publisher.ErrUnreadable})
 		return
 	}
 	head, err := publisher.Read(context.Background(), f.store)
 	if err != nil {
-		f.send(h, f.slow, publisher.HeadInvalid{Err: err})
+		f.schedule(h, f.storeDelay, publisher.HeadInvalid{Err: err})
 		return
 	}
-	f.send(h, f.slow, publisher.HeadRead{Head: head})
+	f.schedule(h, f.storeDelay, publisher.HeadRead{Head: head})
 }
 
-func (f *fleet) ask(h *host, a publisher.RequestHead) {
+func (f *fleet) requestHead(h *host, a publisher.RequestHead) {
 	for _, o := range f.hosts {
-		asked := a.Peer == "" || a.Peer == o.name
-		if !asked || o == h || o.dead || o.frozen || o.deaf || o.noPeers || h.noPeers {
+		requested := a.Peer == "" || a.Peer == o.name
+		if !requested || o == h || o.dead || o.frozen || o.noReceive || o.noPeers || h.noPeers {
 			continue
 		}
 		answer := publisher.HeadReceived{Peer: o.name}
-		if o.force.Generation > a.Have {
-			answer.Head = o.force
+		if o.active.Generation > a.Have {
+			answer.Head = o.active
 		}
-		f.frame(o, h, answer)
+		f.sendFrame(o, h, answer)
 	}
 }
 
-// check holds every host against what was accepted: a host that has been able to
-// reach the platform, or a host that has it, for the bound has it in force.
+// check verifies that every host that was connected for maxDelay after an accepted push has
+// it in force.
 func (f *fleet) check() {
 	for _, h := range f.hosts {
 		if h.dead || h.frozen || !f.connected(h) {
-			h.rejoined = f.now
+			h.lastIsolated = f.now
 			continue
 		}
 		for _, a := range f.accepted {
 			since := a.at
-			if h.rejoined.After(since) {
-				since = h.rejoined
+			if h.lastIsolated.After(since) {
+				since = h.lastIsolated
 			}
-			if f.now.Sub(since) > bound && h.force.Generation < a.generation {
-				f.faults = append(f.faults, fmt.Sprintf("%s has %d, not %d, after %v", h.name, h.force.Generation, a.generation, f.now.Sub(since)))
+			if f.now.Sub(since) > maxDelay && h.active.Generation < a.generation {
+				f.violations = append(f.violations, fmt.Sprintf("%s has %d, not %d, after %v", h.name, h.active.Generation, a.generation, f.now.Sub(since)))
 			}
 		}
 	}
 }
 
-// connected says whether a host can reach the platform, or a host with all that
-// was accepted.
+// connected reports whether a host can reach the platform, or a host that has the newest
+// accepted generation.
 func (f *fleet) connected(h *host) bool {
-	if !h.noStore && !f.store.down && f.slow <= 3*time.Second {
+	if !h.noStore && !f.store.down && f.storeDelay <= 3*time.Second {
 		return true
 	}
 	for _, o := range f.hosts {
-		current := len(f.accepted) == 0 || o.force.Generation >= f.accepted[len(f.accepted)-1].generation
-		if o != h && current && !o.dead && !o.frozen && !o.deaf && !o.noPeers && !h.noPeers && !h.deaf {
+		current := len(f.accepted) == 0 || o.active.Generation >= f.accepted[len(f.accepted)-1].generation
+		if o != h && current && !o.dead && !o.frozen && !o.noReceive && !o.noPeers && !h.noPeers && !h.noReceive {
 			return true
 		}
 	}
--- a/publisher/follower_test.go
+++ b/publisher/follower_test.go
@@ -19,29 +19,30 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// deafStore is a store whose watches and lists tell nothing, for good.
-type deafStore struct{ *adapter.Store }
+// stalledStore is a store whose lists, and so its watches, never return.
+type stalledStore struct{ *adapter.Store }
 
-func (deafStore) List(ctx context.Context, _ string) ([]storer.Object, storer.Version, error) {
+func (stalledStore) List(ctx context.Context, _ string) ([]storer.Object, storer.Version, error) {
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
-// member is a running follower.
-type member struct {
+// testFollower is a running follower that records its actions.
+type testFollower struct {
 	*publisher.Follower
-	ready atomic.Bool
-	asked chan string
+	ready     atomic.Bool
+	requested chan string
 }
 
-// follow starts a follower that ends with the spec; change, if any, changes its source.
-func follow(s storer.Store, t publisher.Timing, change ...func(*publisher.Source)) *member {
-	m := &member{asked: make(chan string, 64)}
+// runFollower starts a follower that stops at the end of the spec. The functions in change
+// modify its source.
+func runFollower(s storer.Store, t publisher.Timing, change ...func(*publisher.Source)) *testFollower {
+	m := &testFollower{requested: make(chan string, 64)}
 	m.Follower = publisher.NewFollower(s, t, zap.NewNop(), publisher.Actions{
 		Enforce: func(*loader.Folder, uint64) {},
 		RequestHead: func(peer string, _ uint64) {
 			select {
-			case m.asked <- peer:
+			case m.requested <- peer:
 			default:
 			}
 		},
@@ -67,9 +68,9 @@
 
 var _ = Describe("Follower", func() {
 	var (
-		platform *faker.Platform
-		store    *adapter.Store
-		quick    publisher.Timing
+		platform   *faker.Platform
+		store      *adapter.Store
+		fastTiming publisher.Timing
 	)
 	push := func(name string) uint64 {
 		head, err := publisher.Read(context.Background(), store)
@@ -83,7 +84,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		return r.Generation
 	}
-	generation := func(m *member) func() uint64 {
+	generation := func(m *testFollower) func() uint64 {
 		return func() uint64 {
 			_, g := m.Folder()
 			return g
@@ -97,11 +98,11 @@
 		var clean func()
 		store, clean = adapter.NewStore(server.URL)
 		DeferCleanup(clean)
-		quick = publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: 300 * time.Millisecond}
+		fastTiming = publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: 300 * time.Millisecond}
 	})
 
-	It("puts each push in force by its watch", func() {
-		m := follow(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour})
+	It("puts each push in force through its watch", func() {
+		m := runFollower(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour})
 		for _, name := range []string{"a", "b", "c"} {
 			g := push(name)
 			Eventually(generation(m), 5*time.Second, 5*time.Millisecond).Should(Equal(g))
@@ -109,12 +110,12 @@
 		Eventually(m.ready.Load, 5*time.Second).Should(BeTrue())
 	})
 
-	// Others watch for this host: until one of them tells of a change, it makes no
-	// call. Then they are gone, and what came meanwhile must not be missed.
-	It("does not watch while others do, and lists anew when it is to", func() {
+	// Guards against calls by hosts that are not to watch, and against changes that are
+	// missed when such a host takes over the watch.
+	It("does not watch while others do, and lists again when it takes over", func() {
 		var turn atomic.Bool
 		g := push("a")
-		m := follow(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour}, func(s *publisher.Source) { s.ShouldWatch = turn.Load })
+		m := runFollower(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour}, func(s *publisher.Source) { s.ShouldWatch = turn.Load })
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 		g = push("b")
 		before, _ := platform.Calls()
@@ -128,18 +129,18 @@
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 	})
 
-	// Something between host and platform forgets the watch's connection: it stays
-	// open and tells nothing. The host would serve old settings for good.
-	It("puts each push in force by its poll where the watch is silent", Label(prover.Cell(prover.Watched, prover.Silence)), func() {
-		m := follow(deafStore{store}, quick)
+	// Guards against a host that keeps an old configuration forever: a device between host
+	// and platform drops the watch's connection, which stays open without events.
+	It("puts each push in force through its poll while the watch is stalled", Label(prover.Cell(prover.Watched, prover.Silence)), func() {
+		m := runFollower(stalledStore{store}, fastTiming)
 		for _, name := range []string{"a", "b"} {
 			g := push(name)
 			Eventually(generation(m), 5*time.Second, 5*time.Millisecond).Should(Equal(g))
 		}
 	})
 
-	It("asks the peer that told of a newer generation in an outage", Label(prover.Cell(prover.InForce, prover.StoreDown)), func() {
-		m, other := follow(store, quick), follow(store, quick)
+	It("asks the peer that announced a newer generation while the platform is down", Label(prover.Cell(prover.InForce, prover.StoreDown)), func() {
+		m, other := runFollower(store, fastTiming), runFollower(store, fastTiming)
 		g := push("a")
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 		Eventually(generation(other), 5*time.Second).Should(Equal(g))
@@ -151,22 +152,21 @@
 		_, err := (&operator{store: peer, files: files}).edit("b", 1).push(int64(g + 5))
 		Expect(err).NotTo(HaveOccurred())
 		m.ReceiveGeneration("h2", g+5, time.Now())
-		Eventually(m.asked, 5*time.Second).Should(Receive(Equal("h2")))
+		Eventually(m.requested, 5*time.Second).Should(Receive(Equal("h2")))
 		m.ReceiveHead("h2", peer.head().Packed())
 		Eventually(generation(m), 5*time.Second).Should(Equal(g + 5))
 	})
 
-	// All hosts lose power at once and come back. Callers are refused for want of a
-	// configuration for a second and a quarter, though the platform answers within
-	// milliseconds. Cause: the first read waited for the first tick, and what it told for
-	// a peer, of which none was there.
-	It("has the platform's configuration in force at once where that is always current", Label(prover.Cell(prover.InForce, prover.Kill)), func() {
+	// Guards against 1.25 s without a configuration after a power loss of all hosts, in which
+	// callers are refused although the platform answers within milliseconds. It arises if
+	// the first read waits for the first tick, and its result for a peer's answer.
+	It("puts the configuration of an always current platform in force immediately", Label(prover.Cell(prover.InForce, prover.Kill)), func() {
 		generation := push("a")
-		m := follow(deafStore{store}, publisher.Timing{AlwaysCurrent: true, GatherTimeout: time.Hour, TickInterval: time.Hour})
+		m := runFollower(stalledStore{store}, publisher.Timing{AlwaysCurrent: true, GatherTimeout: time.Hour, TickInterval: time.Hour})
 		Eventually(func() uint64 { return m.Head().Generation }).Should(Equal(generation))
 	})
 
-	It("reads nothing of a head that has not changed", func() {
+	It("does not read a head that has not changed", func() {
 		g := push("a")
 		head, err := store.Get(context.Background(), publisher.Key)
 		Expect(err).NotTo(HaveOccurred())
--- a/publisher/input.go
+++ b/publisher/input.go
@@ -2,34 +2,34 @@
 
 import "github.com/cicadawood/cicadawood/loader"
 
-// Input is what a Tracker learns.
+// Input is an event that a Tracker handles.
 type Input interface{ input() }
 
-// HeadRead is the platform's head; the zero Head where nothing was pushed yet.
+// HeadRead is the head read from the platform; the zero Head if nothing was pushed yet.
 type HeadRead struct{ Head Head }
 
-// HeadUnchanged is the platform's word that the head is still the one read last.
+// HeadUnchanged reports that the platform's head is still the one that was read last.
 type HeadUnchanged struct{}
 
-// HeadInvalid is a platform's head that can't be read as one.
+// HeadInvalid reports an object in the platform that can't be decoded as a head.
 type HeadInvalid struct{ Err error }
 
-// HeadReadFailed is a read of the platform that failed.
+// HeadReadFailed reports a failed read of the platform.
 type HeadReadFailed struct{ Err error }
 
-// GenerationReceived is a frame from another host, which carries its generation.
+// GenerationReceived is the generation that another host sent in a frame.
 type GenerationReceived struct {
 	Peer       string
 	Generation uint64
 }
 
-// HeadReceived is a head that another host sent.
+// HeadReceived is a head that another host sent; the zero Head if it has none to send.
 type HeadReceived struct {
 	Peer string
 	Head Head
 }
 
-// Tick is the passing of time.
+// Tick is sent periodically and triggers whatever is due.
 type Tick struct{}
 
 func (HeadRead) input()           {}
@@ -40,13 +40,14 @@
 func (HeadReceived) input()       {}
 func (Tick) input()               {}
 
-// Output is what a Tracker wants done.
+// Output is an action that a Tracker requests.
 type Output interface{ output() }
 
-// ReadPlatform wants the platform read; one of the Head inputs answers it.
+// ReadPlatform requests a read of the platform. The reply is HeadRead, HeadUnchanged,
+// HeadInvalid or HeadReadFailed.
 type ReadPlatform struct{}
 
-// RequestHead wants a peer's head; Peer "" stands for a few of them.
+// RequestHead asks a peer, or a few of them if Peer is empty, for a head newer than Have.
 type RequestHead struct {
 	Peer string
 	Have uint64
@@ -58,10 +59,10 @@
 	Folder *loader.Folder
 }
 
-// SetReady tells the platform's balancer.
+// SetReady sets the readiness that the platform's load balancer sees.
 type SetReady struct{ Ready bool }
 
-// Report is a line for the log.
+// Report is an event to log.
 type Report struct {
 	Event      string
 	Generation uint64
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -1,8 +1,10 @@
-// Package publisher accepts configurations and follows the one in force.
+// Package publisher accepts configurations from operators and keeps the newest one in
+// force on each host.
 //
-// The whole folder is one object in the Object API. A push is accepted by one
-// conditional write of that object. Decisions are pure: rebase and Tracker take
-// what was read, and the time, as arguments; Pusher and Follower do the I/O.
+// A configuration is a folder of files, stored as one object in the Object API. A push is
+// accepted by a single conditional write of that object. The decisions are free of I/O:
+// rebase and Tracker get what was read, and the time, as arguments; Pusher and Follower
+// do the I/O.
 package publisher
 
 import (
@@ -17,47 +19,49 @@
 )
 
 const (
-	// maxRaces is how often a push goes again after it lost a race.
-	maxRaces = 16
-	// maxReadings is how often a lost reply is tried to be settled by reading.
-	maxReadings = 6
-	// readPause is between two such readings.
-	readPause = 300 * time.Millisecond
+	// maxAttempts limits the attempts of one push that others get ahead of.
+	maxAttempts = 16
+	// maxReadBacks limits the reads that determine the outcome of a write whose reply
+	// was lost.
+	maxReadBacks = 6
+	// readBackInterval is the pause between two such reads.
+	readBackInterval = 300 * time.Millisecond
 )
 
 // Errors of a push.
 var (
-	// ErrRaced says that other pushes landed first, each time this one tried.
+	// ErrRaced reports that other pushes landed first at each attempt.
 	ErrRaced = errors.New("other pushes landed first")
-	// ErrOutcomeUnknown says that the push may have landed.
+	// ErrOutcomeUnknown reports that the push may have landed. It is safe to push again.
 	ErrOutcomeUnknown = errors.New("the push may have landed; push again: the same push lands once")
-	// ErrRestored says that the platform holds an older generation than the folder
-	// was pulled at: it was restored from a backup.
+	// ErrRestored reports that the platform's generation is older than the one that the
+	// folder was pulled at: the platform was restored from a backup.
 	ErrRestored = errors.New("the platform is older than this folder")
-	// ErrInvalidMerge says that the folder checks, but not together with the head.
-	ErrInvalidMerge = errors.New("does not check together with the head")
+	// ErrInvalidMerge reports a folder that is valid by itself, but not merged with the
+	// head.
+	ErrInvalidMerge = errors.New("not valid when merged with the head")
 )
 
-// Change is what an operator wants in force.
+// Change is a folder that an operator wants in force.
 type Change struct {
-	Files loader.Files // the whole folder
-	Base  Base         // what it was pulled at
-	// Restore puts the folder in place of a head that is older than its base.
+	Files loader.Files // all files of the folder
+	Base  Base         // the head that the folder was pulled at
+	// Restore allows the folder to replace a head that is older than its base.
 	Restore bool
 }
 
-// Result is a push that is in the head.
+// Result describes a push that the head contains.
 type Result struct {
-	Generation uint64 // that the push landed as
-	Head       Head   // the head that holds it, maybe with later pushes on top
-	Rebased    bool   // the head had moved on from the base
-	Repeated   bool   // the same push, or all it changes, was there already
+	Generation uint64 // of the push
+	Head       Head   // contains the push, and possibly later ones
+	Rebased    bool   // the head was another generation than the base
+	Repeated   bool   // the head contained this push, or all its changes, before
 }
 
 // Pusher pushes changes to a store.
 type Pusher struct {
 	Store storer.Store
-	// Now is the time, and Pause waits; both default to the system's clock.
+	// Now returns the time and Sleep waits; both default to the system clock.
 	Now   func() time.Time
 	Sleep func(context.Context, time.Duration)
 }
@@ -69,82 +73,82 @@
 	return p.Now()
 }
 
-func (p Pusher) pause(ctx context.Context, d time.Duration) {
+func (p Pusher) sleep(ctx context.Context, d time.Duration) {
 	if p.Sleep == nil {
-		pause(ctx, d)
+		sleep(ctx, d)
 		return
 	}
 	p.Sleep(ctx, d)
 }
 
-// Push brings c into the head: at once where the head is c's base, else rebased
-// onto the head. Its error is a *ConflictError, one of this package's errors, or
-// loader Problems.
+// Push writes c to the store, rebased onto the head if that is not c's base. The error
+// is a *ConflictError, one of this package's errors, or loader.Problems.
 func (p Pusher) Push(ctx context.Context, c Change) (Result, error) {
 	if _, err := c.Files.Parse(); err != nil {
 		return Result{}, err
 	}
-	nonce := c.Base.nonce(c.Files)
-	t := attempt{Pusher: p, change: c, nonce: nonce}
-	for range maxRaces {
+	id := c.Base.pushID(c.Files)
+	t := attempt{Pusher: p, change: c, id: id}
+	for range maxAttempts {
 		head, err := t.read(ctx)
 		if err != nil {
 			return Result{}, err
 		}
-		r, err := t.once(ctx, head)
+		r, err := t.try(ctx, head)
 		if !errors.Is(err, ErrRaced) {
 			return r, err
 		}
 	}
-	if t.doubt {
+	if t.unconfirmed {
 		return Result{}, fmt.Errorf("push: %w", ErrOutcomeUnknown)
 	}
-	return Result{}, fmt.Errorf("push: %w, %d times", ErrRaced, maxRaces)
+	return Result{}, fmt.Errorf("push: %w, %d times", ErrRaced, maxAttempts)
 }
 
-// attempt is one push under way.
+// attempt is the state of one push in progress.
 type attempt struct {
 	Pusher
 	change Change
-	nonce  string
-	// doubt says that a write's reply was lost, and doubtful is the head that it
-	// was made on.
-	doubt    bool
-	doubtful Head
+	id     string
+	// unconfirmed is set while the outcome of a write is unknown because its reply was
+	// lost; unconfirmedBase is the head that the write was based on.
+	unconfirmed     bool
+	unconfirmedBase Head
 }
 
-// read reads the head. While the outcome of a write is in doubt it insists, and
-// a failure says so.
+// read reads the head. While the outcome of a write is unknown it retries, and a final
+// failure is ErrOutcomeUnknown.
 func (t *attempt) read(ctx context.Context) (Head, error) {
 	head, err := Read(ctx, t.Store)
-	for i := 1; t.doubt && err != nil && i < maxReadings; i++ {
-		t.pause(ctx, readPause)
+	for i := 1; t.unconfirmed && err != nil && i < maxReadBacks; i++ {
+		t.sleep(ctx, readBackInterval)
 		head, err = Read(ctx, t.Store)
 	}
-	if err != nil && t.doubt {
+	if err != nil && t.unconfirmed {
 		return Head{}, fmt.Errorf("push: %w: %v", ErrOutcomeUnknown, err)
 	}
 	if err != nil {
 		return Head{}, fmt.Errorf("push: %w", err)
 	}
-	if _, landed := head.landedAs(t.nonce); !landed && t.doubt && head.version != t.doubtful.version {
-		// The doubtful write had the older version as its condition: it can't land
-		// any more. Whether it did shows only as far back as the head remembers.
-		if !head.remembers(t.doubtful.Generation) {
+	if _, landed := head.generationOf(t.id); !landed && t.unconfirmed && head.version != t.unconfirmedBase.version {
+		// The condition of the unconfirmed write was the older version: it can't land any
+		// more. Whether it landed before is known only as far back as the head lists pushes.
+		if !head.recordsSince(t.unconfirmedBase.Generation) {
 			return Head{}, fmt.Errorf("push: %w: too many pushes landed since", ErrOutcomeUnknown)
 		}
-		t.doubt = false
+		t.unconfirmed = false
 	}
 	return head, nil
 }
 
-// once tries on top of one head. ErrRaced asks for another try on a newer one.
-func (t *attempt) once(ctx context.Context, head Head) (Result, error) {
-	// The nonce is looked for first, in every head that is read: a write whose
-	// reply was lost shows there, also under later pushes. To take such a write
-	// for failed would land it twice or report a clash with itself.
-	if g, ok := head.landedAs(t.nonce); ok {
-		return Result{Generation: g, Head: head, Repeated: !t.doubt}, nil
+// try attempts the push on top of one head. ErrRaced means that the caller is to read the
+// head and try again.
+func (t *attempt) try(ctx context.Context, head Head) (Result, error) {
+	// Look for the push's ID first, in every head that is read: a write whose reply was
+	// lost is listed there, also below later pushes. Treating such a write as failed would
+	// land it twice, or report a conflict of the push with itself.
+	if g, ok := head.generationOf(t.id); ok {
+		return Result{Generation: g, Head: head, Repeated: !t.unconfirmed}, nil
 	}
 	files, err := t.merge(head)
 	if err != nil {
@@ -154,7 +158,7 @@
 	if maps.Equal(files, head.Files) {
 		return Result{Generation: head.Generation, Head: head, Rebased: rebased, Repeated: true}, nil
 	}
-	next, err := head.next(files, t.nonce, t.seconds())
+	next, err := head.next(files, t.id, t.unixSeconds())
 	if err != nil {
 		return Result{}, fmt.Errorf("push: %w", err)
 	}
@@ -165,18 +169,18 @@
 	case errors.Is(err, storer.ErrConflict):
 		return Result{}, ErrRaced
 	case errors.Is(err, storer.ErrUnknown):
-		// Read back and see. Where the head did not move, the same write goes
-		// again on the same condition: of the two at most one can land.
-		t.doubt, t.doubtful = true, head
+		// Read the head back. If it did not change, the same write is sent again with the
+		// same condition, so that at most one of the two can land.
+		t.unconfirmed, t.unconfirmedBase = true, head
 		return Result{}, ErrRaced
-	case t.doubt:
+	case t.unconfirmed:
 		return Result{}, fmt.Errorf("push: %w: %v", ErrOutcomeUnknown, err)
 	default:
 		return Result{}, fmt.Errorf("push: nothing landed: %w: %v", ErrUnreadable, err)
 	}
 }
 
-// merge is the whole that the push would put in force on top of head.
+// merge returns the files that the push would put in force on top of head.
 func (t *attempt) merge(head Head) (loader.Files, error) {
 	switch {
 	case head.Generation == 0:
@@ -184,7 +188,7 @@
 	case head.Generation < t.change.Base.Generation && t.change.Restore:
 		return t.change.Files, nil
 	case head.Generation < t.change.Base.Generation:
-		return nil, fmt.Errorf("push: %w: generation %d against %d", ErrRestored, head.Generation, t.change.Base.Generation)
+		return nil, fmt.Errorf("push: %w: its generation is %d, the folder's %d", ErrRestored, head.Generation, t.change.Base.Generation)
 	}
 	files, err := rebase(t.change.Base, t.change.Files, head)
 	if err != nil {
@@ -196,5 +200,5 @@
 	return files, nil
 }
 
-// seconds is the time in seconds, the least generation of a push.
-func (t *attempt) seconds() uint64 { return uint64(max(0, t.now().Unix())) }
+// unixSeconds returns the Unix time in seconds, the lowest generation of a new push.
+func (t *attempt) unixSeconds() uint64 { return uint64(max(0, t.now().Unix())) }
--- a/publisher/publisher_suite_test.go
+++ b/publisher/publisher_suite_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// The property tests draw the same schedules in every run.
+// A fixed seed makes the property tests draw the same schedules in every run.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/publisher/push_test.go
+++ b/publisher/push_test.go
@@ -32,10 +32,10 @@
 		ann, ben = newOperator(store), newOperator(store)
 	})
 
-	// Two operators push at the same moment. Ann's write meets Ben's, which came
-	// first. A plain write would silently undo what Ben was told is in force.
-	It("lands both of two racing pushes that touch other files", Label(prover.Cell(prover.Pushed, prover.Race), prover.Cell(prover.Written, prover.Race)), func() {
-		store.before = func() {
+	// Guards against a push that silently reverts an accepted one: Ben's write takes effect
+	// between Ann's read and her write, and an unconditional write would replace it.
+	It("lands both of two racing pushes that change different files", Label(prover.Cell(prover.Pushed, prover.Race), prover.Cell(prover.Written, prover.Race)), func() {
+		store.beforeWrite = func() {
 			_, err := ben.edit("plan", 2).push(101)
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -44,22 +44,22 @@
 		Expect(r.Rebased).To(BeTrue())
 		Expect(store.head().Files).To(And(HaveKey("plan.json"), HaveKey("quote.json"), HaveLen(4)))
 		Expect(store.written).To(Equal([]uint64{100, 101, 102}))
-		Expect(ann.files).To(HaveKey("plan.json"), "her folder must not remove Ben's file with her next push")
+		Expect(ann.files).To(HaveKey("plan.json"), "Ann's next push must not remove Ben's file")
 	})
 
-	It("refuses a push whose file was changed meanwhile, and names it", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
-		store.before = func() {
+	It("rejects a push whose file was changed meanwhile, and names the file", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+		store.beforeWrite = func() {
 			_, err := ben.edit("hold", 2).push(101)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		_, err := ann.edit("hold", 3).edit("quote", 0).push(101)
-		var clash *publisher.ConflictError
-		Expect(errors.As(err, &clash)).To(BeTrue())
-		Expect(*clash).To(Equal(publisher.ConflictError{Files: []string{"hold.json"}, Generation: 101}))
+		var conflict *publisher.ConflictError
+		Expect(errors.As(err, &conflict)).To(BeTrue())
+		Expect(*conflict).To(Equal(publisher.ConflictError{Files: []string{"hold.json"}, Generation: 101}))
 		Expect(store.head().Files["hold.json"]).To(Equal(class("hold", 2)))
 	})
 
-	It("refuses changes that only check apart", func() {
+	It("rejects changes that are valid only separately", func() {
 		_, err := ben.edit("plan", 2).push(101)
 		Expect(err).NotTo(HaveOccurred())
 		ann.files["z.json"] = class("plan", 1)
@@ -68,7 +68,7 @@
 		Expect(err).To(MatchError(ContainSubstring("z.json:1: classes/plan: defined already")))
 	})
 
-	It("takes the same change on both sides for no clash", func() {
+	It("does not treat the same change on both sides as a conflict", func() {
 		_, err := ben.edit("hold", 2).push(101)
 		Expect(err).NotTo(HaveOccurred())
 		r, err := ann.edit("hold", 2).push(102)
@@ -76,11 +76,11 @@
 		Expect(r.Generation).To(Equal(uint64(101)))
 	})
 
-	// The write took effect and its reply was lost. Ann is told "failed", pushes
-	// again and meets her own change as a clash; or is told "landed" when it did not.
-	DescribeTable("settles a write whose reply was lost",
-		func(fate outcome) {
-			store.fates = []outcome{fate}
+	// Guards against a wrong report of a write whose reply was lost: as failed, so that the
+	// repeated push conflicts with itself, or as landed although it did not.
+	DescribeTable("determines the outcome of a write whose reply was lost",
+		func(result outcome) {
+			store.outcomes = []outcome{result}
 			r, err := ann.edit("quote", 0).push(101)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(store.written).To(Equal([]uint64{100, 101}))
@@ -92,26 +92,26 @@
 		Entry("that arrives after the second try", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Pushed, prover.StoreSlow)), late),
 	)
 
-	// As above, but before Ann reads back, Ben changes the very same file on top.
-	It("knows its own write under a later push of the same file", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.Race)), func() {
-		lostThenRaced := &racing{fakeStore: store, race: func() {
+	// As above, but another push changes the same file before the head is read back.
+	It("finds its own write below a later push of the same file", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.Race)), func() {
+		raced := &racingStore{fakeStore: store, race: func() {
 			_, err := newOperator(store).edit("quote", 2).push(102)
 			Expect(err).NotTo(HaveOccurred())
 		}}
-		store.fates = []outcome{lost}
-		p := publisher.Pusher{Store: lostThenRaced}
+		store.outcomes = []outcome{lost}
+		p := publisher.Pusher{Store: raced}
 		r, err := p.Push(context.Background(), publisher.Change{Files: ann.edit("quote", 0).files, Base: ann.base})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Generation).To(Equal(store.written[1]))
 		Expect(r.Head.Files["quote.json"]).To(Equal(class("quote", 2)))
 	})
 
-	// The write is in doubt and the store goes down, so that nobody can read back.
-	// Ann must be told so; her second try must land the change once, not twice.
-	DescribeTable("says that it can't be settled, and lands once when repeated",
-		func(fate outcome) {
-			store.fates = []outcome{fate}
-			down := &racing{fakeStore: store, race: func() { store.down = true }}
+	// Guards against a definite result for a write of unknown outcome: its reply was lost and
+	// the store goes down before the head is read back. The repeated push must land once.
+	DescribeTable("reports an unknown outcome, and lands once when repeated",
+		func(result outcome) {
+			store.outcomes = []outcome{result}
+			down := &racingStore{fakeStore: store, race: func() { store.down = true }}
 			p := publisher.Pusher{Store: down, Sleep: ann.pause}
 			change := publisher.Change{Files: ann.edit("quote", 0).files, Base: ann.base}
 			_, err := p.Push(context.Background(), change)
@@ -128,11 +128,11 @@
 		Entry("when it did not", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), dropped),
 	)
 
-	// Ann's write is in doubt, and before she can read back, so many others push
-	// that the head no longer lists hers, if it ever was there.
-	It("does not claim to know what the head has forgotten", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.Race)), func() {
-		store.fates = []outcome{lost}
-		busy := &racing{fakeStore: store, race: func() {
+	// Guards against a guessed result: after a lost reply, so many other pushes land before
+	// the head is read back that it would no longer list the write if it had landed.
+	It("reports an unknown outcome if the head no longer lists the write", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.Race)), func() {
+		store.outcomes = []outcome{lost}
+		busy := &racingStore{fakeStore: store, race: func() {
 			for i := range 64 {
 				_, err := newOperator(store).edit("plan", i).push(int64(200 + i))
 				Expect(err).NotTo(HaveOccurred())
@@ -143,9 +143,9 @@
 		Expect(store.written).To(HaveLen(66))
 	})
 
-	It("says that nothing landed while the store is down", Label(prover.Cell(prover.Pushed, prover.StoreDown), prover.Cell(prover.Written, prover.StoreDown)), func() {
+	It("reports that nothing landed while the store is down", Label(prover.Cell(prover.Pushed, prover.StoreDown), prover.Cell(prover.Written, prover.StoreDown)), func() {
 		ann.edit("quote", 0)
-		store.before = func() { store.down = true }
+		store.beforeWrite = func() { store.down = true }
 		_, err := ann.push(101)
 		Expect(err).To(And(MatchError(publisher.ErrUnreadable), MatchError(ContainSubstring("nothing landed"))))
 		_, err = ann.push(101)
@@ -153,10 +153,10 @@
 		Expect(store.written).To(HaveLen(1))
 	})
 
-	// The operator's process dies after the write, before the folder remembers it,
-	// and Ben changes the same file. Run again, the push must neither clash with
-	// itself nor undo Ben's.
-	It("lands once when its process was killed after the write", Label(prover.Cell(prover.Written, prover.Kill), prover.Pair(prover.Written, prover.Kill, prover.Pushed, prover.Race)), func() {
+	// Guards against a push that conflicts with itself or reverts a later one: its process
+	// is killed after the write, before the folder's base is updated, and another operator
+	// changes the same file. Then the push is run again.
+	It("lands once if its process was killed after the write", Label(prover.Cell(prover.Written, prover.Kill), prover.Pair(prover.Written, prover.Kill, prover.Pushed, prover.Race)), func() {
 		base, files := ann.base, maps.Clone(ann.edit("hold", 3).files)
 		_, err := ann.push(101)
 		Expect(err).NotTo(HaveOccurred())
@@ -170,7 +170,7 @@
 		Expect(store.written).To(Equal([]uint64{100, 101, 102}))
 	})
 
-	It("makes the next generation newer than all before a restored backup", func() {
+	It("makes the next generation newer than all that a restored backup lost", func() {
 		old, version := store.value, store.version
 		for i := range 3 {
 			_, err := ann.edit("quote", i).push(int64(200 + i))
@@ -186,7 +186,7 @@
 		Expect(store.head().Files).To(Equal(ann.files))
 	})
 
-	It("refuses a folder that is too large, with the file to blame", func() {
+	It("rejects a folder that is too large, and names the largest file", func() {
 		big := make([]byte, publisher.MaxObjectBytes*2)
 		g := rand.New(rand.NewPCG(1, 1))
 		for i := range big {
@@ -199,8 +199,8 @@
 
 	It("gives up after a bounded number of lost races", func() {
 		n := 0
-		store.before = nil
-		always := &racing{fakeStore: store, always: true, race: func() {
+		store.beforeWrite = nil
+		always := &racingStore{fakeStore: store, always: true, race: func() {
 			n++
 			_, err := newOperator(store).edit(fmt.Sprintf("c%d", n), 1).push(int64(200 + n))
 			Expect(err).NotTo(HaveOccurred())
@@ -211,9 +211,9 @@
 	})
 })
 
-// TestRacingOperators lets operators push at random, with lost, dropped and late
-// writes and pushes between each other's read and write. Every push that was
-// accepted must be in every later head, unless a later push touched its file.
+// TestRacingOperators simulates random pushes of several operators, with lost replies, lost
+// and late writes, and pushes between each other's read and write. Every accepted push must
+// be part of every later head, unless a later push changed its file.
 func TestRacingOperators(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &fakeStore{}
@@ -221,29 +221,29 @@
 		for i := range operators {
 			operators[i] = &operator{store: s, files: loader.Files{}}
 		}
-		var accepted []acceptance
+		var accepted []acceptedPush
 		var act func(depth int)
 		act = func(depth int) {
 			o := operators[rapid.IntRange(0, 2).Draw(t, "operator")]
 			name := string(rune('a' + rapid.IntRange(0, 3).Draw(t, "file")))
 			if rapid.IntRange(0, 3).Draw(t, "pull") == 0 && !s.down {
-				o.landed(s.head())
+				o.update(s.head())
 			}
 			o.edit(name, rapid.IntRange(0, 5).Draw(t, "tier"))
-			touched := map[string]string{}
+			changed := map[string]string{}
 			for _, f := range o.base.ChangedFiles(o.files) {
-				touched[f] = o.files[f]
+				changed[f] = o.files[f]
 			}
-			s.fates = append(s.fates, outcome(rapid.IntRange(0, 4).Draw(t, "fate")))
+			s.outcomes = append(s.outcomes, outcome(rapid.IntRange(0, 4).Draw(t, "outcome")))
 			if depth < 2 && rapid.Bool().Draw(t, "race") {
-				s.before = func() { act(depth + 1) }
+				s.beforeWrite = func() { act(depth + 1) }
 			}
-			outer := s.touching
-			s.touching = touched
+			outer := s.changing
+			s.changing = changed
 			if r, err := o.push(100); err == nil && !r.Repeated {
-				accepted = append(accepted, acceptance{generation: r.Generation, touched: touched})
+				accepted = append(accepted, acceptedPush{generation: r.Generation, changed: changed})
 			}
-			s.touching = outer
+			s.changing = outer
 		}
 		for range rapid.IntRange(1, 12).Draw(t, "pushes") {
 			act(0)
@@ -252,20 +252,20 @@
 	})
 }
 
-// acceptance is one push that its operator was told has landed.
-type acceptance struct {
+// acceptedPush is one push that was reported to its operator as landed.
+type acceptedPush struct {
 	generation uint64
-	touched    map[string]string // text by file
+	changed    map[string]string // text by file
 }
 
-func checkAccepted(t *rapid.T, s *fakeStore, accepted []acceptance) {
+func checkAccepted(t *rapid.T, s *fakeStore, accepted []acceptedPush) {
 	for i := 1; i < len(s.heads); i++ {
 		if s.written[i] <= s.written[i-1] {
 			t.Fatalf("generations not in order: %v", s.written)
 		}
 		for name, text := range s.heads[i-1] {
-			if _, ok := s.touched[i][name]; !ok && s.heads[i][name] != text {
-				t.Fatalf("%s of generation %d is gone in %d, which did not touch it", name, s.written[i-1], s.written[i])
+			if _, ok := s.changed[i][name]; !ok && s.heads[i][name] != text {
+				t.Fatalf("%s of generation %d is lost in %d, which did not change it", name, s.written[i-1], s.written[i])
 			}
 		}
 	}
@@ -274,7 +274,7 @@
 		if at < 0 {
 			t.Fatalf("generation %d was accepted and is in no head: %v", a.generation, s.written)
 		}
-		for name, text := range a.touched {
+		for name, text := range a.changed {
 			if s.heads[at][name] != text {
 				t.Fatalf("%s is not in generation %d, which was accepted with it", name, a.generation)
 			}
--- a/publisher/rebase.go
+++ b/publisher/rebase.go
@@ -11,14 +11,14 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// Base is what a folder was pulled at: the generation, and the hash of each of
-// its files. The zero Base is that of a folder that was never pulled or pushed.
+// Base identifies the head that a folder was pulled at: its generation and the hash of
+// each of its files. The zero Base belongs to a folder that was never pulled or pushed.
 type Base struct {
 	Generation uint64            `json:"generation"`
-	Files      map[string]string `json:"files"` // hash by name
+	Files      map[string]string `json:"files"` // SHA-256 in hex, by file name
 }
 
-// BaseOf is the base of a folder that holds just these files.
+// BaseOf returns the base of a folder with exactly these files.
 func BaseOf(generation uint64, f loader.Files) Base {
 	b := Base{Generation: generation, Files: map[string]string{}}
 	for name, text := range f {
@@ -32,8 +32,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// ChangedFiles is the names of the files that f adds, edits or removes against the
-// base, in order.
+// ChangedFiles returns the sorted names of the files that f adds, edits or removes
+// relative to the base.
 func (b Base) ChangedFiles(f loader.Files) []string {
 	var names []string
 	for name, text := range f {
@@ -50,9 +50,9 @@
 	return names
 }
 
-// nonce names the push of f on this base. It follows from both, so that a push
-// that is repeated after a lost reply is known by the same name.
-func (b Base) nonce(f loader.Files) string {
+// pushID returns the ID of the push of f on this base. It is derived from both, so that a
+// push that is repeated after a lost reply has the same ID.
+func (b Base) pushID(f loader.Files) string {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d\n", b.Generation)
 	for _, name := range b.ChangedFiles(f) {
@@ -62,9 +62,9 @@
 	return hex.EncodeToString(sum.Sum(nil))[:32]
 }
 
-// ConflictError says that files were changed both here and in the head.
+// ConflictError reports files that were changed both locally and in the head.
 type ConflictError struct {
-	Files      []string // names, in order
+	Files      []string // sorted names
 	Generation uint64   // of the head
 }
 
@@ -73,20 +73,20 @@
 	return fmt.Sprintf("changed here and in generation %d: %s", e.Generation, strings.Join(e.Files, ", "))
 }
 
-// rebase puts what f changed against its base onto the head's files. A file
-// changed on both sides in the same way is no clash.
+// rebase applies the changes of f relative to its base to the head's files. A file that
+// was changed in the same way on both sides is not a conflict.
 func rebase(b Base, f loader.Files, head Head) (loader.Files, error) {
 	merged := maps.Clone(head.Files)
 	if merged == nil {
 		merged = loader.Files{}
 	}
 	theirs := b.ChangedFiles(head.Files)
-	var clash []string
+	var conflicts []string
 	for _, name := range b.ChangedFiles(f) {
 		text, here := f[name]
 		other, there := head.Files[name]
 		if slices.Contains(theirs, name) && (here != there || text != other) {
-			clash = append(clash, name)
+			conflicts = append(conflicts, name)
 			continue
 		}
 		if here {
@@ -95,8 +95,8 @@
 			delete(merged, name)
 		}
 	}
-	if len(clash) > 0 {
-		return nil, &ConflictError{Files: clash, Generation: head.Generation}
+	if len(conflicts) > 0 {
+		return nil, &ConflictError{Files: conflicts, Generation: head.Generation}
 	}
 	return merged, nil
 }
--- a/publisher/store_test.go
+++ b/publisher/store_test.go
@@ -11,29 +11,29 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// outcome is what becomes of one write to a fake store.
+// outcome is the result of one write to a fake store.
 type outcome int
 
 const (
 	lands   outcome = iota
-	refused         // certainly not: the store is down
-	lost            // lands, and its reply is lost
-	dropped         // its reply is lost, and it never lands
-	late            // its reply is lost, and it arrives after the next write
+	refused         // has no effect: the store is down
+	lost            // takes effect, and its reply is lost
+	dropped         // has no effect, and its reply is lost
+	late            // takes effect after the next write, and its reply is lost
 )
 
 // fakeStore holds one object in memory.
 type fakeStore struct {
-	value    []byte
-	version  storer.Version
-	down     bool
-	fates    []outcome           // of the next writes; lands once they are used up
-	before   func()              // runs between a pusher's read and its write
-	late     func()              // the delayed write
-	heads    []loader.Files      // of every version
-	written  []uint64            // generations, in order
-	touching map[string]string   // what the push under way touches
-	touched  []map[string]string // by the push of every version
+	value       []byte
+	version     storer.Version
+	down        bool
+	outcomes    []outcome           // of the next writes; lands for all further ones
+	beforeWrite func()              // called once, between a pusher's read and its write
+	lateWrite   func()              // the delayed write
+	heads       []loader.Files      // of every version
+	written     []uint64            // generations, in order
+	changing    map[string]string   // files that the current push changes
+	changed     []map[string]string // files changed by the push of every version
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (storer.Object, error) {
@@ -47,40 +47,40 @@
 }
 
 func (s *fakeStore) Put(_ context.Context, _ string, value []byte, c storer.Condition) (storer.Version, error) {
-	if f := s.before; f != nil {
-		s.before = nil
+	if f := s.beforeWrite; f != nil {
+		s.beforeWrite = nil
 		f()
 	}
-	fate, touching := lands, s.touching
-	if len(s.fates) > 0 {
-		fate, s.fates = s.fates[0], s.fates[1:]
+	result, changing := lands, s.changing
+	if len(s.outcomes) > 0 {
+		result, s.outcomes = s.outcomes[0], s.outcomes[1:]
 	}
 	if s.down {
-		fate = refused
+		result = refused
 	}
 	defer func(f func()) {
 		if f != nil {
 			f()
 		}
-	}(s.late)
-	s.late = nil
-	switch fate {
+	}(s.lateWrite)
+	s.lateWrite = nil
+	switch result {
 	case refused:
 		return 0, storer.ErrUnavailable
 	case dropped:
 		return 0, storer.ErrUnknown
 	case late:
-		s.late = func() { _ = s.write(value, c, touching) }
+		s.lateWrite = func() { _ = s.write(value, c, changing) }
 		return 0, storer.ErrUnknown
 	case lost:
-		_ = s.write(value, c, touching)
+		_ = s.write(value, c, changing)
 		return 0, storer.ErrUnknown
 	}
-	err := s.write(value, c, touching)
+	err := s.write(value, c, changing)
 	return s.version, err
 }
 
-func (s *fakeStore) write(value []byte, c storer.Condition, touching map[string]string) error {
+func (s *fakeStore) write(value []byte, c storer.Condition, changing map[string]string) error {
 	if c.Absent && s.version != 0 || c.Match != 0 && c.Match != s.version {
 		return storer.ErrConflict
 	}
@@ -90,11 +90,11 @@
 	}
 	s.value, s.version = value, s.version+1
 	s.heads, s.written = append(s.heads, h.Files), append(s.written, h.Generation)
-	s.touched = append(s.touched, touching)
+	s.changed = append(s.changed, changing)
 	return nil
 }
 
-// head is what the store holds, also while it is down.
+// head returns the stored head, even while the store is down.
 func (s *fakeStore) head() publisher.Head {
 	h, _ := publisher.Unpack(s.value)
 	return h
@@ -119,19 +119,19 @@
 	files loader.Files
 }
 
-// class is a file with one class.
+// class returns the text of a file that defines one class.
 func class(name string, tier int) string {
 	return fmt.Sprintf(`{"classes": {%q: {"tier": %d, "whole": "1s"}}}`, name, tier)
 }
 
-// newOperator is one whose folder is up to date.
+// newOperator returns an operator with an up-to-date folder.
 func newOperator(s *fakeStore) *operator {
 	o := &operator{store: s, files: loader.Files{}}
-	o.landed(s.head())
+	o.update(s.head())
 	return o
 }
 
-func (o *operator) landed(h publisher.Head) {
+func (o *operator) update(h publisher.Head) {
 	o.base, o.files = publisher.BaseOf(h.Generation, h.Files), maps.Clone(h.Files)
 	if o.files == nil {
 		o.files = loader.Files{}
@@ -143,7 +143,7 @@
 	return o
 }
 
-// push pushes at a time in seconds, and brings the folder up to date.
+// push pushes at a Unix time in seconds, and updates the folder.
 func (o *operator) push(seconds int64) (publisher.Result, error) {
 	p := publisher.Pusher{
 		Store: o.store,
@@ -152,21 +152,22 @@
 	}
 	r, err := p.Push(context.Background(), publisher.Change{Files: maps.Clone(o.files), Base: o.base})
 	if err == nil {
-		o.landed(r.Head)
+		o.update(r.Head)
 	}
 	return r, err
 }
 
 func (*operator) pause(context.Context, time.Duration) {}
 
-// racing is a store at which something happens after one write, or before each.
-type racing struct {
+// racingStore is a store that calls race after its first write, or before each write if
+// always is set.
+type racingStore struct {
 	*fakeStore
 	race   func()
 	always bool
 }
 
-func (r *racing) Put(ctx context.Context, key string, value []byte, c storer.Condition) (storer.Version, error) {
+func (r *racingStore) Put(ctx context.Context, key string, value []byte, c storer.Condition) (storer.Version, error) {
 	if r.always {
 		r.race()
 		return r.fakeStore.Put(ctx, key, value, c)
--- a/publisher/timing.go
+++ b/publisher/timing.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Timing is how long a Tracker waits for what. Zero fields take the defaults of
-// withDefaults.
+// Timing holds the timeouts and intervals of a Tracker. Zero fields take the defaults set
+// by withDefaults.
 type Timing struct {
-	ConfirmTimeout time.Duration // without word from platform or peer, before unready
-	PollInterval   time.Duration // between reads of the platform, behind the watch
-	GatherTimeout  time.Duration // a fresh host waits that long for the highest generation
-	FetchTimeout   time.Duration // for one source to answer, before the next is asked
-	TickInterval   time.Duration // between looks at what is due
-	// AlwaysCurrent says that the platform's answers are never older than what a host may
-	// have: it loses nothing, and is not restored from backups. A fresh host need not
-	// hear a peer as well.
+	ConfirmTimeout time.Duration // without confirmation by platform or peer, until the host is unready
+	PollInterval   time.Duration // of reads of the platform, in addition to the watch
+	GatherTimeout  time.Duration // for a new host to find the highest generation
+	FetchTimeout   time.Duration // for one source to answer, until the next is asked
+	TickInterval   time.Duration // of Tick inputs
+	// AlwaysCurrent states that the platform's answers are never older than what a host
+	// may have in force: it loses no writes and is not restored from backups. A new host
+	// then need not wait for a peer's answer.
 	AlwaysCurrent bool
 }
 
@@ -21,8 +21,8 @@
 	defaultGather  = time.Second
 	defaultFetch   = time.Second
 	defaultTick    = 250 * time.Millisecond
-	// firstRetry is the pause after the first failed read; it doubles with each
-	// failure up to Timing.Poll.
+	// firstRetry is the pause after the first failed read. It doubles with each further
+	// failure, up to Timing.PollInterval.
 	firstRetry = 500 * time.Millisecond
 )
 
--- a/publisher/tracker.go
+++ b/publisher/tracker.go
@@ -6,108 +6,110 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// Tracker decides, on one host, which configuration is in force. It never goes
-// back to an older generation. It does no I/O and reads no clock.
+// Tracker decides which configuration is in force on one host. It never returns to an
+// older generation. It does no I/O and reads no clock.
 type Tracker struct {
 	timing  Timing
 	jitter  func() float64 // in [0, 1)
 	started time.Time
 
-	force      Head // in force
-	generation uint64
-	best       Head // of a fresh host, before anything is in force
-	bestFolder *loader.Folder
-
-	platform  bool      // it answered last time
-	answered  bool      // the platform ever did
-	peered    bool      // a peer ever sent its head
-	reading   time.Time // since when a read is under way; zero where none is
-	nextRead  time.Time
-	failures  int
-	confirmed time.Time // last word that nothing newer is known
-	ready     bool
-
-	wanted   GenerationReceived // the newest generation that a peer told of
-	toldAt   time.Time          // when a peer last did
-	askedAt  time.Time          // when a peer, or the platform for what it told of, was last asked
-	anyAsked time.Time          // when just any peers were last asked
-	rejected uint64             // newest generation that could not be used
-	refusal  error
-	wentBack bool // the platform holds an older generation; reported once
-}
-
-// NewTracker returns the tracker of a host that starts now.
+	active          Head // in force
+	generation      uint64
+	candidate       Head // newest so far on a new host, before any is in force
+	candidateFolder *loader.Folder
+
+	platformUp   bool      // the platform answered the last read
+	platformRead bool      // the platform has ever answered
+	peerAnswered bool      // a peer has ever answered a RequestHead
+	readingSince time.Time // start of the read in progress; zero for none
+	nextRead     time.Time
+	failures     int
+	confirmedAt  time.Time // last time a source knew of nothing newer
+	ready        bool
+
+	announced      GenerationReceived // the newest generation received from a peer
+	announcedAt    time.Time          // when a peer last sent it
+	requestedAt    time.Time          // last request for it, to the peer or the platform
+	anyRequestedAt time.Time          // last request to arbitrary peers
+	rejected       uint64             // newest generation that can't be used
+	rejection      error
+	platformOlder  bool // than what is in force; reported once
+}
+
+// NewTracker returns the tracker of a host that starts at now. The jitter function returns
+// values in [0, 1).
 func NewTracker(t Timing, jitter func() float64, now time.Time) *Tracker {
 	return &Tracker{timing: t.withDefaults(), jitter: jitter, started: now, nextRead: now}
 }
 
-// Handle takes one input and returns what is to be done, in order.
+// Handle applies one input and returns the actions to take, in order.
 func (t *Tracker) Handle(now time.Time, i Input) []Output {
 	var out []Output
 	switch i := i.(type) {
 	case HeadRead:
-		t.platformAnswered(now)
-		out = t.platformHead(now, i.Head)
+		t.recordAnswer(now)
+		out = t.handlePlatformHead(now, i.Head)
 	case HeadUnchanged:
-		t.platformAnswered(now)
+		t.recordAnswer(now)
 		t.confirm(now)
 	case HeadInvalid:
-		t.platformAnswered(now)
+		t.recordAnswer(now)
 		t.confirm(now)
 		out = t.reject(0, i.Err)
 	case HeadReadFailed:
-		out = t.readFailed(now, i.Err)
+		out = t.handleReadFailure(now, i.Err)
 	case GenerationReceived:
-		out = t.peerSeen(now, i)
+		out = t.handleGeneration(now, i)
 	case HeadReceived:
-		t.peered = true
+		t.peerAnswered = true
 		if i.Head.Generation == t.generation {
 			t.confirm(now)
 		}
-		out = t.offer(now, i.Head)
+		out = t.handleHead(now, i.Head)
 	case Tick:
-		out = t.tick(now)
+		out = t.handleTick(now)
 	}
-	out = append(out, t.settle(now)...)
-	return append(out, t.readiness(now)...)
+	out = append(out, t.enforceFirst(now)...)
+	return append(out, t.updateReadiness(now)...)
 }
 
-// platformAnswered notes that the platform is up; the next read is a poll.
-func (t *Tracker) platformAnswered(now time.Time) {
-	t.platform, t.answered, t.failures, t.reading = true, true, 0, time.Time{}
-	t.nextRead = now.Add(t.spread(t.timing.PollInterval))
+// recordAnswer records that the platform answered, and schedules the next poll.
+func (t *Tracker) recordAnswer(now time.Time) {
+	t.platformUp, t.platformRead, t.failures, t.readingSince = true, true, 0, time.Time{}
+	t.nextRead = now.Add(t.withJitter(t.timing.PollInterval))
 }
 
-// spread takes up to a fifth off a wait, so that hosts do not go in step.
-func (t *Tracker) spread(d time.Duration) time.Duration {
+// withJitter shortens a wait by up to a fifth, so that hosts do not read in step.
+func (t *Tracker) withJitter(d time.Duration) time.Duration {
 	return d - time.Duration(t.jitter()*0.2*float64(d))
 }
 
-// platformHead takes what the platform holds. A platform that was restored from
-// an old backup holds an older generation than hosts do: to follow it would
-// silently bring back a configuration that operators replaced. It is reported
-// and kept out; the next push is newer than both.
-func (t *Tracker) platformHead(now time.Time, h Head) []Output {
+// handlePlatformHead applies the platform's head. A platform that was restored from a
+// backup holds an older generation than the hosts: following it would silently bring back
+// a configuration that operators have replaced. Such a head is reported and ignored; the
+// next push is newer than both.
+func (t *Tracker) handlePlatformHead(now time.Time, h Head) []Output {
 	var out []Output
-	back := h.Generation < t.generation
-	if back && !t.wentBack {
+	older := h.Generation < t.generation
+	if older && !t.platformOlder {
 		out = append(out, Report{Event: "platform went back; keeping the newer configuration", Generation: h.Generation})
 	}
-	t.wentBack = back
+	t.platformOlder = older
 	if h.Generation <= t.generation {
 		t.confirm(now)
 		if t.rejected <= t.generation {
-			t.refusal = nil
+			t.rejection = nil
 		}
 	}
-	return append(out, t.offer(now, h)...)
+	return append(out, t.handleHead(now, h)...)
 }
 
-// offer takes a head from the platform or a peer.
-func (t *Tracker) offer(now time.Time, h Head) []Output {
+// handleHead applies a head from the platform or a peer if it is newer than the one in
+// force.
+func (t *Tracker) handleHead(now time.Time, h Head) []Output {
 	if h.Generation <= t.generation {
-		// Never back: frames, answers and watch events may arrive late, twice or
-		// in another order, and sources may be behind.
+		// Frames, answers and watch events may arrive late, twice or out of order, and
+		// sources may be behind.
 		return nil
 	}
 	folder, err := h.Files.Parse()
@@ -116,8 +118,8 @@
 		return t.reject(h.Generation, err)
 	}
 	if t.generation == 0 {
-		if h.Generation > t.best.Generation {
-			t.best, t.bestFolder = h, folder
+		if h.Generation > t.candidate.Generation {
+			t.candidate, t.candidateFolder = h, folder
 		}
 		return nil
 	}
@@ -125,122 +127,124 @@
 }
 
 func (t *Tracker) enforce(now time.Time, h Head, f *loader.Folder) []Output {
-	t.force, t.generation = h, h.Generation
+	t.active, t.generation = h, h.Generation
 	if t.rejected <= t.generation {
-		t.rejected, t.refusal = 0, nil
+		t.rejected, t.rejection = 0, nil
 	}
-	t.confirmed = now
+	t.confirmedAt = now
 	return []Output{Enforce{Head: h, Folder: f}}
 }
 
-// confirm notes a word that nothing newer is to be had. While peers tell of a
-// newer generation that this host can't get, no such word counts. What nobody
-// tells of any more is given up: its only holders are gone.
+// confirm records that a source knows of nothing newer. While peers announce a newer
+// generation that this host can't get, that does not count as a confirmation. A generation
+// that no peer announces any more is given up: the only hosts that had it are gone.
 func (t *Tracker) confirm(now time.Time) {
-	if now.Sub(t.toldAt) >= t.timing.ConfirmTimeout {
-		t.wanted = GenerationReceived{}
+	if now.Sub(t.announcedAt) >= t.timing.ConfirmTimeout {
+		t.announced = GenerationReceived{}
 	}
-	if t.wanted.Generation <= max(t.generation, t.rejected) && now.After(t.confirmed) {
-		t.confirmed = now
+	if t.announced.Generation <= max(t.generation, t.rejected) && now.After(t.confirmedAt) {
+		t.confirmedAt = now
 	}
 }
 
-// reject keeps the configuration in force in place of one that can't be used.
+// reject records a configuration that can't be used; the one in force stays. Each
+// rejection is reported once.
 func (t *Tracker) reject(generation uint64, err error) []Output {
-	known := t.refusal != nil && t.rejected == max(t.rejected, generation)
-	t.rejected, t.refusal = max(t.rejected, generation), err
+	known := t.rejection != nil && t.rejected == max(t.rejected, generation)
+	t.rejected, t.rejection = max(t.rejected, generation), err
 	if known {
 		return nil
 	}
 	return []Output{Report{Event: "configuration can't be used; keeping the last good one", Generation: generation, Err: err}}
 }
 
-func (t *Tracker) readFailed(now time.Time, err error) []Output {
-	first := t.platform || !t.answered && t.failures == 0
-	t.platform, t.reading = false, time.Time{}
+func (t *Tracker) handleReadFailure(now time.Time, err error) []Output {
+	first := t.platformUp || !t.platformRead && t.failures == 0
+	t.platformUp, t.readingSince = false, time.Time{}
 	wait := t.timing.PollInterval
 	if t.failures < 8 {
 		wait = min(wait, firstRetry<<t.failures)
 	}
 	t.failures++
-	t.nextRead = now.Add(t.spread(wait))
+	t.nextRead = now.Add(t.withJitter(wait))
 	var out []Output
 	if first {
 		out = append(out, Report{Event: "platform can't be read", Generation: t.generation, Err: err})
 	}
-	return append(out, t.fetch(now)...)
+	return append(out, t.requestAnnounced(now)...)
 }
 
-func (t *Tracker) peerSeen(now time.Time, p GenerationReceived) []Output {
+func (t *Tracker) handleGeneration(now time.Time, p GenerationReceived) []Output {
 	switch {
 	case p.Generation == t.generation:
 		t.confirm(now)
 		return nil
 	case p.Generation < t.generation || p.Generation <= t.rejected:
 		return nil
-	case p.Generation >= t.wanted.Generation:
-		t.wanted, t.toldAt = p, now
+	case p.Generation >= t.announced.Generation:
+		t.announced, t.announcedAt = p, now
 	}
-	if t.platform && t.reading.IsZero() && now.Sub(t.askedAt) >= t.timing.FetchTimeout {
-		t.reading, t.askedAt = now, now
+	if t.platformUp && t.readingSince.IsZero() && now.Sub(t.requestedAt) >= t.timing.FetchTimeout {
+		t.readingSince, t.requestedAt = now, now
 		return []Output{ReadPlatform{}}
 	}
-	return t.fetch(now)
+	return t.requestAnnounced(now)
 }
 
-// fetch asks a peer for the newer generation that it told of. In an outage of
-// the platform that is the only way; where the platform answers, but slowly or
-// with an older head, it is the second.
-func (t *Tracker) fetch(now time.Time) []Output {
+// requestAnnounced asks a peer for the newer generation that it announced. While the
+// platform is down this is the only source; while it answers slowly or with an older head,
+// it is the second one.
+func (t *Tracker) requestAnnounced(now time.Time) []Output {
 	wait := t.timing.FetchTimeout
-	if !t.platform {
+	if !t.platformUp {
 		wait /= 4
 	}
-	if t.wanted.Generation <= max(t.generation, t.best.Generation, t.rejected) || now.Sub(t.askedAt) < wait {
+	if t.announced.Generation <= max(t.generation, t.candidate.Generation, t.rejected) || now.Sub(t.requestedAt) < wait {
 		return nil
 	}
-	t.askedAt = now
-	return []Output{RequestHead{Peer: t.wanted.Peer, Have: t.generation}}
+	t.requestedAt = now
+	return []Output{RequestHead{Peer: t.announced.Peer, Have: t.generation}}
 }
 
-func (t *Tracker) tick(now time.Time) []Output {
+func (t *Tracker) handleTick(now time.Time) []Output {
 	var out []Output
-	if t.reading.IsZero() && !now.Before(t.nextRead) {
-		t.reading = now
+	if t.readingSince.IsZero() && !now.Before(t.nextRead) {
+		t.readingSince = now
 		out = append(out, ReadPlatform{})
 	}
-	if t.generation == 0 && now.Sub(t.anyAsked) >= t.timing.FetchTimeout/4 {
-		// Often: the roster fills in the first moments, and a host without a
-		// configuration serves nobody. It must not put off the question of who has one.
-		t.anyAsked = now
+	if t.generation == 0 && now.Sub(t.anyRequestedAt) >= t.timing.FetchTimeout/4 {
+		// More often than other requests: the roster fills shortly after the start, and a
+		// host without a configuration can't serve any request. It is timed separately, so
+		// that it does not delay the request to a peer that announced a generation.
+		t.anyRequestedAt = now
 		out = append(out, RequestHead{})
 	}
-	return append(out, t.fetch(now)...)
+	return append(out, t.requestAnnounced(now)...)
 }
 
-// settle puts a fresh host's first configuration in force: the highest that
-// platform and peers hold, once both answered or the time for it is over. The
-// first answer alone may be an older one, which hosts have long replaced, unless the
-// platform's is always current. Failure: after a loss of power of all hosts no peer
-// can answer, and callers were refused for as long as it was waited for.
-func (t *Tracker) settle(now time.Time) []Output {
-	if t.generation > 0 || t.best.Generation == 0 {
+// enforceFirst puts a new host's first configuration in force: the highest generation of
+// platform and peers, once both answered or GatherTimeout has passed. A single answer may
+// be an older configuration that other hosts have replaced, unless the platform is always
+// current. In that case peers are not waited for: after a power loss of all hosts no peer
+// can answer, and callers would be refused during the wait.
+func (t *Tracker) enforceFirst(now time.Time) []Output {
+	if t.generation > 0 || t.candidate.Generation == 0 {
 		return nil
 	}
-	complete := t.answered && (t.peered || t.timing.AlwaysCurrent) && t.best.Generation >= t.wanted.Generation
+	complete := t.platformRead && (t.peerAnswered || t.timing.AlwaysCurrent) && t.candidate.Generation >= t.announced.Generation
 	if !complete && now.Sub(t.started) < t.timing.GatherTimeout {
 		return nil
 	}
-	h, f := t.best, t.bestFolder
-	t.best, t.bestFolder = Head{}, nil
+	h, f := t.candidate, t.candidateFolder
+	t.candidate, t.candidateFolder = Head{}, nil
 	return t.enforce(now, h, f)
 }
 
-// readiness turns a host unready that could confirm its generation with nobody
-// for too long: it may serve a configuration that was replaced long ago. A
-// platform outage alone turns none, as peers confirm each other.
-func (t *Tracker) readiness(now time.Time) []Output {
-	ready := t.generation > 0 && now.Sub(t.confirmed) < t.timing.ConfirmTimeout
+// updateReadiness makes the host unready once no source has confirmed its generation for
+// ConfirmTimeout: its configuration may have been replaced. An outage of the platform alone
+// makes no host unready, as peers confirm each other's generation.
+func (t *Tracker) updateReadiness(now time.Time) []Output {
+	ready := t.generation > 0 && now.Sub(t.confirmedAt) < t.timing.ConfirmTimeout
 	if ready == t.ready {
 		return nil
 	}
--- a/publisher/tracker_test.go
+++ b/publisher/tracker_test.go
@@ -14,54 +14,55 @@
 	"github.com/cicadawood/cicadawood/publisher"
 )
 
-// trouble is a fault at one host of a fleet, at its platform, or among operators.
-type trouble struct {
+// faultCase is a fault of a host, of the platform, or a race between operators, with the
+// functions that start and end it.
+type faultCase struct {
 	fault prover.Fault
-	steps []prover.Step // at which it can hit a configuration
+	steps []prover.Step // of a configuration, at which the fault can occur
 	begin func(f *fleet, h *host)
 	end   func(f *fleet, h *host)
 }
 
 var (
-	everywhere = []prover.Step{prover.Pushed, prover.Written, prover.Watched, prover.InForce}
-	atPush     = everywhere[:1]
-	afterWrite = everywhere[2:]
+	allSteps   = []prover.Step{prover.Pushed, prover.Written, prover.Watched, prover.InForce}
+	atPush     = allSteps[:1]
+	afterWrite = allSteps[2:]
 )
 
-// troubles is the faults that can hit a configuration between its operator, the
-// platform and the hosts.
-var troubles = []trouble{
-	{prover.Kill, everywhere, func(_ *fleet, h *host) { h.dead = true }, func(f *fleet, h *host) { f.boot(h) }},
-	{prover.Freeze, everywhere, func(_ *fleet, h *host) { h.frozen = true }, func(_ *fleet, h *host) { h.frozen = false }},
-	{prover.CutBoth, everywhere, func(_ *fleet, h *host) { h.noPeers, h.noStore = true, true }, func(_ *fleet, h *host) { h.noPeers, h.noStore = false, false }},
-	{prover.CutOne, everywhere, func(_ *fleet, h *host) { h.deaf = true }, func(_ *fleet, h *host) { h.deaf = false }},
-	{prover.Silence, everywhere, func(f *fleet, h *host) { h.silent, f.store.fates = true, []outcome{dropped} }, func(_ *fleet, h *host) { h.silent = false }},
-	{prover.StoreDown, everywhere, func(f *fleet, _ *host) { f.store.down = true }, func(f *fleet, _ *host) { f.store.down = false }},
-	{prover.StoreSlow, everywhere, func(f *fleet, _ *host) { f.slow = 2 * time.Second }, func(f *fleet, _ *host) { f.slow = 0 }},
-	{prover.WatchGap, afterWrite, func(f *fleet, _ *host) { f.skip() }, func(*fleet, *host) {}},
-	{prover.Reorder, afterWrite, func(f *fleet, _ *host) { f.crossed = true }, func(f *fleet, _ *host) { f.crossed = false }},
-	{prover.LostReply, atPush, func(f *fleet, _ *host) { f.store.fates = []outcome{lost} }, func(*fleet, *host) {}},
-	{prover.Race, everywhere, func(f *fleet, _ *host) { _ = f.push(newOperator(f.store), "race") }, func(*fleet, *host) {}},
+// faultCases are the faults that can occur on the way of a configuration from an operator
+// through the platform to the hosts.
+var faultCases = []faultCase{
+	{prover.Kill, allSteps, func(_ *fleet, h *host) { h.dead = true }, func(f *fleet, h *host) { f.boot(h) }},
+	{prover.Freeze, allSteps, func(_ *fleet, h *host) { h.frozen = true }, func(_ *fleet, h *host) { h.frozen = false }},
+	{prover.CutBoth, allSteps, func(_ *fleet, h *host) { h.noPeers, h.noStore = true, true }, func(_ *fleet, h *host) { h.noPeers, h.noStore = false, false }},
+	{prover.CutOne, allSteps, func(_ *fleet, h *host) { h.noReceive = true }, func(_ *fleet, h *host) { h.noReceive = false }},
+	{prover.Silence, allSteps, func(f *fleet, h *host) { h.watchStalled, f.store.outcomes = true, []outcome{dropped} }, func(_ *fleet, h *host) { h.watchStalled = false }},
+	{prover.StoreDown, allSteps, func(f *fleet, _ *host) { f.store.down = true }, func(f *fleet, _ *host) { f.store.down = false }},
+	{prover.StoreSlow, allSteps, func(f *fleet, _ *host) { f.storeDelay = 2 * time.Second }, func(f *fleet, _ *host) { f.storeDelay = 0 }},
+	{prover.WatchGap, afterWrite, func(f *fleet, _ *host) { f.skipEvents() }, func(*fleet, *host) {}},
+	{prover.Reorder, afterWrite, func(f *fleet, _ *host) { f.duplicate = true }, func(f *fleet, _ *host) { f.duplicate = false }},
+	{prover.LostReply, atPush, func(f *fleet, _ *host) { f.store.outcomes = []outcome{lost} }, func(*fleet, *host) {}},
+	{prover.Race, allSteps, func(f *fleet, _ *host) { _ = f.push(newOperator(f.store), "race") }, func(*fleet, *host) {}},
 }
 
-// skip loses the next event of every watch.
-func (f *fleet) skip() {
+// skipEvents makes every watch miss its next event.
+func (f *fleet) skipEvents() {
 	for _, h := range f.hosts {
 		h.watched = f.store.version + 1
 	}
 }
 
-// cell is a fault that begins at a step of a configuration.
+// cell is a fault that starts at a given step of a configuration.
 type cell struct {
 	step prover.Step
-	trouble
+	faultCase
 }
 
-// cells is every fault at every step that it can hit.
+// cells returns every fault at every step at which it can occur.
 func cells() []cell {
 	var all []cell
-	for _, s := range everywhere {
-		for _, k := range troubles {
+	for _, s := range allSteps {
+		for _, k := range faultCases {
 			if slices.Contains(k.steps, s) {
 				all = append(all, cell{s, k})
 			}
@@ -70,10 +71,11 @@
 	return all
 }
 
-// play pushes around faults, each of which begins at its step: before the push,
-// between its read and its write, after the write, or once it is in force. They
-// last hold, through another push, and end. It returns the broken promises.
-func play(hold time.Duration, faults ...cell) []string {
+// simulate pushes configurations while the given faults occur. Each starts at its step:
+// before the push, between its read and its write, after the write, or once the push is in
+// force. The faults last for twice the time hold, with another push in the middle. It
+// returns the violations.
+func simulate(hold time.Duration, faults ...cell) []string {
 	f := newFleet(3)
 	if err := f.push(newOperator(f.store), "first"); err != nil {
 		return []string{err.Error()}
@@ -88,11 +90,11 @@
 	}
 	ann := newOperator(f.store)
 	begin(prover.Pushed)
-	f.store.before = func() { begin(prover.Written) }
+	f.store.beforeWrite = func() { begin(prover.Written) }
 	err := f.push(ann, "second")
-	if f.store.before != nil { // the push did not get as far as its write
-		f.store.before()
-		f.store.before = nil
+	if f.store.beforeWrite != nil { // the push did not get as far as its write
+		f.store.beforeWrite()
+		f.store.beforeWrite = nil
 	}
 	begin(prover.Watched)
 	f.run(2 * step)
@@ -104,38 +106,37 @@
 		c.end(f, f.hosts[i])
 	}
 	if err != nil {
-		_ = f.push(ann, "second") // the operator's second try
+		_ = f.push(ann, "second") // the operator pushes again
 	}
 	_ = f.push(newOperator(f.store), "fourth")
-	f.run(2 * bound)
+	f.run(2 * maxDelay)
 	for _, h := range f.hosts {
-		if !h.ready || h.force.Generation != f.store.head().Generation {
-			f.faults = append(f.faults, fmt.Sprintf("%s ends with %d, ready %t", h.name, h.force.Generation, h.ready))
+		if !h.ready || h.active.Generation != f.store.head().Generation {
+			f.violations = append(f.violations, fmt.Sprintf("%s ends with %d, ready %t", h.name, h.active.Generation, h.ready))
 		}
 	}
 	for _, name := range []string{"first.json", "second.json", "fourth.json"} {
 		if _, ok := f.store.head().Files[name]; !ok {
-			f.faults = append(f.faults, name+" is lost")
+			f.violations = append(f.violations, name+" is lost")
 		}
 	}
-	return f.faults
+	return f.violations
 }
 
 var _ = Describe("A fleet", func() {
-	// Operators see "accepted", and yet some host serves the old settings minutes
-	// later, or returns to them: its watch went silent or skipped the change, its
-	// link or the platform was down just then, it was frozen or started afresh, or
-	// a late frame brought an older state.
+	// Guards against a host that keeps an old configuration after an accepted push, or returns
+	// to it: its watch stalled or missed the change, its link or the platform was down, it was
+	// frozen or restarted, or a late frame carried an older state.
 	all := cells()
 	for i, a := range all {
-		It(fmt.Sprintf("has each accepted push in force for good, %s at %s", a.fault, a.step), Label(prover.Cell(a.step, a.fault)), func() {
-			Expect(play(6*time.Second, a)).To(BeEmpty())
-			Expect(play(20*time.Second, a)).To(BeEmpty())
+		It(fmt.Sprintf("keeps each accepted push in force, %s at %s", a.fault, a.step), Label(prover.Cell(a.step, a.fault)), func() {
+			Expect(simulate(6*time.Second, a)).To(BeEmpty())
+			Expect(simulate(20*time.Second, a)).To(BeEmpty())
 		})
 		for _, b := range all[i:] {
 			pair := Label(prover.Pair(a.step, a.fault, b.step, b.fault))
-			It(fmt.Sprintf("has each accepted push in force for good, %s at %s and %s at %s", a.fault, a.step, b.fault, b.step), pair, func() {
-				Expect(play(20*time.Second, a, b)).To(BeEmpty())
+			It(fmt.Sprintf("keeps each accepted push in force, %s at %s and %s at %s", a.fault, a.step, b.fault, b.step), pair, func() {
+				Expect(simulate(20*time.Second, a, b)).To(BeEmpty())
 			})
 		}
 	}
@@ -151,20 +152,20 @@
 		f.run(5 * time.Second)
 	})
 
-	// The platform is down for ten minutes. If hosts turned unready for that, the
-	// balancer would have nowhere to send callers.
-	It("stays ready through an outage of the platform, as peers confirm it", Label(prover.Cell(prover.InForce, prover.StoreDown)), func() {
+	// Guards against an outage of the platform that makes all hosts unready, which leaves the
+	// load balancer without any host for its callers.
+	It("stays ready during an outage of the platform, as peers confirm its generation", Label(prover.Cell(prover.InForce, prover.StoreDown)), func() {
 		f.store.down = true
 		f.run(10 * time.Minute)
 		for _, h := range f.hosts {
 			Expect(h.ready).To(BeTrue())
-			Expect(h.unready).To(BeZero())
+			Expect(h.unreadyCount).To(BeZero())
 		}
 	})
 
-	// A host is cut off from all others and the platform. It would serve settings
-	// that operators replaced, for as long as the balancer sends it callers.
-	It("turns unready when nobody confirms its generation, and ready again", Label(prover.Cell(prover.InForce, prover.CutBoth)), func() {
+	// Guards against a host that stays ready with a configuration that was replaced, while it
+	// is disconnected from the platform and all other hosts.
+	It("becomes unready when nobody confirms its generation, and ready again", Label(prover.Cell(prover.InForce, prover.CutBoth)), func() {
 		f.hosts[0].noPeers, f.hosts[0].noStore = true, true
 		f.run(11 * time.Second)
 		Expect(f.hosts[0].ready).To(BeFalse())
@@ -174,23 +175,24 @@
 		Expect(f.hosts[0].ready).To(BeTrue())
 	})
 
-	// Peers as far behind as itself go on confirming a host, while one that it
-	// can't fetch from tells of a newer generation.
-	It("turns unready where it learns of a newer generation that it can't get", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.CutOne)), func() {
+	// Guards against peers with the same old generation that keep confirming a host, while
+	// another peer announces a newer generation that can't be fetched from it.
+	It("becomes unready if a newer generation is announced that it can't get", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.CutOne)), func() {
 		f.store.down = true
 		h := f.hosts[0]
 		for range 60 {
-			f.feed(h, publisher.GenerationReceived{Peer: "h9", Generation: h.force.Generation + 7})
+			f.handle(h, publisher.GenerationReceived{Peer: "h9", Generation: h.active.Generation + 7})
 			f.run(step)
 		}
 		Expect(h.ready).To(BeFalse())
-		Expect(h.tracker.Status(f.now).Newer).To(Equal(h.force.Generation + 7))
+		Expect(h.tracker.Status(f.now).Newer).To(Equal(h.active.Generation + 7))
 		f.run(20 * time.Second)
-		Expect(h.ready).To(BeTrue(), "what nobody tells of any more is given up")
+		Expect(h.ready).To(BeTrue(), "a generation that is no longer announced is given up")
 	})
 
-	// A push lands, one host learns of it, and the platform goes down for an hour.
-	It("gets from a peer what the platform can't tell any more", Label(prover.Cell(prover.Watched, prover.StoreDown), prover.Pair(prover.Watched, prover.CutBoth, prover.InForce, prover.StoreDown)), func() {
+	// Guards against a push that reaches only one host, because the platform goes down just
+	// after it.
+	It("gets a configuration from a peer while the platform is down", Label(prover.Cell(prover.Watched, prover.StoreDown), prover.Pair(prover.Watched, prover.CutBoth, prover.InForce, prover.StoreDown)), func() {
 		f.hosts[0].noStore, f.hosts[1].noStore = true, true
 		f.hosts[0].noPeers, f.hosts[1].noPeers = true, true
 		Expect(f.push(newOperator(f.store), "third")).To(Succeed())
@@ -198,118 +200,118 @@
 		f.store.down = true
 		f.hosts[0].noPeers, f.hosts[1].noPeers = false, false
 		f.run(4 * time.Second)
-		Expect(f.hosts[0].force.Generation).To(Equal(f.hosts[2].force.Generation))
-		Expect(f.hosts[1].force.Generation).To(Equal(f.hosts[2].force.Generation))
+		Expect(f.hosts[0].active.Generation).To(Equal(f.hosts[2].active.Generation))
+		Expect(f.hosts[1].active.Generation).To(Equal(f.hosts[2].active.Generation))
 	})
 
-	// In an outage a host is replaced. The fresh one must not come up with what
-	// the first peer to answer has, where another has a newer generation.
-	It("takes the highest of its peers when it starts in an outage", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.Kill), prover.Cell(prover.Taken, prover.StoreDown)), func() {
+	// Guards against a host that starts during an outage of the platform with the generation
+	// of the first peer that answers, while another peer has a newer one.
+	It("starts with the highest generation of its peers while the platform is down", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.Kill), prover.Cell(prover.Taken, prover.StoreDown)), func() {
 		f.hosts[1].noStore, f.hosts[1].noPeers = true, true
 		Expect(f.push(newOperator(f.store), "third")).To(Succeed())
 		f.run(2 * time.Second)
-		newest := f.hosts[2].force.Generation
-		Expect(f.hosts[1].force.Generation).To(BeNumerically("<", newest))
+		newest := f.hosts[2].active.Generation
+		Expect(f.hosts[1].active.Generation).To(BeNumerically("<", newest))
 		f.store.down, f.hosts[1].noPeers = true, false
 		f.boot(f.hosts[0])
 		f.run(5 * time.Second)
 		Expect(f.hosts[0].history).To(Equal([]uint64{newest}))
-		Expect(f.hosts[1].force.Generation).To(Equal(newest))
+		Expect(f.hosts[1].active.Generation).To(Equal(newest))
 	})
 
-	// The platform is restored from last week's backup. Hosts that follow it would
-	// bring back settings that were replaced, with nobody having pushed them.
-	It("does not follow a platform that went back, also when it starts afresh", Label(prover.Cell(prover.InForce, prover.Kill)), func() {
+	// Guards against hosts that return to a replaced configuration after the platform was
+	// restored from a backup.
+	It("does not follow a platform with an older generation, not even when it starts", Label(prover.Cell(prover.InForce, prover.Kill)), func() {
 		old, version := f.store.value, f.store.version
 		Expect(f.push(newOperator(f.store), "third")).To(Succeed())
 		f.run(5 * time.Second)
-		newest := f.hosts[0].force.Generation
+		newest := f.hosts[0].active.Generation
 		f.store.value, f.store.version = old, version
 		f.boot(f.hosts[0])
 		f.run(time.Minute)
 		Expect(f.hosts[0].history).To(Equal([]uint64{newest}))
 		for _, h := range f.hosts {
-			Expect(h.force.Generation).To(Equal(newest))
+			Expect(h.active.Generation).To(Equal(newest))
 			Expect(h.ready).To(BeTrue())
 		}
-		Expect(f.faults).To(BeEmpty())
+		Expect(f.violations).To(BeEmpty())
 		f.accepted = nil
 		_, err := newOperator(f.store).edit("fourth", 1).push(f.now.Unix())
 		Expect(err).NotTo(HaveOccurred())
-		f.run(bound)
-		Expect(f.hosts[0].force.Generation).To(BeNumerically(">", newest))
+		f.run(maxDelay)
+		Expect(f.hosts[0].active.Generation).To(BeNumerically(">", newest))
 	})
 
-	// Somebody writes rubbish over the object, or a newer program's settings that
-	// this one can't read: it goes on with the last good ones and says so.
-	DescribeTable("keeps the last good configuration where the stored one is bad",
+	// Guards against a host that loses its configuration because the object was overwritten
+	// with invalid data, or with settings of a newer release that this one can't read.
+	DescribeTable("keeps the last good configuration if the stored one is invalid, and reports why",
 		func(spoil func(s *fakeStore), reason string) {
-			good := f.hosts[0].force.Generation
+			good := f.hosts[0].active.Generation
 			spoil(f.store)
 			f.run(time.Minute)
 			for _, h := range f.hosts {
-				Expect(h.force.Generation).To(Equal(good))
+				Expect(h.active.Generation).To(Equal(good))
 				Expect(h.ready).To(BeTrue())
 				Expect(h.tracker.Status(f.now).Reason).To(ContainSubstring(reason))
 			}
 		},
-		Entry("rubbish", func(s *fakeStore) { s.value, s.version = []byte("rubbish"), s.version+1 }, "bad configuration object"),
+		Entry("invalid data", func(s *fakeStore) { s.value, s.version = []byte("rubbish"), s.version+1 }, "bad configuration object"),
 	)
 
-	// 360 hosts must leave the platform room for everything else.
-	It("reads the platform no more often than the poll", func() {
+	// Guards against an overload of the platform by the polls of 360 hosts.
+	It("reads the platform no more often than the poll interval", func() {
 		before := f.hosts[0].reads
 		f.run(10 * time.Minute)
 		Expect(f.hosts[0].reads - before).To(BeNumerically("<=", 10*60/4))
 	})
 })
 
-// TestFleet plays random schedules of pushes and faults, several at a time, and
-// holds the history against the promise.
+// TestFleet simulates random schedules of pushes and concurrent faults, and checks the
+// invariants of the fleet.
 func TestFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 4).Draw(t, "hosts"))
-		type running struct {
-			trouble
+		type activeFault struct {
+			faultCase
 			host *host
 		}
-		var open []running
+		var active []activeFault
 		for i := range rapid.IntRange(1, 10).Draw(t, "steps") {
-			k := rapid.SampledFrom(troubles).Draw(t, "fault")
+			k := rapid.SampledFrom(faultCases).Draw(t, "fault")
 			h := rapid.SampledFrom(f.hosts).Draw(t, "host")
 			switch rapid.IntRange(0, 2).Draw(t, "act") {
 			case 0:
 				_ = f.push(newOperator(f.store), fmt.Sprintf("c%d", i))
 			case 1:
 				k.begin(f, h)
-				open = append(open, running{k, h})
+				active = append(active, activeFault{k, h})
 			case 2:
-				if len(open) > 0 {
-					open[0].end(f, open[0].host)
-					open = open[1:]
+				if len(active) > 0 {
+					active[0].end(f, active[0].host)
+					active = active[1:]
 				}
 			}
 			f.run(time.Duration(rapid.IntRange(1, 80).Draw(t, "steps of time")) * step)
 		}
-		for _, o := range open {
+		for _, o := range active {
 			o.end(f, o.host)
 		}
-		f.run(2 * bound)
+		f.run(2 * maxDelay)
 		for _, h := range f.hosts {
 			if len(f.accepted) > 0 && !h.ready {
-				f.faults = append(f.faults, h.name+" ends unready")
+				f.violations = append(f.violations, h.name+" ends unready")
 			}
 		}
-		if len(f.faults) > 0 {
-			t.Fatalf("%v", f.faults[0])
+		if len(f.violations) > 0 {
+			t.Fatalf("%v", f.violations[0])
 		}
 	})
 }
 
-// Guards against a host without a configuration that asks just any peers so often that it
-// never asks for the one that it was told of.
+// Guards against a host without a configuration whose frequent requests to arbitrary peers
+// keep it from requesting a generation that a peer announced.
 var _ = Describe("A host that found no configuration", func() {
-	It("reads the platform as soon as a peer tells of one", func() {
+	It("reads the platform as soon as a peer announces one", func() {
 		at := time.Unix(1000, 0)
 		t := publisher.NewTracker(publisher.Timing{}, func() float64 { return 0 }, at)
 		t.Handle(at, publisher.Tick{})
