--- a/placer/basis.go
+++ b/placer/basis.go
@@ -20,7 +20,7 @@
 }
 
 // basis returns what the refusal of a request was based on.
-func (v *View) basis(now time.Time, a Request, best *candidate) Basis {
+func (v *View) basis(now time.Time, req Request, best *candidate) Basis {
 	b := Basis{
 		Free: v.reservation.free, Offered: v.reservation.rate, Held: milliseconds(v.reservation.holdTime), Wanted: int(max(v.reservation.wanted(), 0)),
 	}
@@ -31,16 +31,16 @@
 		return b
 	}
 	b.Worker, b.Slots, b.Taken, b.Kept = best.Name, best.Slots, len(best.flights), best.reserved
-	b.Queue, b.Wait, b.End = milliseconds(best.urgentBacklog), milliseconds(best.wait), best.expectedEnd(a)
-	b.Bound = milliseconds(v.bound(best, a))
+	b.Queue, b.Wait, b.End = milliseconds(best.urgentBacklog), milliseconds(best.wait), best.expectedEnd(req)
+	b.Bound = milliseconds(v.bound(best, req))
 	return b
 }
 
 // bound returns the maximum wait for other requests, in milliseconds: in the prefill queue, or
 // for a plain service's answer.
-func (v *View) bound(o *candidate, a Request) float64 {
+func (v *View) bound(o *candidate, req Request) float64 {
 	if o.CacheTokens == 0 {
-		return v.maxPlainWait(a)
+		return v.maxPlainWait(req)
 	}
-	return maxQueueShare * inMilliseconds(a.Target)
+	return maxQueueShare * inMilliseconds(req.Target)
 }
--- a/placer/basis_test.go
+++ b/placer/basis_test.go
@@ -9,9 +9,9 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// Guards against a refusal that nobody can explain.
-var _ = Describe("What a refusal was decided by", func() {
-	It("is the slots, the queue and what is asked for, with the age of what others told", func() {
+// Guards against refusals that operators can't explain.
+var _ = Describe("The basis of a refusal", func() {
+	It("holds the slots, the queue, the offered load and the age of other hosts' reports", func() {
 		v := placer.New("a")
 		workers := engines("e-1")
 		workers[0].Slots = 4
@@ -36,7 +36,7 @@
 		Expect(b.Age).To(Equal(20 * time.Millisecond))
 	})
 
-	It("is told to other hosts as what is asked for", func() {
+	It("is reported to other hosts as offered load", func() {
 		v := placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
 		refused := 0
@@ -45,10 +45,10 @@
 				refused++
 			}
 		}
-		told := v.DrainRefused()
-		Expect(told).To(HaveLen(1))
-		Expect(told[0].Count).To(And(Equal(refused), BeNumerically(">", 0)))
-		Expect(told[0].Output).To(Equal(60 * refused))
+		reported := v.DrainRefused()
+		Expect(reported).To(HaveLen(1))
+		Expect(reported[0].Count).To(And(Equal(refused), BeNumerically(">", 0)))
+		Expect(reported[0].Output).To(Equal(60 * refused))
 		Expect(v.DrainRefused()).To(BeEmpty())
 	})
 })
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -16,7 +16,7 @@
 	fetchWeight = 8.0
 	// tightFactor is how many times a worker's longest prefill pause a stream's target must
 	// exceed to be safe. The prediction is no more exact than that.
-	tightShare = 2.0
+	tightFactor = 2.0
 	// tightCost is the cost, in milliseconds, of each stream whose pauses a long prompt would
 	// stretch beyond their target.
 	tightCost = 40.0
@@ -80,9 +80,9 @@
 )
 
 // cost returns the cost of a candidate in milliseconds. The request goes to the lowest.
-func (v *View) cost(now time.Time, o *candidate, a Request) float64 {
+func (v *View) cost(now time.Time, o *candidate, req Request) float64 {
 	c := o.wait + o.currentPenalty(now)
-	if o.Zone != cmp.Or(a.Zone, v.zone) {
+	if o.Zone != cmp.Or(req.Zone, v.zone) {
 		c += zoneCost
 	}
 	if now.Before(o.coldUntil) {
@@ -91,14 +91,14 @@
 	if o.CacheTokens == 0 {
 		return c + loadCost*float64(len(o.flights))/float64(o.Slots)
 	}
-	c += prefillWeight*o.ownTime + fetchWeight*o.fetchDelay + o.pauseCost(now, a)
+	c += prefillWeight*o.ownTime + fetchWeight*o.fetchDelay + o.pauseCost(now, req)
 	if !v.ignoreEvictions {
-		c += o.evictionCost(a)
+		c += o.evictionCost(req)
 	}
 	if over := len(o.flights) + 1 - o.Slots; over > 0 {
 		c += slotCost * float64(over)
 	}
-	if room := memoryShare * float64(o.CacheTokens); float64(o.hold+a.Prompt+a.Output) > room {
+	if room := memoryShare * float64(o.CacheTokens); float64(o.hold+req.Prompt+req.Output) > room {
 		c += fullCost
 	}
 	return c
@@ -108,39 +108,39 @@
 // for the request, of parts that other requests use. Without it, engines with a full cache get
 // more requests while their queue is short for a moment, though others have room; what they
 // evict is prefilled again for the next requests, which lengthens the queues.
-func (o *candidate) evictionCost(a Request) float64 {
-	kept := a.Prompt - o.prefillTokens - o.fetchTokens
-	fresh := -kept
-	for _, p := range a.Parts {
+func (o *candidate) evictionCost(req Request) float64 {
+	cached := req.Prompt - o.prefillTokens - o.fetchTokens
+	fresh := -cached
+	for _, p := range req.Parts {
 		fresh += p.Tokens
 	}
-	lost := o.cache.tokens + max(fresh, 0) - o.cacheRoom(o.hold+a.Prompt+a.Output)
-	return float64(o.cache.sharedTokens(lost)) / chunkTokens * o.prefillTime(chunkTokens, chunkTokens)
+	evicted := o.cache.tokens + max(fresh, 0) - o.cacheRoom(o.hold+req.Prompt+req.Output)
+	return float64(o.cache.sharedTokens(evicted)) / chunkTokens * o.prefillTime(chunkTokens, chunkTokens)
 }
 
 // pauseCost returns the cost, in milliseconds, of longer pauses in streams: in those at the
 // worker, if this request's prefill delays one of their events too long; and in this request's
 // own, if the worker has much to prefill. It separates long prompts from streams with tight
 // targets.
-func (o *candidate) pauseCost(now time.Time, a Request) float64 {
-	long := longPrefillShare * o.maxPrefillPause()
-	harm := 0.0
-	if o.ownTime > long || o.delay(a) == 0 && o.ownTime+o.backlog > long {
-		harm += tightCost * o.tightStreams
+func (o *candidate) pauseCost(now time.Time, req Request) float64 {
+	limit := longPrefillShare * o.maxPrefillPause()
+	cost := 0.0
+	if o.ownTime > limit || o.delay(req) == 0 && o.ownTime+o.backlog > limit {
+		cost += tightCost * o.tightStreams
 	}
-	harm += concurrentWeight * o.ownTime * o.tightStreams
-	if a.Gap > 0 && inMilliseconds(a.Gap) < tightShare*o.maxPrefillPause() {
-		harm += riskCost*o.prefillLoad(now)/inMilliseconds(prefillLoadDecay) + followingWeight*math.Max(o.backlog-o.queueTime, 0)
+	cost += concurrentWeight * o.ownTime * o.tightStreams
+	if req.Gap > 0 && inMilliseconds(req.Gap) < tightFactor*o.maxPrefillPause() {
+		cost += riskCost*o.prefillLoad(now)/inMilliseconds(prefillLoadDecay) + followingWeight*math.Max(o.backlog-o.queueTime, 0)
 	}
-	return harm
+	return cost
 }
 
 // delay returns how long a long prompt waits at its host until the worker has prefilled what it
 // was sent before, if prefilling both without a break would exceed the target for pauses of
 // streams at the worker. In between, the streams get their next tokens.
-func (o *candidate) delay(a Request) time.Duration {
+func (o *candidate) delay(req Request) time.Duration {
 	if o.ownTime < minLongPrefill || o.backlog == 0 || o.ownTime+o.backlog <= longPrefillShare*o.maxPrefillPause() || o.tightStreams == 0 {
 		return 0
 	}
-	return min(milliseconds(o.backlog+decodePause), time.Duration(maxDelayShare*float64(a.Target)))
+	return min(milliseconds(o.backlog+decodePause), time.Duration(maxDelayShare*float64(req.Target)))
 }
--- a/placer/demand.go
+++ b/placer/demand.go
@@ -20,36 +20,36 @@
 }
 
 // note records the arrival of a request.
-func (d recentTargets) note(now time.Time, a Request) {
-	kept := d[a.Service][:0]
+func (d recentTargets) note(now time.Time, req Request) {
+	recent := d[req.Service][:0]
 	known := false
-	for _, x := range d[a.Service] {
-		if x.rank == a.Rank && x.tier == a.Tier && x.target == a.Target {
+	for _, x := range d[req.Service] {
+		if x.rank == req.Rank && x.tier == req.Tier && x.target == req.Target {
 			known, x.at = true, now
 		}
 		if now.Sub(x.at) < recentTargetFor {
-			kept = append(kept, x)
+			recent = append(recent, x)
 		}
 	}
 	if !known {
-		kept = append(kept, recentTarget{rank: a.Rank, tier: a.Tier, target: a.Target, at: now})
+		recent = append(recent, recentTarget{rank: req.Rank, tier: req.Tier, target: req.Target, at: now})
 	}
-	d[a.Service] = kept
+	d[req.Service] = recent
 }
 
 // tightest returns the shortest target among this request and recent ones that are at least as
 // urgent.
-func (d recentTargets) tightest(a Request) time.Duration {
-	least := a.Target
-	for _, x := range d[a.Service] {
-		if x.rank <= a.Rank && x.target > 0 && x.target < least {
-			least = x.target
+func (d recentTargets) tightest(req Request) time.Duration {
+	tightest := req.Target
+	for _, x := range d[req.Service] {
+		if x.rank <= req.Rank && x.target > 0 && x.target < tightest {
+			tightest = x.target
 		}
 	}
-	return least
+	return tightest
 }
 
 // leastUrgent reports whether no request of a less urgent route arrived recently.
-func (d recentTargets) leastUrgent(a Request) bool {
-	return !slices.ContainsFunc(d[a.Service], func(x recentTarget) bool { return x.tier > a.Tier })
+func (d recentTargets) leastUrgent(req Request) bool {
+	return !slices.ContainsFunc(d[req.Service], func(x recentTarget) bool { return x.tier > req.Tier })
 }
--- a/placer/ending.go
+++ b/placer/ending.go
@@ -24,19 +24,19 @@
 // predictEnd returns the predicted time to the last token that a caller expects of its stream,
 // in milliseconds; 0 if it expects none. While the engine prefills, a token takes as long as a
 // chunk of a prompt.
-func (o *candidate) predictEnd(a Request) float64 {
-	if o.CacheTokens == 0 || a.Expected <= 0 {
+func (o *candidate) predictEnd(req Request) float64 {
+	if o.CacheTokens == 0 || req.Expected <= 0 {
 		return 0
 	}
 	step := stepMillis + contextMillis*float64(o.hold)/1000
-	reading := max(o.prefillTime(chunkTokens, chunkTokens), step)
-	return o.wait + float64(a.Expected)*(step+o.prefillShare*(reading-step))
+	chunkTime := max(o.prefillTime(chunkTokens, chunkTokens), step)
+	return o.wait + float64(req.Expected)*(step+o.prefillShare*(chunkTime-step))
 }
 
 // expectedEnd returns the expected time to the stream's last token: the prediction, corrected
 // by how far recent ones were off.
-func (o *candidate) expectedEnd(a Request) time.Duration {
-	return milliseconds(o.fit.endRatio() * o.predictEnd(a))
+func (o *candidate) expectedEnd(req Request) time.Duration {
+	return milliseconds(o.fit.endRatio() * o.predictEnd(req))
 }
 
 // learnEnd learns from a stream that ended, or was cut at its deadline, how long after it was
--- a/placer/export_test.go
+++ b/placer/export_test.go
@@ -1,4 +1,4 @@
 package placer
 
-// IgnoreEvictions has what engines would evict for a request cost nothing.
+// IgnoreEvictions sets the cost of evictions to 0.
 func (v *View) IgnoreEvictions() { v.ignoreEvictions = true }
--- a/placer/fetch_test.go
+++ b/placer/fetch_test.go
@@ -9,8 +9,8 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// linked is engines that fetch memory from one another.
-func linked(names ...string) []placer.Worker {
+// linkedEngines returns engines that can fetch cached tokens from each other.
+func linkedEngines(names ...string) []placer.Worker {
 	out := engines(names...)
 	for i := range out {
 		out[i].Address, out[i].TokenBytes, out[i].LinkMbps = out[i].Name, 131072, 740_000
@@ -18,12 +18,13 @@
 	return out
 }
 
-// Many ask at once for what one engine keeps. The others read it all again, which takes
-// half a second of each, while the bytes could be there in a tenth of that.
-var _ = Describe("A prompt whose parts another engine keeps", func() {
+// Guards against prefilling a prompt again at other engines, when many callers ask for parts
+// that one engine has cached. That takes half a second of each engine, while a fetch takes a
+// tenth of that.
+var _ = Describe("A prompt whose parts another engine has cached", func() {
 	var v *placer.View
 	now := start.Add(time.Second)
-	// read has a prompt placed, and its first event come.
+	// read places a prompt and has its first event occur.
 	read := func(workers []placer.Worker) placer.Choice {
 		v = placer.New("a")
 		v.SetWorkers(start, workers)
@@ -31,7 +32,7 @@
 		v.Begun(start.Add(300*time.Millisecond), 1)
 		return c
 	}
-	// crowd sends more of it until one goes to another engine than its holder.
+	// crowd places copies until one goes to another engine than the holder.
 	crowd := func(holder string) *placer.Choice {
 		for id := uint64(2); id < 60; id++ {
 			c, refusal := v.Place(now, id, plan(7))
@@ -43,8 +44,8 @@
 		return nil
 	}
 
-	It("is fetched there where the queue at that one is long", func() {
-		first := read(linked("e-1", "e-2"))
+	It("is fetched if the queue at that engine is long", func() {
+		first := read(linkedEngines("e-1", "e-2"))
 		c := crowd(first.Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(Equal(first.Worker.Address))
@@ -52,16 +53,16 @@
 		Expect(c.Flight.Fetch).To(Equal(6300))
 	})
 
-	It("is read again where engines can't fetch", func() {
+	It("is prefilled again if engines can't fetch", func() {
 		c := crowd(read(engines("e-1", "e-2")).Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(BeEmpty())
 		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 
-	It("is not fetched from one that has yet to read it", func() {
+	It("is not fetched from an engine that has yet to prefill it", func() {
 		v = placer.New("a")
-		v.SetWorkers(start, linked("e-1", "e-2"))
+		v.SetWorkers(start, linkedEngines("e-1", "e-2"))
 		first, _ := v.Place(now, 1, plan(7))
 		c := crowd(first.Worker.Name)
 		Expect(c).NotTo(BeNil())
@@ -69,11 +70,11 @@
 		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 
-	// A caller leaves while its prompt waits to be read. What it was to bring is not
-	// there, and the next that counts on it is read whole, late.
-	It("is not counted on where the request that was to bring it ended before", func() {
+	// Guards against counting on parts whose request was canceled before its prefill: the next
+	// request would be prefilled as a whole, late.
+	It("is not counted as cached if its request ended before the first event", func() {
 		v = placer.New("a")
-		v.SetWorkers(start, linked("e-1"))
+		v.SetWorkers(start, linkedEngines("e-1"))
 		_, _ = v.Place(now, 1, plan(7))
 		v.Ended(now, 1, placer.Canceled)
 		c, _ := v.Place(now, 2, plan(7))
--- a/placer/fit_test.go
+++ b/placer/fit_test.go
@@ -10,23 +10,24 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// took is what an engine takes to the first event of a request that it reads alone: 85 ms
-// for each, 93 tokens a millisecond, and more the longer the prompt.
-func took(read, tokens int) time.Duration {
+// trueTime is the time of an engine to the first event of a request that it prefills alone: 85
+// ms per request, 93 tokens per millisecond, and more the longer the prompt.
+func trueTime(read, tokens int) time.Duration {
 	pairs := float64(read) * (float64(tokens) - float64(read)/2)
 	ms := 85 + float64(read)/93 + pairs*0.45/1e6
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// prompt is a request with no shared parts.
+// prompt returns a request without shared parts.
 func prompt(tokens int) placer.Request {
 	return placer.Request{Service: "lm", Prompt: tokens, Left: 30 * time.Second, Target: 20 * time.Second}
 }
 
-// An operator deploys engines twice as fast as those seen before, that take 85 ms to a
-// first event whatever they read. A host that goes on with what it knew believes short
-// prompts early and long ones late, refuses what would be served in time, and sends what
-// will not be. Cause: one factor, learned from a host's own requests only.
+// Guards against predictions that do not follow when an operator deploys engines twice as fast
+// as those before, with 85 ms to a first event whatever the prompt. A host that keeps its old
+// estimate takes short prompts for early and long ones for late, refuses what would be served
+// in time, and sends what will not be. This happened with a single factor that was learned from
+// the host's own requests only.
 var _ = Describe("The time to a first event", func() {
 	var (
 		v    *placer.View
@@ -34,8 +35,8 @@
 		next uint64
 	)
 	BeforeEach(func() { v, now, next = placer.New("a"), start, 0 })
-	// teach has a worker read a prompt alone, which a host saw take so long.
-	teach := func(from, worker string, tokens int, d time.Duration) {
+	// measure has a worker prefill a prompt alone, and its host report so long a time.
+	measure := func(from, worker string, tokens int, d time.Duration) {
 		next++
 		v.Receive(now, from, placer.Flight{ID: next, Worker: worker, Prefill: tokens, Hold: tokens, Left: time.Minute})
 		now = now.Add(d)
@@ -51,48 +52,48 @@
 		return c.Wait
 	}
 
-	It("is learned from what any host saw, for short prompts and long ones", func() {
+	It("is learned from the measurements of all hosts, for short and long prompts", func() {
 		v.SetWorkers(start, engines("e-1", "e-2", "e-3"))
 		for i := range 60 {
 			tokens := []int{200, 600, 1500, 4000, 9000, 20000}[i%6]
-			teach("other", fmt.Sprintf("e-%d", 1+i%3), tokens, took(tokens, tokens))
+			measure("other", fmt.Sprintf("e-%d", 1+i%3), tokens, trueTime(tokens, tokens))
 		}
 		for _, tokens := range []int{300, 3000, 15000} {
-			want := took(tokens, tokens).Seconds()
+			want := trueTime(tokens, tokens).Seconds()
 			Expect(expected(tokens).Seconds()).To(BeNumerically("~", want, 0.1*want), fmt.Sprint(tokens))
 		}
 	})
 
-	It("stays as it was for long prompts while only short ones are seen", func() {
+	It("stays about the same for long prompts while only short ones are seen", func() {
 		v.SetWorkers(start, engines("e-1"))
 		before := expected(15000).Seconds()
 		for range 200 {
-			teach("other", "e-1", 300, took(300, 300))
+			measure("other", "e-1", 300, trueTime(300, 300))
 		}
 		Expect(expected(15000).Seconds()).To(BeNumerically("~", before, 0.4*before))
 	})
 
-	It("is not learned from one that hangs, nor for others from one that is slow", func() {
+	It("is not learned from a worker that hangs, nor for others from one that is slow", func() {
 		v.SetWorkers(start, engines("e-1", "e-2"))
 		for i := range 60 {
 			tokens := []int{300, 1500, 9000}[i%3]
-			teach("other", "e-1", tokens, took(tokens, tokens))
+			measure("other", "e-1", tokens, trueTime(tokens, tokens))
 		}
 		before := expected(9000).Seconds()
-		teach("other", "e-2", 9000, 25*time.Second)
+		measure("other", "e-2", 9000, 25*time.Second)
 		Expect(expected(9000).Seconds()).To(BeNumerically("~", before, 0.15*before))
 		c, _ := v.Place(now, 1<<40, prompt(300))
 		Expect(c.Worker.Name).To(Equal("e-1"))
 		v.Ended(now, 1<<40, placer.Canceled)
 		for range 10 {
-			teach("other", "e-1", 300, 2*took(300, 300))
-			teach("other", "e-2", 300, took(300, 300))
+			measure("other", "e-1", 300, 2*trueTime(300, 300))
+			measure("other", "e-2", 300, trueTime(300, 300))
 		}
 		c, _ = v.Place(now, 1<<41, prompt(300))
 		Expect(c.Worker.Name).To(Equal("e-2"))
 	})
 
-	It("is not learned from what was read beside others", func() {
+	It("is not learned from prompts that were prefilled beside others", func() {
 		v.SetWorkers(start, engines("e-1"))
 		before := expected(9000).Seconds()
 		for i := range uint64(50) {
--- a/placer/flight.go
+++ b/placer/flight.go
@@ -28,8 +28,8 @@
 }
 
 // Receive adds a flight that another host reported.
-func (v *View) Receive(now time.Time, from string, f Flight) {
-	x := v.addReceived(now, from, f)
+func (v *View) Receive(now time.Time, host string, f Flight) {
+	x := v.addReceived(now, host, f)
 	if x == nil {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // addReceived adds a flight that another host reported. It returns nil if the flight is over or
 // already known.
-func (v *View) addReceived(now time.Time, from string, f Flight) *flight {
+func (v *View) addReceived(now time.Time, host string, f Flight) *flight {
 	v.lastReceived = now
 	if _, over := v.endedEarly[f.ID]; over {
 		// One host reports that a request was sent, another that it ended, and the second
@@ -51,12 +51,12 @@
 	if v.flights[f.ID] != nil {
 		return nil
 	}
-	return v.add(now, from, f)
+	return v.add(now, host, f)
 }
 
 // add counts a flight at its worker, and returns the view's record of it.
-func (v *View) add(now time.Time, from string, f Flight) *flight {
-	x := &flight{Flight: f, host: from, sentAt: now}
+func (v *View) add(now time.Time, host string, f Flight) *flight {
+	x := &flight{Flight: f, host: host, sentAt: now}
 	v.flights[f.ID] = x
 	if w := v.workers[f.Worker]; w != nil {
 		w.add(now, x)
--- a/placer/flight_test.go
+++ b/placer/flight_test.go
@@ -10,9 +10,9 @@
 )
 
 var _ = Describe("A flight", func() {
-	// Guards against slots given away while engines go on with the streams of a host that lost
+	// Guards against giving away slots while engines go on with the streams of a host that lost
 	// its power.
-	It("counts at engines after its host is lost, until it must have ended", func() {
+	It("counts at engines after its host is lost, until its predicted end", func() {
 		v := placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
 		v.Receive(start, "other", placer.Flight{ID: 1, Worker: "e-1", Prefill: 800, Hold: 1100, Output: 300, Left: 15 * time.Second})
@@ -25,9 +25,9 @@
 		Expect(v.WorkerStates(start)[0].Flights).To(BeZero())
 	})
 
-	// Guards against engines that seem far behind, as nobody tells that a lost host's requests
-	// have begun.
-	It("makes its engine look no slower after its host is lost", func() {
+	// Guards against taking engines for slow because the first events of a lost host's requests
+	// are not reported.
+	It("does not make its engine look slower after its host is lost", func() {
 		v := placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
 		for id := range uint64(3) {
--- a/placer/flood_test.go
+++ b/placer/flood_test.go
@@ -11,13 +11,14 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// floods of every kind at several times the usual, with a second before and after.
+// flood is floods of every kind at several times the usual rate, with a quiet second before and
+// after.
 var flood = load{
 	chats: 190, plans: 58, reviews: 110, engines: 9, rate: 93, slots: 48, memory: 444_000, hints: true, tiers: true, quiet: time.Second,
 	planGap: 300 * time.Millisecond, chatGap: 200 * time.Millisecond,
 }
 
-// served is the part of those that asked that got an answer, in time or late.
+// served returns the share of requests that were answered, in time or late.
 func (t tally) served() float64 {
 	if t.asked == 0 {
 		return 1
@@ -25,7 +26,7 @@
 	return float64(t.inTime+t.late) / float64(t.asked)
 }
 
-// Guards against the less urgent being let in while the more urgent are refused.
+// Guards against accepting less urgent requests while more urgent ones are refused.
 var _ = Describe("A flood of every kind", func() {
 	const length = 8 * time.Second
 	memories := func(names []string, _ *rand.Rand) chooser {
@@ -35,7 +36,7 @@
 			workers[i].Slots, workers[i].CacheTokens = flood.slots, flood.memory
 		}
 		v.SetWorkers(start, workers)
-		return ours{view: v}
+		return viewChooser{view: v}
 	}
 	report := func(o outcome) {
 		AddReportEntry("flood", fmt.Sprintf("chats %s; plans %s; reviews %s", o.chats, o.plans, o.reviews))
@@ -48,7 +49,7 @@
 
 	DescribeTable("is served by urgency", func(l load) {
 		for seed := range uint64(3) {
-			o := play(l, 801+seed, length, memories)
+			o := simulate(l, 801+seed, length, memories)
 			report(o)
 			for second, kinds := range o.seconds {
 				for less := 1; less < len(kinds); less++ {
@@ -62,17 +63,18 @@
 		}
 	},
 		Entry("of one organisation", flood),
-		Entry("of organisations that rank crosswise", func() load { l := flood; l.organisations = 2; return l }()),
+		Entry("of organisations whose ranks cross those of the routes", func() load { l := flood; l.organisations = 2; return l }()),
 		Entry("at half the strength", times(0.5)),
 	)
 
-	// Guards against the least urgent, or the longest prompts, staying shut out.
-	It("serves the least urgent again two seconds after it, the longest too", func() {
+	// Guards against refusing the least urgent requests, or the longest prompts, after the
+	// flood.
+	It("serves the least urgent again two seconds after it, including the longest", func() {
 		l := flood
 		l.quiet = 3 * time.Second
 		var after, long tally
 		for seed := range uint64(6) {
-			o := play(l, 811+seed, 12*time.Second, memories)
+			o := simulate(l, 811+seed, 12*time.Second, memories)
 			report(o)
 			after = after.plus(o.seconds[len(o.seconds)-1][2])
 			long = long.plus(o.long)
--- a/placer/limiting.go
+++ b/placer/limiting.go
@@ -114,7 +114,7 @@
 
 // refuseByLimit refuses a request that no worker may get because of the limits: if all of them
 // are used up, or if all workers have one and more urgent routes ask for all that they accept.
-func (v *View) refuseByLimit(now time.Time, options []candidate, a Request) *Refusal {
+func (v *View) refuseByLimit(now time.Time, options []candidate, req Request) *Refusal {
 	if len(options) == 0 {
 		return nil
 	}
@@ -128,17 +128,17 @@
 	switch {
 	case soonest > 0:
 		return newRefusal("limit", soonest)
-	case all && v.urgentRate(now, a) >= rate:
+	case all && v.urgentRate(now, req) >= rate:
 		return newRefusal("limit", time.Duration(float64(time.Second)/rate))
 	}
 	return nil
 }
 
 // urgentRate returns the requests per second of more urgent routes.
-func (v *View) urgentRate(now time.Time, a Request) float64 {
+func (v *View) urgentRate(now time.Time, req Request) float64 {
 	rate := 0.0
-	for i := range v.offered[a.Service] {
-		if x := &v.offered[a.Service][i]; x.tier < a.Tier {
+	for i := range v.offered[req.Service] {
+		if x := &v.offered[req.Service][i]; x.tier < req.Tier {
 			rate += x.currentRate(now)
 		}
 	}
--- a/placer/limiting_test.go
+++ b/placer/limiting_test.go
@@ -10,10 +10,10 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-var _ = Describe("Workers that name how many requests a second they take", func() {
+var _ = Describe("Workers that state how many requests per second they accept", func() {
 	const (
 		span  = 4 * time.Second
-		delay = 5 * time.Millisecond // until another host has heard of a request
+		delay = 5 * time.Millisecond // until other hosts learn of a request
 	)
 	quote := placer.Request{Service: "app", Left: 2 * time.Second, Target: 300 * time.Millisecond, Tier: 1}
 	var (
@@ -22,14 +22,14 @@
 	)
 	BeforeEach(func() {
 		v, id = placer.New("a"), 0
-		v.SetWorkers(start, desks("d-1", "d-2"))
+		v.SetWorkers(start, plainWorkers("d-1", "d-2"))
 	})
-	// first has a worker answer a request that it was sent at a time, and name a rate.
-	first := func(now time.Time, worker string, rate float64) bool {
+	// answer has a worker answer a request and state a rate.
+	answer := func(now time.Time, worker string, rate float64) bool {
 		return v.UpdateLimit(now.Add(time.Millisecond), worker, rate, v.RateLimit(worker))
 	}
-	// most is the most of these times within span.
-	most := func(at []time.Time) int {
+	// maxInSpan returns the maximum number of these times within any span.
+	maxInSpan := func(at []time.Time) int {
 		n, from := 0, 0
 		for i := range at {
 			for at[i].Sub(at[from]) >= span {
@@ -40,33 +40,33 @@
 		return n
 	}
 
-	// Guards against hosts that each go by the limit, and together send several times as much.
-	DescribeTable("get no more from several hosts that decide by what they hear", func(rate float64, hosts int) {
+	// Guards against hosts that each keep the limit, but together exceed it several times over.
+	DescribeTable("get no more from several hosts that decide by each other's reports", func(rate float64, hosts int) {
 		r := rand.New(rand.NewPCG(5, 6))
 		views := make([]*placer.View, hosts)
 		for i := range views {
 			views[i] = placer.New("a")
-			views[i].SetWorkers(start, desks("d-1", "d-2"))
+			views[i].SetWorkers(start, plainWorkers("d-1", "d-2"))
 			views[i].ReceiveLimit(start, placer.WorkerLimit{Worker: "d-1", Rate: rate})
 		}
-		type word struct {
+		type update struct {
 			at   time.Time
 			from int
 			f    placer.Flight
 		}
-		var words []word
+		var updates []update
 		var sent []time.Time
 		for now := start; now.Before(start.Add(20 * time.Second)); now = now.Add(time.Millisecond) {
-			for len(words) > 0 && !now.Before(words[0].at) {
+			for len(updates) > 0 && !now.Before(updates[0].at) {
 				for i, other := range views {
-					if i != words[0].from {
-						other.Receive(now, "h", words[0].f)
+					if i != updates[0].from {
+						other.Receive(now, "h", updates[0].f)
 					}
-					other.Ended(now, words[0].f.ID, placer.Answered)
+					other.Ended(now, updates[0].f.ID, placer.Answered)
 				}
-				words = words[1:]
+				updates = updates[1:]
 			}
-			if r.Float64() > 0.2 { // 200 a second
+			if r.Float64() > 0.2 { // 200 per second
 				continue
 			}
 			id++
@@ -75,20 +75,20 @@
 			if refused != nil {
 				continue
 			}
-			words = append(words, word{now.Add(delay), at, c.Flight})
+			updates = append(updates, update{now.Add(delay), at, c.Flight})
 			if c.Worker.Name == "d-1" {
 				sent = append(sent, now)
 			}
 		}
-		Expect(most(sent)).To(BeNumerically("<=", int(1.5*rate*span.Seconds()+5)))
-		Expect(len(sent)).To(BeNumerically(">=", int(0.8*rate*20)), "what it takes is used")
+		Expect(maxInSpan(sent)).To(BeNumerically("<=", int(1.5*rate*span.Seconds()+5)))
+		Expect(len(sent)).To(BeNumerically(">=", int(0.8*rate*20)), "the limit is used")
 	},
-		Entry("one host", 2.0, 1), Entry("nine", 2.0, 9), Entry("sixteen", 1.0, 16), Entry("less than one a second", 0.3, 9), Entry("many a second", 40.0, 9),
+		Entry("one host", 2.0, 1), Entry("nine", 2.0, 9), Entry("sixteen", 1.0, 16), Entry("less than one per second", 0.3, 9), Entry("many per second", 40.0, 9),
 	)
 
-	It("refuse where all have what they take, and say when the next may come", func() {
-		first(start, "d-1", 0.5)
-		first(start, "d-2", 1)
+	It("cause refusals once all limits are used up, with the time until the next request is accepted", func() {
+		answer(start, "d-1", 0.5)
+		answer(start, "d-2", 1)
 		now := start.Add(3 * time.Second)
 		for range 2 {
 			id++
@@ -104,10 +104,10 @@
 		Expect(refused).To(BeNil())
 	})
 
-	// Guards against the less urgent taking what all that name a limit take.
-	It("are for the more urgent first, where all name a limit", func() {
-		first(start, "d-1", 2)
-		first(start, "d-2", 2)
+	// Guards against less urgent requests using up the limits if all workers have one.
+	It("serve more urgent requests first if all have a limit", func() {
+		answer(start, "d-1", 2)
+		answer(start, "d-2", 2)
 		urgent := quote
 		urgent.Tier = 0
 		served := map[int]int{}
@@ -125,30 +125,30 @@
 	})
 
 	// Guards against an answer that was on its way ending a limit.
-	It("are free again by an answer to what was sent after the limit was known", func() {
-		known := v.RateLimit("d-1") // as a request is placed
-		Expect(first(start.Add(time.Millisecond), "d-1", 2)).To(BeTrue())
+	It("lose their limit by an answer to a request that was sent after the limit was known", func() {
+		known := v.RateLimit("d-1") // when a request is placed
+		Expect(answer(start.Add(time.Millisecond), "d-1", 2)).To(BeTrue())
 		Expect(v.UpdateLimit(start.Add(5*time.Millisecond), "d-1", 0, known)).To(BeFalse())
 		Expect(v.RateLimit("d-1")).To(Equal(2.0))
-		Expect(first(start.Add(time.Second), "d-1", 2)).To(BeFalse(), "no news")
-		Expect(first(start.Add(2*time.Second), "d-1", 0)).To(BeTrue())
+		Expect(answer(start.Add(time.Second), "d-1", 2)).To(BeFalse(), "no change")
+		Expect(answer(start.Add(2*time.Second), "d-1", 0)).To(BeTrue())
 		Expect(v.Limits()).To(BeEmpty())
 	})
 
-	// Guards against hosts that decide for others never hearing of a limit, or of its end.
-	It("are told of where the host that decided knew another", func() {
+	// Guards against hosts that decide for others never learning of a limit or of its end.
+	It("are reported if the host that decided knew another limit", func() {
 		Expect(v.UpdateLimit(start, "d-1", 2, 0)).To(BeTrue())
-		Expect(v.UpdateLimit(start, "d-1", 2, 0)).To(BeTrue(), "this host knows, that one did not")
+		Expect(v.UpdateLimit(start, "d-1", 2, 0)).To(BeTrue(), "this host knows it, the other one did not")
 		Expect(v.UpdateLimit(start, "d-1", 2, 2)).To(BeFalse())
 		Expect(v.UpdateLimit(start, "d-1", 0, 2)).To(BeTrue())
-		Expect(v.UpdateLimit(start, "d-1", 0, 2)).To(BeTrue(), "that one did not know of its end yet")
+		Expect(v.UpdateLimit(start, "d-1", 0, 2)).To(BeTrue(), "the other one did not know of the end yet")
 		Expect(v.UpdateLimit(start, "d-1", 0, 0)).To(BeFalse())
 	})
 
-	It("lose their limit with a restart under their name, and get a few whatever they name", func() {
-		first(start, "d-1", 1e-9)
+	It("lose their limit when they restart under their name, and get some requests whatever they state", func() {
+		answer(start, "d-1", 1e-9)
 		Expect(v.RateLimit("d-1")).To(Equal(0.25))
-		workers := desks("d-1", "d-2")
+		workers := plainWorkers("d-1", "d-2")
 		workers[0].Instance = "2"
 		v.SetWorkers(start.Add(time.Second), workers)
 		Expect(v.RateLimit("d-1")).To(BeZero())
--- a/placer/line_test.go
+++ b/placer/line_test.go
@@ -9,9 +9,9 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// Long prompts of a less urgent class fill an engine's queue. An urgent prompt would
-// wait for the one that is being read, and no longer, as the engine reads the more
-// urgent first; counted as the last in the queue, it was refused.
+// Guards against refusing urgent prompts because long prompts of a less urgent class fill an
+// engine's queue. An urgent prompt only waits for the one under way, as engines prefill the
+// more urgent first; it was refused when it was counted as the last in the queue.
 var _ = Describe("An engine's queue", func() {
 	var v *placer.View
 	urgent, less := plan(7), plan(8)
@@ -20,7 +20,7 @@
 		v = placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
 	})
-	// fill sends less urgent prompts until one is refused.
+	// fill places less urgent prompts until one is refused.
 	fill := func() *placer.Refusal {
 		for id := uint64(1); ; id++ {
 			if _, refusal := v.Place(start, id, less); refusal != nil {
@@ -29,7 +29,7 @@
 		}
 	}
 
-	It("counts for a request what is as urgent or more, and what is being read", func() {
+	It("counts the prompts that are at least as urgent, and the one under way", func() {
 		refusal := fill()
 		Expect(refusal.Reason).To(Equal("queue"))
 		c, refused := v.Place(start, 100, urgent)
@@ -39,17 +39,17 @@
 		short.Prompt, short.Parts = 800, nil
 		same, refused := v.Place(start, 101, short)
 		Expect(refused).To(BeNil())
-		Expect(same.Wait).To(BeNumerically(">", c.Wait), "it comes after its equals")
+		Expect(same.Wait).To(BeNumerically(">", c.Wait), "it queues behind its equals")
 	})
 
-	It("tells the refused to come back when there will be room", func() {
+	It("has room when a refused request retries as asked", func() {
 		refusal := fill()
 		back := start.Add(refusal.RetryAfter)
 		_, again := v.Place(back, 100, less)
 		Expect(again).To(BeNil())
 	})
 
-	It("goes on with the next when the first event of one shows that it was read", func() {
+	It("advances when a first event shows that a prompt was prefilled", func() {
 		c, _ := v.Place(start, 1, urgent)
 		next, _ := v.Place(start, 2, urgent)
 		Expect(next.Wait).To(BeNumerically(">", c.Wait))
--- a/placer/load_test.go
+++ b/placer/load_test.go
@@ -12,37 +12,37 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// heavy is a burst of plans at twice the usual, on top of the usual chats.
+// heavy is a burst of plans at twice the usual rate, on top of the usual chats.
 var heavy = load{plans: 50, chats: 40, engines: 12, rate: 41.4, planGap: 400 * time.Millisecond, chatGap: 250 * time.Millisecond}
 
 // tight is the same on fewer and faster engines, with tighter targets.
 var tight = load{plans: 44, chats: 30, engines: 9, rate: 52.4, planGap: 300 * time.Millisecond, chatGap: 200 * time.Millisecond}
 
-// On a heavy day long prompts fill the engines' reading, and chats that run beside
-// them get a pause in each event. Callers see a stream that stutters.
+// Guards against streams that stutter: on a heavy day long prompts keep the engines busy with
+// prefill, and chats beside them have a pause in each event.
 var _ = Describe("A heavy day", func() {
 	const day = 20 * time.Second
 	var on load
 	mean := func(of func([]string, *rand.Rand) chooser) (plans, chats float64) {
 		const seeds = 3
 		for seed := range uint64(seeds) {
-			p, c := play(on, 101+seed, day, of).share()
+			p, c := simulate(on, 101+seed, day, of).share()
 			plans, chats = plans+p/seeds, chats+c/seeds
 		}
 		return plans, chats
 	}
 
-	DescribeTable("is won by what each mechanism is for", func(l load) {
+	DescribeTable("is served better by each mechanism", func(l load) {
 		on = l
-		plans, chats := mean(oursWithout(""))
-		AddReportEntry("ours", fmt.Sprintf("plans %.3f chats %.3f", plans, chats))
-		p, c := mean(oursWithout("pauses"))
+		plans, chats := mean(viewWithout(""))
+		AddReportEntry("view", fmt.Sprintf("plans %.3f chats %.3f", plans, chats))
+		p, c := mean(viewWithout("pauses"))
 		AddReportEntry("without pauses", fmt.Sprintf("plans %.3f chats %.3f", p, c))
 		Expect(chats).To(BeNumerically(">", c+0.2))
-		p, c = mean(oursWithout("parts"))
+		p, c = mean(viewWithout("parts"))
 		AddReportEntry("without parts", fmt.Sprintf("plans %.3f chats %.3f", p, c))
-		// A view that knows nothing of parts takes engines for faster than they are, and
-		// gains plans at the chats' cost: what counts is both.
+		// Without parts, the view overestimates the engines' speed, and gains plans at the cost
+		// of chats, so the sum counts.
 		Expect(plans + chats).To(BeNumerically(">", p+c+0.2))
 		p, c = mean(atRandom)
 		AddReportEntry("at random", fmt.Sprintf("plans %.3f chats %.3f", p, c))
@@ -51,15 +51,15 @@
 	}, Entry("on twelve engines", heavy), Entry("on nine faster ones with tighter targets", tight))
 })
 
-// Eight times the usual plans come at once. Each host sends them all, the engines
-// read for seconds ahead, and every answer is late: chats, which are more urgent and
-// quickly read, time out in the same queue, while plans begin.
+// Guards against late answers for all when plans arrive at eight times the usual rate. If all
+// are sent, the engines are seconds behind with their prefill: chats, which are more urgent and
+// short, time out in the same queue while plans begin.
 var _ = Describe("A flood of long prompts", func() {
 	flood := load{plans: 120, chats: 40, engines: 12, rate: 41.4, planGap: 400 * time.Millisecond, chatGap: 250 * time.Millisecond}
 
-	It("is sent away in part, so that the rest and the short ones are in time", func() {
-		with := play(flood, 101, 10*time.Second, oursWithout(""))
-		without := play(flood, 101, 10*time.Second, oursWithout("queue"))
+	It("is refused in part, so that the rest and the short prompts are in time", func() {
+		with := simulate(flood, 101, 10*time.Second, viewWithout(""))
+		without := simulate(flood, 101, 10*time.Second, viewWithout("queue"))
 		plans, chats := with.share()
 		p, c := without.share()
 		AddReportEntry("flood", fmt.Sprintf("with: plans %.3f chats %.3f, without: plans %.3f chats %.3f", plans, chats, p, c))
@@ -68,35 +68,35 @@
 	})
 })
 
-// The longest and least urgent prompts come at five times what engines can read. They
-// fill every queue up to half of their own, long target; plans, which are more urgent and
-// have a target less than half of that, find the queue beyond theirs and are refused,
-// while the long ones begin. Cause: a queue that counted all that was sent, as if engines
-// read in that order.
+// Guards against refusing plans while the longest and least urgent prompts arrive at five times
+// what engines can prefill. Those fill each queue up to half of their own long target. Plans
+// are more urgent, but with a target less than half of that, they find the queue too long and
+// are refused. This happened when the queue counted all that was sent, as if engines prefilled
+// in that order.
 var _ = Describe("A flood of the least urgent class", func() {
 	flood := load{
 		plans: 8, chats: 20, reviews: 60, engines: 9, rate: 93, planGap: 300 * time.Millisecond, chatGap: 250 * time.Millisecond, planRank: 1,
 	}
 
-	// nothing is how many of a class got no answer.
-	nothing := func(t tally) int { return t.asked - t.inTime - t.late }
+	// unserved returns how many requests of a class got no answer.
+	unserved := func(t tally) int { return t.asked - t.inTime - t.late }
 
 	It("is refused in place of the more urgent", func() {
 		for seed := range uint64(3) {
-			with := play(flood, 201+seed, 10*time.Second, oursWithout(""))
-			without := play(flood, 201+seed, 10*time.Second, oursWithout("ranks"))
+			with := simulate(flood, 201+seed, 10*time.Second, viewWithout(""))
+			without := simulate(flood, 201+seed, 10*time.Second, viewWithout("ranks"))
 			AddReportEntry("by rank", fmt.Sprintf("plans %s; chats %s; reviews %s", with.plans, with.chats, with.reviews))
 			AddReportEntry("in order", fmt.Sprintf("plans %s; chats %s; reviews %s", without.plans, without.chats, without.reviews))
-			Expect(nothing(with.plans)).To(BeNumerically("<=", with.plans.asked/12))
-			Expect(nothing(with.chats)).To(BeNumerically("<=", with.chats.asked/12))
+			Expect(unserved(with.plans)).To(BeNumerically("<=", with.plans.asked/12))
+			Expect(unserved(with.chats)).To(BeNumerically("<=", with.chats.asked/12))
 			Expect(with.plans.inTime).To(BeNumerically(">", without.plans.inTime))
-			Expect(nothing(without.plans)).To(BeNumerically(">", without.plans.asked/12))
+			Expect(unserved(without.plans)).To(BeNumerically(">", without.plans.asked/12))
 		}
 	})
 
-	It("finds room when it comes back after as long as it was told", func() {
+	It("finds room when it retries as asked", func() {
 		for seed := range uint64(3) {
-			o := play(flood, 201+seed, 2*time.Second, oursWithout(""))
+			o := simulate(flood, 201+seed, 2*time.Second, viewWithout(""))
 			AddReportEntry("two seconds", o.reviews.String())
 			Expect(o.reviews.refused).To(BeNumerically(">", 20))
 			Expect(o.reviews.back).To(BeNumerically(">", o.reviews.refused/2))
@@ -104,44 +104,46 @@
 	})
 })
 
-// Many ask for the same long parts, which one engine keeps. The others read them again,
-// and the queue behind grows; with the parts fetched, more are in time.
+// Guards against prefilling long parts at every engine when many callers ask for parts that one
+// engine has cached, as the queues grow behind them. If the parts are fetched, more requests
+// are in time.
 var _ = Describe("A burst of prompts that share long parts", func() {
-	It("is read once and fetched, where engines can", func() {
+	It("is prefilled once and fetched, if engines can fetch", func() {
 		burst := load{chats: 20, reviews: 45, engines: 9, rate: 93, chatGap: 250 * time.Millisecond}
 		linked := func(names []string, _ *rand.Rand) chooser {
 			v := placer.New("a")
-			v.SetWorkers(start, linked(names...))
-			return ours{view: v}
+			v.SetWorkers(start, linkedEngines(names...))
+			return viewChooser{view: v}
 		}
 		for seed := range uint64(3) {
-			with := play(burst, 301+seed, 8*time.Second, linked)
-			without := play(burst, 301+seed, 8*time.Second, oursWithout(""))
-			AddReportEntry("fetched", fmt.Sprintf("reviews %s; %d read in all", with.reviews, with.readAgain))
-			AddReportEntry("read", fmt.Sprintf("reviews %s; %d read in all", without.reviews, without.readAgain))
-			Expect(with.readAgain).To(BeNumerically("<", without.readAgain))
+			with := simulate(burst, 301+seed, 8*time.Second, linked)
+			without := simulate(burst, 301+seed, 8*time.Second, viewWithout(""))
+			AddReportEntry("fetched", fmt.Sprintf("reviews %s; %d read in all", with.reviews, with.prefilled))
+			AddReportEntry("prefilled", fmt.Sprintf("reviews %s; %d read in all", without.reviews, without.prefilled))
+			Expect(with.prefilled).To(BeNumerically("<", without.prefilled))
 			Expect(with.reviews.share()).To(BeNumerically(">", without.reviews.share()+0.05))
 			Expect(with.reviews.refused).To(BeNumerically("<", without.reviews.refused))
 		}
 	})
 })
 
-// Long prompts that share parts come at twice the usual, and what runs fills some engines'
-// memory. Given more, as their queues are short for a moment, those forget parts that the
-// next prompts want; these are read again, and the queues grow everywhere.
-var _ = Describe("A burst of prompts that fills engines' memory", func() {
-	It("leaves parts where they are wanted", func() {
+// Guards against evicting parts that the next prompts need. Long prompts that share parts
+// arrive at twice the usual rate, and running requests fill some engines' caches. If those get
+// more prompts, as their queues are short for a moment, they evict such parts; the parts are
+// prefilled again, and the queues grow everywhere.
+var _ = Describe("A burst of prompts that fills engines' caches", func() {
+	It("keeps the parts that are needed", func() {
 		const seeds = 8
 		burst := load{chats: 21, reviews: 34, engines: 9, rate: 93, chatGap: 200 * time.Millisecond, memory: 300_000}
 		served := func(name string, prepare func(*placer.View)) (all tally, read int) {
 			for seed := range uint64(seeds) {
-				o := play(burst, 601+seed, 12*time.Second, func(names []string, _ *rand.Rand) chooser {
+				o := simulate(burst, 601+seed, 12*time.Second, func(names []string, _ *rand.Rand) chooser {
 					v := placer.New("a")
-					v.SetWorkers(start, linked(names...))
+					v.SetWorkers(start, linkedEngines(names...))
 					prepare(v)
-					return ours{view: v}
+					return viewChooser{view: v}
 				})
-				all, read = all.plus(o.reviews), read+o.readAgain
+				all, read = all.plus(o.reviews), read+o.prefilled
 			}
 			AddReportEntry(name, fmt.Sprintf("%s; %d read in all", all, read))
 			return all, read
@@ -154,16 +156,17 @@
 	})
 })
 
-// Long prompts come at more than engines can read, for as long as a stream may last. Each
-// stream gets a token with each chunk of the others' prompts; the long ones are cut when
-// their callers leave, after they were read in full: what others wanted to be read for.
+// Guards against prefilling prompts whose streams can't end in time. Long prompts arrive at
+// more than engines can prefill, for as long as a stream may last. Each stream gets one token
+// per chunk of the other prompts, and the long streams are cut when their callers leave, after
+// a prefill that other requests needed.
 var _ = Describe("A flood of prompts with long answers", func() {
-	It("is let in as far as its streams can end", func() {
+	It("is accepted as far as its streams can end", func() {
 		flood := load{chats: 20, reviews: 45, engines: 9, rate: 93, chatGap: 200 * time.Millisecond, memory: 444_000, hints: true}
 		var with, without tally
 		for seed := range uint64(3) {
-			with = with.plus(play(flood, 701+seed, 12*time.Second, oursWithout("")).reviews)
-			without = without.plus(play(flood, 701+seed, 12*time.Second, oursWithout("ends")).reviews)
+			with = with.plus(simulate(flood, 701+seed, 12*time.Second, viewWithout("")).reviews)
+			without = without.plus(simulate(flood, 701+seed, 12*time.Second, viewWithout("ends")).reviews)
 		}
 		AddReportEntry("by their ends", with.String())
 		AddReportEntry("by their starts", without.String())
@@ -172,23 +175,23 @@
 	})
 })
 
-// crowd is a burst of plans at three times the usual on many small engines.
+// crowd is a burst of plans at three times the usual rate on many small engines.
 var crowd = load{
 	plans: 505, chats: 84, engines: 90, rate: 41.4, planGap: 400 * time.Millisecond, chatGap: 250 * time.Millisecond, slots: 24, sessions: 846,
 }
 
-func small(name string) placer.Worker {
+func smallEngine(name string) placer.Worker {
 	return placer.Worker{Name: name, Service: "lm", Zone: "z", Slots: 24, CacheTokens: 261_920, EventTokens: 5}
 }
 
-// Many hosts place at once, and each sees what the others sent only after a while.
-// Until then they all pick the same idle engine, which reads for half a second ahead
-// while its neighbours idle: answers are late, and chats stutter.
+// Guards against many hosts that place at the same time and learn late what the others sent.
+// Until then they all pick the same idle engine, which prefills for half a second while its
+// neighbours idle: answers are late, and chats stutter.
 var _ = Describe("Many hosts before many small engines", func() {
-	It("serve about as one host would, if they tell at once what they send", func() {
+	It("serve about as well as one host if they report immediately what they send", func() {
 		const rest, day = 22 * time.Millisecond, 5 * time.Second
 		of := func(hosts int, sent time.Duration) (plans, chats float64) {
-			plans, chats = play(crowd, 101, day, fleetOf(hosts, lateness{sent, rest}, small)).share()
+			plans, chats = simulate(crowd, 101, day, fleetOf(hosts, updateDelays{sent, rest}, smallEngine)).share()
 			AddReportEntry(fmt.Sprintf("%d hosts, %s late", hosts, sent), fmt.Sprintf("plans %.3f chats %.3f", plans, chats))
 			return plans, chats
 		}
@@ -202,8 +205,8 @@
 	})
 })
 
-// BenchmarkPlace is one placing among 9 and 90 engines, with fifteen requests under way at
-// each.
+// BenchmarkPlace measures one placement among 9 and 90 engines, with fifteen requests under way
+// at each.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{9, 90} {
 		b.Run(fmt.Sprintf("%d workers", n), func(b *testing.B) {
--- a/placer/option.go
+++ b/placer/option.go
@@ -38,18 +38,18 @@
 
 // candidate returns what a request would mean for an engine. For a plain worker, setPlainTimes
 // completes it.
-func (w *worker) candidate(now time.Time, a Request, holder *worker, held int) candidate {
-	o := candidate{worker: w, contention: w.contention(now, a), limitWait: w.limit.wait(now)}
+func (w *worker) candidate(now time.Time, req Request, holder *worker, heldTokens int) candidate {
+	o := candidate{worker: w, contention: w.contention(now, req), limitWait: w.limit.wait(now)}
 	if w.CacheTokens == 0 {
 		return o
 	}
-	kept := w.cache.covered(a.Parts)
-	o.prefillTokens = max(a.Prompt-kept, 1)
-	o.ownTime = w.prefillTime(o.prefillTokens, a.Prompt+a.Output)
-	o.queueTime, o.backlog = w.queue.timeAhead(now, a.Rank)+o.lag, w.queue.timeAhead(now, maxRank)
-	o.urgentBacklog = w.queue.timeUpToRank(now, a.Rank) + o.urgentLag
-	if holder != nil && holder != w && held-kept >= minFetchTokens {
-		o.fetchFrom(holder, held, kept, a)
+	cached := w.cache.covered(req.Parts)
+	o.prefillTokens = max(req.Prompt-cached, 1)
+	o.ownTime = w.prefillTime(o.prefillTokens, req.Prompt+req.Output)
+	o.queueTime, o.backlog = w.queue.timeAhead(now, req.Rank)+o.lag, w.queue.timeAhead(now, maxRank)
+	o.urgentBacklog = w.queue.timeUpToRank(now, req.Rank) + o.urgentLag
+	if holder != nil && holder != w && heldTokens-cached >= minFetchTokens {
+		o.fetchFrom(holder, heldTokens, cached, req)
 	}
 	o.wait = math.Max(o.queueTime, o.fetchDelay) + o.ownTime + w.overhead()
 	return o
@@ -57,11 +57,11 @@
 
 // fetchFrom has the worker fetch the tokens that another one has beyond its own, if that takes
 // less time than their prefill.
-func (o *candidate) fetchFrom(holder *worker, held, kept int, a Request) {
-	read := max(a.Prompt-held, 1)
-	own, fetching := o.prefillTime(read, a.Prompt+a.Output), o.fetchTime(held-kept, holder)
-	if own+fetching < o.ownTime {
-		o.prefillTokens, o.fetchTokens, o.source, o.ownTime, o.fetchDelay = read, held-kept, holder.Address, own, fetching
+func (o *candidate) fetchFrom(holder *worker, heldTokens, cached int, req Request) {
+	prefillTokens := max(req.Prompt-heldTokens, 1)
+	ownTime, fetchDelay := o.prefillTime(prefillTokens, req.Prompt+req.Output), o.fetchTime(heldTokens-cached, holder)
+	if ownTime+fetchDelay < o.ownTime {
+		o.prefillTokens, o.fetchTokens, o.source, o.ownTime, o.fetchDelay = prefillTokens, heldTokens-cached, holder.Address, ownTime, fetchDelay
 	}
 }
 
@@ -77,16 +77,16 @@
 
 // holder returns the worker that has cached most of a prompt's leading parts, and how many
 // tokens of them. It returns nil if there is none, or if engines can't fetch from each other.
-func (v *View) holder(a Request) (*worker, int) {
+func (v *View) holder(req Request) (*worker, int) {
 	var holder *worker
-	held := 0
+	tokens := 0
 	for _, w := range v.sorted {
-		if w.Service != a.Service || w.LinkMbps <= 0 || w.TokenBytes <= 0 {
+		if w.Service != req.Service || w.LinkMbps <= 0 || w.TokenBytes <= 0 {
 			continue
 		}
-		if n := w.cache.fetchable(a.Parts); n > held || n == held && n > 0 && w.Name < holder.Name {
-			holder, held = w, n
+		if n := w.cache.fetchable(req.Parts); n > tokens || n == tokens && n > 0 && w.Name < holder.Name {
+			holder, tokens = w, n
 		}
 	}
-	return holder, held
+	return holder, tokens
 }
--- a/placer/others.go
+++ b/placer/others.go
@@ -18,23 +18,23 @@
 }
 
 // contention computes the effect in one pass over the worker's flights.
-func (w *worker) contention(now time.Time, a Request) contention {
+func (w *worker) contention(now time.Time, req Request) contention {
 	var o contention
-	stretch := milliseconds(tightShare * w.maxPrefillPause())
+	stretch := milliseconds(tightFactor * w.maxPrefillPause())
 	rest := w.overhead()
 	for _, f := range w.flights {
-		if f.Tier < a.Tier {
+		if f.Tier < req.Tier {
 			o.urgentCount++
 		}
 		if f.Gap > 0 && f.Gap < stretch {
-			o.tightStreams += f.pauseWeight(a.Rank)
+			o.tightStreams += f.pauseWeight(req.Rank)
 		}
 		if f.begun || f.prefilledAt.IsZero() || !f.expiresAt.IsZero() {
 			continue // the first event of a lost host's request will not be reported
 		}
 		behind := inMilliseconds(now.Sub(f.prefilledAt)) - rest
 		o.lag = math.Max(o.lag, behind)
-		if f.Rank <= a.Rank {
+		if f.Rank <= req.Rank {
 			o.urgentLag = math.Max(o.urgentLag, behind)
 		}
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -46,19 +46,19 @@
 	sorted        []*worker          // workers ordered by name, so that decisions are deterministic
 	counts        map[string]int     // number of workers, by service
 	flights       map[uint64]*flight
-	endedEarly    map[uint64]time.Time     // ends of requests that were not reported before, by request
-	answerTimes   map[string]time.Duration // time of an answer, by plain service
-	fits          map[string]*fit          // time to the first event, by service with engines
-	candidates    []candidate              // of the current request; reused to avoid allocations
-	recentTargets recentTargets            // targets of recent requests
-	offered       tierLoads                // offered load
-	refused       []OfferedLoad            // refused requests that were not reported yet
-	reservation   reservation              // for the current request
-	quarantine    quarantiner.Tracker      // requests that crashed workers
-	lastReceived  time.Time                // when another host last reported what it sent
-	deciders      int                      // number of hosts that decide by views of their own
-	self          int                      // index of this host among them
-	returns       map[class]time.Time      // when the prompts of refused requests that were asked to retry will have been prefilled
+	endedEarly    map[uint64]time.Time      // ends of requests that were not reported before, by request
+	answerTimes   map[string]time.Duration  // time of an answer, by plain service
+	fits          map[string]*fit           // time to the first event, by service with engines
+	candidates    []candidate               // of the current request; reused to avoid allocations
+	recentTargets recentTargets             // targets of recent requests
+	offered       tierLoads                 // offered load
+	refused       []OfferedLoad             // refused requests that were not reported yet
+	reservation   reservation               // for the current request
+	quarantine    quarantiner.Tracker       // requests that crashed workers
+	lastReceived  time.Time                 // when another host last reported what it sent
+	deciders      int                       // number of hosts that decide by views of their own
+	self          int                       // index of this host among them
+	returns       map[serviceRank]time.Time // when the prompts of refused requests that were asked to retry will have been prefilled
 
 	ignoreEvictions bool // evictions cost nothing, so that specs can compare
 }
@@ -68,7 +68,7 @@
 func New(zone string) *View {
 	return &View{
 		zone: zone, workers: map[string]*worker{}, flights: map[uint64]*flight{}, endedEarly: map[uint64]time.Time{},
-		answerTimes: map[string]time.Duration{}, fits: map[string]*fit{}, returns: map[class]time.Time{}, recentTargets: recentTargets{}, offered: tierLoads{},
+		answerTimes: map[string]time.Duration{}, fits: map[string]*fit{}, returns: map[serviceRank]time.Time{}, recentTargets: recentTargets{}, offered: tierLoads{},
 		quarantine: quarantiner.Tracker{RenamedOnRestart: true},
 	}
 }
@@ -116,31 +116,31 @@
 func (v *View) WorkerCount(service string) int { return v.counts[service] }
 
 // Place picks a worker for a request of this host and counts the request there.
-func (v *View) Place(now time.Time, id uint64, a Request) (Choice, *Refusal) {
-	return v.PlaceFor(now, "", id, a)
+func (v *View) Place(now time.Time, id uint64, req Request) (Choice, *Refusal) {
+	return v.PlaceFor(now, "", id, req)
 }
 
 // PlaceFor is like Place, for a request that another host sends.
-func (v *View) PlaceFor(now time.Time, from string, id uint64, a Request) (Choice, *Refusal) {
-	if left, held := v.quarantine.Quarantined(now, a.Fingerprint); held {
+func (v *View) PlaceFor(now time.Time, host string, id uint64, req Request) (Choice, *Refusal) {
+	if left, held := v.quarantine.Quarantined(now, req.Fingerprint); held {
 		return Choice{}, newRefusal("quarantine", left)
 	}
-	best, refusal := v.best(now, a)
-	v.offered.note(now, a.offeredLoad(best))
+	best, refusal := v.best(now, req)
+	v.offered.note(now, req.offeredLoad(best))
 	if refusal != nil {
-		v.countRefused(a.offeredLoad(best))
-		return Choice{Basis: v.basis(now, a, best)}, refusal
+		v.countRefused(req.offeredLoad(best))
+		return Choice{Basis: v.basis(now, req, best)}, refusal
 	}
 	f := Flight{
-		ID: id, Worker: best.Name, Parts: a.Parts, Prefill: best.prefillTokens, Hold: a.Prompt + a.Output, Left: a.Left, Gap: a.Gap, Rank: a.Rank, Tier: a.Tier,
-		Fetch: best.fetchTokens, Output: a.Output, Fingerprint: a.Fingerprint,
+		ID: id, Worker: best.Name, Parts: req.Parts, Prefill: best.prefillTokens, Hold: req.Prompt + req.Output, Left: req.Left, Gap: req.Gap, Rank: req.Rank, Tier: req.Tier,
+		Fetch: best.fetchTokens, Output: req.Output, Fingerprint: req.Fingerprint,
 	}
 	c := Choice{
-		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Delay: best.delay(a), Source: best.source,
+		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Delay: best.delay(req), Source: best.source,
 		Filling: float64(len(best.flights)+1) >= fillingShare*float64(best.Slots),
 	}
-	ends := best.predictEnd(a)
-	v.add(now, from, f).predictedEnd = ends
+	ends := best.predictEnd(req)
+	v.add(now, host, f).predictedEnd = ends
 	return c, nil
 }
 
@@ -148,10 +148,10 @@
 // there, best falls back to another one: one without streams that the request would disturb,
 // or, if less urgent requests arrive, any. Otherwise it returns a refusal with the candidate
 // that the request would have got.
-func (v *View) best(now time.Time, a Request) (*candidate, *Refusal) {
-	v.recentTargets.note(now, a)
-	options := v.candidatesFor(now, a)
-	if refusal := v.refuseByLimit(now, options, a); refusal != nil {
+func (v *View) best(now time.Time, req Request) (*candidate, *Refusal) {
+	v.recentTargets.note(now, req)
+	options := v.candidatesFor(now, req)
+	if refusal := v.refuseByLimit(now, options, req); refusal != nil {
 		return cheapest(options, anyCandidate), refusal
 	}
 	options = withinLimit(options)
@@ -162,14 +162,14 @@
 	if best == nil {
 		return nil, &Refusal{RetryAfter: noWorkersRetryAfter, Reason: "no_workers"}
 	}
-	refusal := v.refuse(best, a)
+	refusal := v.refuse(best, req)
 	if refusal == nil {
 		return best, nil
 	}
-	least := v.recentTargets.leastUrgent(a)
-	other := cheapest(options, func(o *candidate) bool { return (o.tightStreams == 0 || !least) && v.refuse(o, a) == nil })
+	least := v.recentTargets.leastUrgent(req)
+	other := cheapest(options, func(o *candidate) bool { return (o.tightStreams == 0 || !least) && v.refuse(o, req) == nil })
 	if other == nil {
-		refusal.RetryAfter = v.scheduleReturn(now, a, options, refusal.RetryAfter)
+		refusal.RetryAfter = v.scheduleReturn(now, req, options, refusal.RetryAfter)
 		return best, refusal
 	}
 	return other, nil
@@ -177,24 +177,24 @@
 
 // candidatesFor returns the workers of a request's service with what the request would mean for
 // each, and its cost.
-func (v *View) candidatesFor(now time.Time, a Request) []candidate {
+func (v *View) candidatesFor(now time.Time, req Request) []candidate {
 	options := v.candidates[:0]
-	holder, held := v.holder(a)
-	beside := v.workerOfCopy(a)
+	holder, heldTokens := v.holder(req)
+	copyAt := v.workerOfCopy(req)
 	for _, w := range v.sorted {
-		if w.Service != a.Service || excluded(a, w.Name) || beside != "" && w.Name != beside {
+		if w.Service != req.Service || excluded(req, w.Name) || copyAt != "" && w.Name != copyAt {
 			continue
 		}
-		o := w.candidate(now, a, holder, held)
+		o := w.candidate(now, req, holder, heldTokens)
 		o.margin = v.margin(w)
 		if o.CacheTokens == 0 {
 			v.setPlainTimes(&o)
 		}
-		o.cost = v.cost(now, &o, a)
+		o.cost = v.cost(now, &o, req)
 		options = append(options, o)
 	}
 	setPrefillShares(now, options)
-	v.reservation = v.reserve(now, options, a)
+	v.reservation = v.reserve(now, options, req)
 	v.candidates = options
 	return options
 }
@@ -215,8 +215,8 @@
 // anyCandidate accepts every candidate.
 func anyCandidate(*candidate) bool { return true }
 
-func excluded(a Request, worker string) bool {
-	for _, name := range a.Exclude {
+func excluded(req Request, worker string) bool {
+	for _, name := range req.Exclude {
 		if name == worker {
 			return true
 		}
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-func desks(names ...string) []placer.Worker {
+func plainWorkers(names ...string) []placer.Worker {
 	var out []placer.Worker
 	for _, n := range names {
 		out = append(out, placer.Worker{Name: n, Service: "app", Zone: "a", Slots: 2})
@@ -27,7 +27,7 @@
 	return out
 }
 
-// plan is a long prompt with shared parts.
+// plan returns a long prompt with shared parts.
 func plan(shared uint64) placer.Request {
 	return placer.Request{
 		Service: "lm", Prompt: 9200, Output: 60, Left: 6 * time.Second, FirstEventTimeout: 3 * time.Second, Target: 600 * time.Millisecond,
@@ -43,12 +43,12 @@
 		next uint64
 	)
 	BeforeEach(func() { v, next = placer.New("a"), 0 })
-	place := func(now time.Time, a placer.Request) (placer.Choice, *placer.Refusal) {
+	place := func(now time.Time, req placer.Request) (placer.Choice, *placer.Refusal) {
 		next++
-		return v.Place(now, next, a)
+		return v.Place(now, next, req)
 	}
 
-	It("sends a prompt where its parts were read, as long as the queue there is short", func() {
+	It("sends a prompt to the worker that has cached its parts, while the queue there is short", func() {
 		v.SetWorkers(start, engines("e-1", "e-2", "e-3"))
 		first, _ := place(start, plan(7))
 		v.Begun(start.Add(300*time.Millisecond), first.Flight.ID)
@@ -65,10 +65,10 @@
 		Expect(used).To(HaveLen(3))
 	})
 
-	// Two hosts see the same idle workers. What one has sent must count for the
-	// other, or both fill the same worker.
-	It("counts what other hosts sent, until it ends or its host is gone", func() {
-		v.SetWorkers(start, desks("d-1", "d-2"))
+	// Guards against two hosts filling the same idle worker: what one has sent must count for
+	// the other.
+	It("counts what other hosts sent, until it ends or its host is lost", func() {
+		v.SetWorkers(start, plainWorkers("d-1", "d-2"))
 		for id := range uint64(6) {
 			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
 		}
@@ -81,11 +81,11 @@
 		Expect(c.Worker.Name).To(Equal("d-1"))
 	})
 
-	// In a large fleet one host decides where a request goes, and another sends it. Beside
-	// load the first one's word that it was sent comes after the second one's that it
-	// ended. The request then never ends: slots seem taken, and callers are refused.
-	It("does not count what ended before its sending was heard of", func() {
-		v.SetWorkers(start, desks("d-1", "d-2"))
+	// Guards against counting a request for good. In a large fleet one host decides where a
+	// request goes, and another one sends it. Under load the report that it was sent may arrive
+	// after the one that it ended; slots then seem taken, and callers are refused.
+	It("does not count a request whose end was reported before its sending", func() {
+		v.SetWorkers(start, plainWorkers("d-1", "d-2"))
 		for id := range uint64(6) {
 			v.Ended(start, 100+id, placer.Answered)
 			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
@@ -95,8 +95,8 @@
 		Expect(v.WorkerStates(start)[0].Flights).To(Equal(1))
 	})
 
-	It("forgets what must be over where no word of its end came", func() {
-		v.SetWorkers(start, desks("d-1", "d-2"))
+	It("removes requests that must be over although their end was not reported", func() {
+		v.SetWorkers(start, plainWorkers("d-1", "d-2"))
 		for id := range uint64(6) {
 			v.Receive(start, "other", placer.Flight{ID: 100 + id, Worker: "d-1", Left: time.Second})
 		}
@@ -108,7 +108,7 @@
 	})
 
 	It("avoids a worker that fails, and tries it again after a while", func() {
-		v.SetWorkers(start, desks("d-1", "d-2"))
+		v.SetWorkers(start, plainWorkers("d-1", "d-2"))
 		c, _ := place(start, quote)
 		Expect(c.Worker.Name).To(Equal("d-1"))
 		v.Ended(start, c.Flight.ID, placer.Broken)
@@ -119,7 +119,7 @@
 		Expect(c.Worker.Name).To(Equal("d-1"))
 	})
 
-	It("believes that a worker that was born anew keeps nothing", func() {
+	It("takes the cache of a restarted worker for empty", func() {
 		workers := engines("e-1")
 		workers[0].Instance = "1"
 		v.SetWorkers(start, workers)
@@ -130,22 +130,22 @@
 		Expect(c.Flight.Prefill).To(Equal(9200))
 	})
 
-	It("refuses what would wait longer than its caller, and says when to come back", func() {
+	It("refuses requests that would wait for longer than their caller, with a retry time", func() {
 		v.SetWorkers(start, engines("e-1"))
-		fill := func(a placer.Request) (sent int, refusal *placer.Refusal) {
+		fill := func(req placer.Request) (sent int, refusal *placer.Refusal) {
 			for refusal == nil {
 				sent++
 				Expect(sent).To(BeNumerically("<", 1000))
-				_, refusal = place(start, a)
+				_, refusal = place(start, req)
 			}
 			return sent, refusal
 		}
-		// A long prompt waits for half its target at most, 300 ms of reading.
+		// A long prompt waits for at most half its target: 300 ms of prefill.
 		sent, refusal := fill(plan(7))
 		Expect(sent).To(BeNumerically("<=", 4))
 		Expect(refusal.Reason).To(Equal("queue"))
 		Expect(refusal.RetryAfter).To(And(BeNumerically(">=", 100*time.Millisecond), BeNumerically("<", time.Second)))
-		// A short one until its caller would have left, 1.8 s of reading.
+		// A short one waits until its caller would have left: 1.8 s of prefill.
 		sent, refusal = fill(placer.Request{
 			Service: "lm", Prompt: 800, Output: 30, Left: 10 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond,
 		})
@@ -156,15 +156,15 @@
 		Expect(refusal.Reason).To(Equal("no_workers"))
 	})
 
-	// Streams with tight pauses gather on few workers. Beyond a worker's slots the more
-	// urgent ones would break into the others' streams there.
+	// Guards against overfilling a few workers with streams that have tight targets for pauses:
+	// beyond a worker's slots, the more urgent streams would preempt others.
 	It("fills no worker beyond its slots while others have room", func() {
 		workers := engines("e-1", "e-2", "e-3")
 		for i := range workers {
 			workers[i].Slots = 4
 		}
 		v.SetWorkers(start, workers)
-		for id := range uint64(24) { // e-1 and e-2 were given much to read
+		for id := range uint64(24) { // e-1 and e-2 had much to prefill
 			f := placer.Flight{ID: 100 + id, Worker: []string{"e-1", "e-2"}[id%2], Prefill: 9000, Left: 9 * time.Second}
 			v.Receive(start, "other", f)
 			v.Begun(start, f.ID)
@@ -183,9 +183,10 @@
 		}
 	})
 
-	// Chats at six times the usual rate fill all engines. One more runs only in the place
-	// of another, which is read in again: both are late, and the next one too.
-	It("refuses what finds the slots of all engines taken", func() {
+	// Guards against sending more than the engines' slots hold, with chats at six times the
+	// usual rate. One more chat only runs by preempting another, which is prefilled again: both
+	// are late, and so is the next one.
+	It("refuses requests when the slots of all engines are taken", func() {
 		workers := engines("e-1", "e-2")
 		for i := range workers {
 			workers[i].Slots = 4
@@ -208,9 +209,9 @@
 		Expect(c.Worker.Name).To(Equal(last.Worker.Name))
 	})
 
-	// Streams with tight targets for pauses gather on one engine. Each short prompt that
-	// is read there takes little, but many in a row break the streams' pauses.
-	It("keeps short reading away from many tight streams, the more so where they are more urgent", func() {
+	// Guards against many short prompts in a row at an engine where streams with tight targets
+	// for pauses gather: each takes little, but together they break the targets.
+	It("keeps short prompts away from many tight streams, the more so from more urgent ones", func() {
 		short := placer.Request{Service: "lm", Prompt: 1400, Left: 10 * time.Second, Target: 1500 * time.Millisecond, Rank: 1}
 		chosen := func(streams, rank int) string {
 			v = placer.New("a")
@@ -231,9 +232,9 @@
 		Expect(chosen(8, 0)).To(Equal("e-2"))
 	})
 
-	// Long prompts at eight times the usual fill the slots of every engine. The next short,
-	// more urgent one is refused until one of them ends, while more of them begin.
-	It("keeps slots for more urgent routes, whatever the organisation", func() {
+	// Guards against refusing short, more urgent prompts while long prompts at eight times the
+	// usual rate fill the slots of all engines and more of them begin.
+	It("reserves slots for more urgent routes, whatever the organisation", func() {
 		workers := engines("e-1", "e-2")
 		for i := range workers {
 			workers[i].Slots = 16
@@ -242,9 +243,9 @@
 		now := start
 		long := placer.Request{Service: "lm", Prompt: 9000, Output: 300, Left: 20 * time.Second, Target: 10 * time.Second, Rank: 1, Tier: 1}
 		chat := placer.Request{Service: "lm", Prompt: 300, Output: 300, Left: 20 * time.Second, Target: 300 * time.Millisecond, Rank: 2}
-		fill := func(a placer.Request) (sent int) {
+		fill := func(req placer.Request) (sent int) {
 			for {
-				c, refusal := place(now, a)
+				c, refusal := place(now, req)
 				if refusal != nil {
 					Expect(refusal.Reason).To(Equal("slots"))
 					return sent
@@ -258,12 +259,12 @@
 			c, _ := place(now, chat)
 			v.Begun(now, c.Flight.ID)
 		}
-		Expect(fill(long)).To(Equal(32 - 4 - 2*3)) // two spreads of two, 2.8, on each engine
+		Expect(fill(long)).To(Equal(32 - 4 - 2*3)) // two standard deviations, 2.8, on each engine
 		Expect(fill(chat)).To(Equal(2 * 3))
 	})
 
-	// Guards against a request that is refused for slots while another engine has some.
-	It("takes a slot at an engine with tight streams where the others have none", func() {
+	// Guards against refusing a request for slots while another engine has some.
+	It("uses a slot at an engine with tight streams if the others have none", func() {
 		workers := engines("e-1", "e-2")
 		workers[0].Slots = 4
 		v.SetWorkers(start, workers)
@@ -280,8 +281,9 @@
 		Expect(c.Worker.Name).To(Equal("e-2"))
 	})
 
-	// Guards against the more urgent being refused for a queue while the less urgent are read.
-	It("sends the more urgent to engines with tight streams before it refuses them", func() {
+	// Guards against refusing more urgent requests for a queue while less urgent ones are
+	// prefilled.
+	It("sends more urgent requests to engines with tight streams before it refuses them", func() {
 		outcome := func(less ...placer.Request) string {
 			v = placer.New("a")
 			v.SetWorkers(start, engines("e-1", "e-2"))
@@ -326,10 +328,10 @@
 		Expect(quiet.Worker.Name).NotTo(Equal(busy))
 	})
 
-	// An engine's memory is full of parts that many prompts share. The next prompt goes
-	// there, as the other engine has a little to read; what is forgotten for it is read
-	// again, which takes longer than the wait would have.
-	It("spares parts that others use, and no others, where an engine's memory is full", func() {
+	// Guards against evictions from a full cache of parts that many prompts share. The next
+	// prompt would go there, as the other engine has a little to prefill; but to prefill the
+	// evicted parts again takes longer than that wait.
+	It("avoids the eviction of parts that others use, and of no others", func() {
 		workers := engines("e-1", "e-2")
 		fresh := placer.Request{
 			Service: "lm", Prompt: 9000, Left: 8 * time.Second, Target: 1500 * time.Millisecond, Parts: []placer.Part{{Key: 99, Tokens: 9000}},
@@ -349,14 +351,13 @@
 			Expect(refusal).To(BeNil())
 			return c.Worker.Name
 		}
-		Expect(chosen(1)).To(Equal("e-1"), "parts that one request alone had")
+		Expect(chosen(1)).To(Equal("e-1"), "parts of a single request")
 		Expect(chosen(2)).To(Equal("e-2"))
 	})
 
-	// All engines were given prompts without a pause. A stream gets a token with each chunk
-	// that is read, and one with a long answer is cut when its caller leaves, after its
-	// prompt was read for nothing.
-	It("refuses a stream that would not end before its caller leaves, and only where it says so", func() {
+	// Guards against streams that are cut when their callers leave, after a prefill for
+	// nothing. All engines prefill without a break, so that a stream gets one token per chunk.
+	It("refuses a stream that would not end before its caller leaves, if the caller states its length", func() {
 		v.SetWorkers(start, engines("e-1", "e-2"))
 		now := start
 		read := func(names ...string) {
@@ -376,7 +377,7 @@
 		read("e-1")
 		c, refusal := place(now, long)
 		Expect(refusal).To(BeNil())
-		Expect(c.Worker.Name).To(Equal("e-2"), "which reads nothing")
+		Expect(c.Worker.Name).To(Equal("e-2"), "which has nothing to prefill")
 		read("e-1", "e-2")
 		_, refusal = place(now, long)
 		Expect(refusal).NotTo(BeNil())
@@ -384,16 +385,16 @@
 		Expect(refusal.RetryAfter).To(BeNumerically("<=", long.Left/3))
 		urgent, less := long, long
 		less.Expected, less.Tier = 0, 1
-		for _, a := range []placer.Request{short, unsaid, less, urgent} { // once a less urgent one came
+		for _, a := range []placer.Request{short, unsaid, less, urgent} { // accepted once a less urgent one arrived
 			c, refusal = place(now, a)
 			Expect(refusal).To(BeNil())
 			v.Ended(now, c.Flight.ID, placer.Canceled)
 		}
-		now = now.Add(11 * time.Second) // no less urgent one came for long
+		now = now.Add(11 * time.Second) // the last less urgent one was long ago
 		read("e-1", "e-2")
 		_, refusal = place(now, long)
 		Expect(refusal).NotTo(BeNil())
-		// Streams last a third of what was expected: what was read before is not read again.
+		// Streams last a third of the prediction, as the prefill of the past is not repeated.
 		middle := long
 		middle.Expected = 100
 		for range 40 {
@@ -411,10 +412,10 @@
 		Expect(refusal).To(BeNil(), "the flood is over")
 	})
 
-	// A worker restarts under its name, and what was sent to the process before still
-	// begins and ends at other hosts. Counted at the new one, it reads fewer than none: it
-	// never seems idle again, and nothing more is learned of how fast it reads.
-	It("counts nothing at a worker that was sent to the process before it", func() {
+	// Guards against negative counters when a worker restarts under its name, and requests sent
+	// to its previous process begin and end at other hosts. If the new process counted them, it
+	// would never seem idle again, and no more would be learned of its speed.
+	It("does not count requests of a worker's previous process", func() {
 		workers := engines("e-1")
 		workers[0].Instance = "1"
 		v.SetWorkers(start, workers)
@@ -427,10 +428,10 @@
 		Expect(v.WorkerStates(start.Add(time.Second))[0].Avoided).To(BeZero())
 	})
 
-	// The word of a stream's end is lost, and the view forgets the stream after its time.
-	// Taken for one that was cut at its deadline, it makes all others look longer, and
-	// callers are refused for their length.
-	It("learns nothing of a stream whose end was not heard of", func() {
+	// Guards against learning from a stream whose end was not reported and that the view
+	// removes after its time. If it counted as cut at its deadline, all other streams would
+	// look longer, and callers would be refused for their length.
+	It("learns nothing from a stream whose end was not reported", func() {
 		v.SetWorkers(start, engines("e-1"))
 		now := start
 		ask := placer.Request{Service: "lm", Prompt: 800, Output: 60, Expected: 60, Left: 8 * time.Second, Target: time.Second}
--- a/placer/plain.go
+++ b/placer/plain.go
@@ -28,9 +28,9 @@
 
 // setPlainTimes sets the times of a request at a plain worker.
 func (v *View) setPlainTimes(o *candidate) {
-	pace := inMilliseconds(v.answerTime(o.Service))
-	o.ownTime = pace / float64(max(o.Slots, 1))
-	o.wait = o.rounds() * pace
+	answer := inMilliseconds(v.answerTime(o.Service))
+	o.ownTime = answer / float64(max(o.Slots, 1))
+	o.wait = o.rounds() * answer
 }
 
 // maxPlainWait returns the maximum expected time of a plain service's answer, in milliseconds.
@@ -38,8 +38,8 @@
 // longer targets would keep the queue too long for equally urgent ones with shorter targets,
 // and only they would be served. So the tightest recent target counts for all that are as
 // urgent, or less.
-func (v *View) maxPlainWait(a Request) float64 {
-	return math.Max(plainTargetShare*inMilliseconds(v.recentTargets.tightest(a)), plainRounds*inMilliseconds(v.answerTime(a.Service)))
+func (v *View) maxPlainWait(req Request) float64 {
+	return math.Max(plainTargetShare*inMilliseconds(v.recentTargets.tightest(req)), plainRounds*inMilliseconds(v.answerTime(req.Service)))
 }
 
 // learnPlain updates the time of a plain service's answer, without the wait for others, by
--- a/placer/plain_test.go
+++ b/placer/plain_test.go
@@ -12,13 +12,13 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// plainLoad is a stand-in of a plain service: so many workers, each of which works at
-// so many requests at once, for so long each, and takes the others in order.
-type plainLoad struct {
+// plainSimulation simulates a plain service. Each of its workers works at a number of requests
+// at once, for some time each, and takes the others in order.
+type plainSimulation struct {
 	workers, slots int
 	work           time.Duration
-	rate           float64  // requests a second
-	late           lateness // of what hosts tell one another
+	rate           float64      // requests per second
+	delays         updateDelays // of reports between hosts
 }
 
 // plainRequest is one request at a plain worker.
@@ -26,8 +26,8 @@
 	id        uint64
 	host      int
 	worker    *plainWorker
-	asked     time.Duration // when its caller first asked
-	at        time.Duration // when it was sent
+	asked     time.Duration // when its caller first sent it
+	at        time.Duration // when it was sent to a worker
 	refused   bool
 	predicted time.Duration
 }
@@ -42,11 +42,11 @@
 type plainOutcome struct {
 	asked, inTime, refused int
 	served                 int
-	back                   int           // of those refused, served when they came back
-	predicted, seen        time.Duration // sums over what was served
+	servedOnRetry          int           // of those refused, the ones served on their retry
+	predicted, seen        time.Duration // sums over served requests
 }
 
-// waits is the time until an answer on average, as predicted and as seen.
+// waits returns the mean time to an answer, as predicted and as measured.
 func (c plainOutcome) waits() (predicted, seen time.Duration) {
 	return c.predicted / time.Duration(c.served), c.seen / time.Duration(c.served)
 }
@@ -54,16 +54,16 @@
 func (c plainOutcome) String() string {
 	predicted, seen := c.waits()
 	return fmt.Sprintf("%d asked, %d served, %d in time, %d refusals, %d served after one; %s expected, %s seen",
-		c.asked, c.served, c.inTime, c.refused, c.back, predicted, seen)
+		c.asked, c.served, c.inTime, c.refused, c.servedOnRetry, predicted, seen)
 }
 
-// serve plays a load on a plain service before eight hosts, each with a view of its own.
-func (c plainLoad) serve(seed uint64, length time.Duration, a placer.Request) plainOutcome {
+// run simulates the service before eight hosts, each with a view of its own.
+func (c plainSimulation) run(seed uint64, length time.Duration, req placer.Request) plainOutcome {
 	const hosts = 8
 	r := rand.New(rand.NewPCG(seed, 2))
 	all, workers := map[string]*plainWorker{}, []placer.Worker{}
 	for i := range c.workers {
-		w := placer.Worker{Name: fmt.Sprintf("d-%d", i), Service: a.Service, Zone: "a", Slots: c.slots}
+		w := placer.Worker{Name: fmt.Sprintf("d-%d", i), Service: req.Service, Zone: "a", Slots: c.slots}
 		workers = append(workers, w)
 		all[w.Name] = &plainWorker{}
 	}
@@ -73,9 +73,9 @@
 		v.SetWorkers(start, workers)
 		views = append(views, v)
 	}
-	var todo agenda
-	do := func(at time.Duration, f func(time.Duration)) { heap.Push(&todo, moment{at, f}) }
-	tell := func(at time.Duration, from int, say func(*placer.View, time.Time)) {
+	var queue eventQueue
+	do := func(at time.Duration, f func(time.Duration)) { heap.Push(&queue, event{at, f}) }
+	broadcast := func(at time.Duration, from int, say func(*placer.View, time.Time)) {
 		do(at, func(now time.Duration) {
 			for i, v := range views {
 				if i != from {
@@ -91,18 +91,18 @@
 			took := now - j.at
 			out.served++
 			out.seen, out.predicted = out.seen+took, out.predicted+j.predicted
-			if now-j.asked <= a.Target {
+			if now-j.asked <= req.Target {
 				out.inTime++
 			}
 			if j.refused {
-				out.back++
+				out.servedOnRetry++
 			}
-			told := func(v *placer.View, at time.Time) {
+			report := func(v *placer.View, at time.Time) {
 				v.BegunAfter(at, j.id, took)
 				v.Ended(at, j.id, placer.Answered)
 			}
-			told(views[j.host], start.Add(now))
-			tell(now+c.late.rest, j.host, told)
+			report(views[j.host], start.Add(now))
+			broadcast(now+c.delays.others, j.host, report)
 			j.worker.running--
 			if w := j.worker.waiting; len(w) > 0 {
 				j.worker.waiting = w[1:]
@@ -112,18 +112,18 @@
 	}
 	begin = func(now time.Duration, j *plainRequest) {
 		j.worker.running++
-		do(now+time.Duration(skewed(r, float64(c.work), 0.5, 8*float64(c.work))), end(j))
+		do(now+time.Duration(logNormal(r, float64(c.work), 0.5, 8*float64(c.work))), end(j))
 	}
 	for at := time.Duration(0); at < length; at += time.Duration(r.ExpFloat64() / c.rate * float64(time.Second)) {
 		out.asked++
 		j := &plainRequest{id: uint64(out.asked), host: r.IntN(hosts), asked: at}
 		var try func(now time.Duration)
 		try = func(now time.Duration) {
-			ask := a
+			ask := req
 			ask.Left -= now - j.asked
 			choice, refusal := views[j.host].Place(start.Add(now), j.id, ask)
 			if refusal != nil {
-				// A caller comes back once, if that is within a third of its time.
+				// A caller retries once, if that is within a third of its time.
 				if !j.refused && refusal.RetryAfter <= ask.Left/3 {
 					do(now+refusal.RetryAfter, try)
 				}
@@ -131,7 +131,7 @@
 				j.refused = true
 				return
 			}
-			tell(now+c.late.sent, j.host, func(v *placer.View, at time.Time) { v.Receive(at, fmt.Sprint(j.host), choice.Flight) })
+			broadcast(now+c.delays.sent, j.host, func(v *placer.View, at time.Time) { v.Receive(at, fmt.Sprint(j.host), choice.Flight) })
 			j.predicted, j.worker, j.at = choice.Wait, all[choice.Worker.Name], now
 			if j.worker.running < c.slots {
 				begin(now, j)
@@ -141,29 +141,28 @@
 		}
 		do(at, try)
 	}
-	for len(todo) > 0 {
-		m := heap.Pop(&todo).(moment)
+	for len(queue) > 0 {
+		m := heap.Pop(&queue).(event)
 		m.do(m.at)
 	}
 	return out
 }
 
-// A plain service gets a little more than it can do for some seconds, and callers wait.
-// Its answers take longer for that; taken as the time of its work, that time is
-// multiplied by the queue once more, and the longer the wait is believed to be, the
-// longer it is learned. Callers are refused for a wait of over a second, where those
-// served see a quarter of one.
-var _ = Describe("A plain service that is asked for all that it can do", func() {
+// Guards against refusals for a wait that does not exist. A plain service gets a little more
+// than it can do for some seconds, and callers wait. If the wait counted as work, it would be
+// multiplied by the queue once more, and each wait would make the next one look longer: callers
+// were refused for a wait of over a second, while those served waited for a quarter of one.
+var _ = Describe("A plain service near its capacity", func() {
 	const (
-		most   = 400.0 // requests a second: 24 slots of 60 ms
+		most   = 400.0 // requests per second: 24 slots of 60 ms
 		length = 15 * time.Second
 	)
-	busy := plainLoad{workers: 4, slots: 6, work: 60 * time.Millisecond, rate: 0.97 * most, late: lateness{3 * time.Millisecond, 50 * time.Millisecond}}
+	busy := plainSimulation{workers: 4, slots: 6, work: 60 * time.Millisecond, rate: 0.97 * most, delays: updateDelays{3 * time.Millisecond, 50 * time.Millisecond}}
 	hold := placer.Request{Service: "app", Left: time.Second, Target: 300 * time.Millisecond}
 
-	It("is expected to take what it takes, and refuses next to nobody for good", func() {
+	It("has accurate predictions, and serves nearly all callers", func() {
 		for seed := range uint64(3) {
-			o := busy.serve(401+seed, length, hold)
+			o := busy.run(401+seed, length, hold)
 			AddReportEntry("near its limit", o.String())
 			predicted, seen := o.waits()
 			Expect(predicted).To(BeNumerically("~", seen, seen/3))
@@ -172,24 +171,25 @@
 		}
 	})
 
-	It("answers what it can do where twice as much comes, and those not refused in time", func() {
+	It("stays at its capacity when twice as much arrives, with answers in time unless refused once", func() {
 		flood := busy
 		flood.rate = 2 * most
 		for seed := range uint64(3) {
-			o := flood.serve(401+seed, length, hold)
+			o := flood.run(401+seed, length, hold)
 			AddReportEntry("twice its limit", o.String())
 			Expect(o.served).To(BeNumerically(">", most*length.Seconds()*95/100))
-			Expect(o.inTime).To(BeNumerically(">", (o.served-o.back)*95/100))
+			Expect(o.inTime).To(BeNumerically(">", (o.served-o.servedOnRetry)*95/100))
 		}
 	})
 
-	// Two kinds of callers, as urgent as each other, ask one plain service for twice what it
-	// can do. It answers in order; let in by its own target, the kind with the longer one
-	// keeps the queue beyond the other's, which is never served.
+	// Guards against starving callers with a tight target. Two kinds of callers, equally
+	// urgent, ask one plain service for twice what it can do. It answers in order; if each kind
+	// went by its own target, the one with the longer target would keep the queue too long for
+	// the other, which would never be served.
 	It("serves callers with a tight target as often as those with a longer one", func() {
 		for _, rank := range []int{0, 1} {
 			v := placer.New("a")
-			v.SetWorkers(start, desks("d-1"))
+			v.SetWorkers(start, plainWorkers("d-1"))
 			tight, loose := hold, hold
 			tight.Target, loose.Target, loose.Rank = 150*time.Millisecond, 600*time.Millisecond, rank
 			served := map[time.Duration]int{}
@@ -206,7 +206,7 @@
 					}
 				}
 				now = now.Add(20 * time.Millisecond)
-				if round%2 == 1 && len(under) > 0 { // two slots of 40 ms each answer one of two that ask
+				if round%2 == 1 && len(under) > 0 { // two slots of 40 ms each answer one of two requests
 					v.BegunAfter(now, under[0].ID, 40*time.Millisecond*time.Duration(1+max(len(under)-2, 0)/2))
 					v.Ended(now, under[0].ID, placer.Answered)
 					under = under[1:]
@@ -216,13 +216,13 @@
 		}
 	})
 
-	// A host that has just started hears of requests before it knows the workers. How many
-	// rounds such a request took is not known to it; taken for none, the time of an answer
-	// becomes infinite, and the host refuses all callers of the service for good.
-	It("learns nothing of requests that were sent before it knew their worker", func() {
+	// Guards against an infinite time of an answer. A host that has just started learns of
+	// requests before it knows their workers, and so does not know how many rounds they took.
+	// With zero rounds, it would refuse all callers of the service for good.
+	It("learns nothing from requests that were sent before it knew their worker", func() {
 		v := placer.New("a")
 		v.Receive(start, "other", placer.Flight{ID: 1, Worker: "d-1", Left: time.Second})
-		v.SetWorkers(start, desks("d-1"))
+		v.SetWorkers(start, plainWorkers("d-1"))
 		v.BegunAfter(start, 1, 60*time.Millisecond)
 		v.Ended(start, 1, placer.Answered)
 		for id := range uint64(4) {
--- a/placer/protecting.go
+++ b/placer/protecting.go
@@ -9,10 +9,10 @@
 	// reserveDeviations is the number of standard deviations of the more urgent requests for
 	// which slots are kept free, and maxReserveShare the maximum part of one engine's slots
 	// kept for them.
-	reserveSpreads  = 2.0
-	maxReserveShare = 0.25
+	reserveDeviations = 2.0
+	maxReserveShare   = 0.25
 	// pooledDeviations is the same for all engines together: a request may go to any of them.
-	pooledSpreads = 3.0
+	pooledDeviations = 3.0
 )
 
 // reservation is the slots of a service's engines that routes more urgent than a request's will
@@ -31,23 +31,23 @@
 // requests at the engines, it would fall with each refusal. The route decides, not the
 // organisation: the long prompts of an urgent organisation would keep out the short ones of all
 // others.
-func (v *View) reserve(now time.Time, options []candidate, a Request) reservation {
+func (v *View) reserve(now time.Time, options []candidate, req Request) reservation {
 	var p reservation
 	if len(options) == 0 || options[0].CacheTokens == 0 {
 		return p
 	}
-	hold := 0
+	heldTokens := 0
 	for i := range options {
 		o := &options[i]
 		p.present += o.urgentCount
 		p.free += max(o.Slots-len(o.flights), 0)
-		hold += o.hold
+		heldTokens += o.hold
 	}
 	n := float64(len(options))
-	tokens, reading := p.addDemand(now, v.offered[a.Service], a.Tier)
+	tokens, prefill := p.addDemand(now, v.offered[req.Service], req.Tier)
 	if p.rate > 0 {
 		f := options[0].fit
-		p.holdTime = f.overhead() + tokens/p.rate*f.tokenTime(float64(hold)/n, reading/n/1000)
+		p.holdTime = f.overhead() + tokens/p.rate*f.tokenTime(float64(heldTokens)/n, prefill/n/1000)
 	}
 	p.reservePerEngine(options)
 	return p
@@ -56,7 +56,7 @@
 // addDemand sets the rate of more urgent requests, and returns their output tokens per second
 // and the milliseconds per second that engines prefill beside them. Requests less urgent than
 // this one are left out: they are refused first, so that engines do not prefill them for long.
-func (p *reservation) addDemand(now time.Time, list []tierLoad, tier int) (tokens, reading float64) {
+func (p *reservation) addDemand(now time.Time, list []tierLoad, tier int) (tokens, prefill float64) {
 	for i := range list {
 		x := &list[i]
 		switch {
@@ -64,23 +64,23 @@
 			rate := x.currentRate(now)
 			p.rate += rate
 			tokens += rate * x.expectedOutput()
-			reading += rate * x.prefill
+			prefill += rate * x.prefill
 		case x.tier == tier:
-			reading += x.currentAssigned(now)
+			prefill += x.currentAssigned(now)
 		}
 	}
-	return tokens, reading
+	return tokens, prefill
 }
 
 // tokenTime returns the milliseconds per token of a stream at an engine that holds so many
 // tokens and prefills for the given part of its time. While it prefills, a token takes as long
 // as a chunk, otherwise as long as a step.
-func (f *fit) tokenTime(hold, duty float64) float64 {
+func (f *fit) tokenTime(hold, prefillShare float64) float64 {
 	context := contextMillis * hold / 1000
 	step := stepMillis + context
-	reading := max(f.prefillTime(chunkTokens, chunkTokens)+context, step)
-	duty = min(duty, 1)
-	return 1 / (duty/reading + (1-duty)/step)
+	chunkTime := max(f.prefillTime(chunkTokens, chunkTokens)+context, step)
+	prefillShare = min(prefillShare, 1)
+	return 1 / (prefillShare/chunkTime + (1-prefillShare)/step)
 }
 
 // reservePerEngine reserves slots of each engine for the expected fluctuation of the more
@@ -90,10 +90,10 @@
 		return
 	}
 	n := float64(len(options))
-	kept := min(reserveSpreads*math.Sqrt(float64(p.present)/n), pooledSpreads*math.Sqrt(float64(p.present))/n)
+	slots := min(reserveDeviations*math.Sqrt(float64(p.present)/n), pooledDeviations*math.Sqrt(float64(p.present))/n)
 	for i := range options {
 		o := &options[i]
-		o.reserved = int(math.Ceil(math.Min(kept, maxReserveShare*float64(o.Slots))))
+		o.reserved = int(math.Ceil(math.Min(slots, maxReserveShare*float64(o.Slots))))
 	}
 }
 
@@ -106,15 +106,15 @@
 // wanted returns the slots that more urgent routes will want besides those that they have.
 func (p reservation) wanted() float64 {
 	need := p.rate * p.holdTime / 1000
-	return need + reserveSpreads*math.Sqrt(need) - float64(p.present)
+	return need + reserveDeviations*math.Sqrt(need) - float64(p.present)
 }
 
 // exhausted reports whether more urgent routes will want all free slots.
 func (p reservation) exhausted() bool { return p.rate > 0 && float64(p.free) <= p.wanted() }
 
 // offeredLoad returns a request as offered load. Its prefill is that at the best candidate.
-func (a Request) offeredLoad(o *candidate) OfferedLoad {
-	x := OfferedLoad{Service: a.Service, Tier: a.Tier, Count: 1, Output: a.Output}
+func (req Request) offeredLoad(o *candidate) OfferedLoad {
+	x := OfferedLoad{Service: req.Service, Tier: req.Tier, Count: 1, Output: req.Output}
 	if o != nil && o.CacheTokens > 0 {
 		x.Prefill = milliseconds(o.ownTime)
 	}
--- a/placer/returning.go
+++ b/placer/returning.go
@@ -11,7 +11,7 @@
 )
 
 // serviceRank identifies the requests of a service with the same rank.
-type class struct {
+type serviceRank struct {
 	service string
 	rank    int
 }
@@ -20,20 +20,20 @@
 // requests of its rank refused before it have been prefilled. Without it, requests that are
 // refused together return together, and all but the first are refused again. Less urgent
 // requests do not delay more urgent ones.
-func (v *View) scheduleReturn(now time.Time, a Request, options []candidate, after time.Duration) time.Duration {
-	own := 0.0
+func (v *View) scheduleReturn(now time.Time, req Request, options []candidate, after time.Duration) time.Duration {
+	prefill := 0.0
 	for _, o := range options {
-		own += o.ownTime / float64(len(options)*len(options))
+		prefill += o.ownTime / float64(len(options)*len(options))
 	}
 	at := now.Add(after)
-	key := class{service: a.Service, rank: a.Rank}
+	key := serviceRank{service: req.Service, rank: req.Rank}
 	if b := v.returns[key]; b.After(at) {
 		at = b
 	}
-	most := now.Add(time.Duration(maxAwayShare * float64(a.Left)))
-	if at.After(most) {
-		at = most
+	latest := now.Add(time.Duration(maxAwayShare * float64(req.Left)))
+	if at.After(latest) {
+		at = latest
 	}
-	v.returns[key] = at.Add(milliseconds(returnWeight * own))
+	v.returns[key] = at.Add(milliseconds(returnWeight * prefill))
 	return at.Sub(now)
 }
--- a/placer/running.go
+++ b/placer/running.go
@@ -28,12 +28,12 @@
 // ReceiveRunning adds a flight that another host had under way. Without it, a host that starts
 // takes the engines for empty and sends more than their slots hold, so that streams are
 // preempted. Neither its time nor its demand is learned from, as it was not requested now.
-func (v *View) ReceiveRunning(now time.Time, from string, r RunningFlight) {
+func (v *View) ReceiveRunning(now time.Time, host string, r RunningFlight) {
 	f := r.Flight
 	if r.Begun {
 		f.Prefill = 0
 	}
-	x := v.addReceived(now, from, f)
+	x := v.addReceived(now, host, f)
 	if x == nil || !r.Begun {
 		return
 	}
--- a/placer/running_test.go
+++ b/placer/running_test.go
@@ -9,12 +9,12 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-var _ = Describe("What is under way", func() {
+var _ = Describe("Requests under way", func() {
 	chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond}
 
-	// Guards against a host that starts, takes all engines for empty and fills them beyond
-	// their slots.
-	It("is known to a host that starts, and is not taken for what is asked for", func() {
+	// Guards against a host that starts, takes all engines for empty and sends more than their
+	// slots hold.
+	It("are known to a host that starts, and do not count as offered load", func() {
 		workers := engines("e-1", "e-2")
 		old, fresh := placer.New("a"), placer.New("a")
 		old.SetWorkers(start, workers)
--- a/placer/sharing_test.go
+++ b/placer/sharing_test.go
@@ -9,10 +9,10 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// Guards against several hosts that fill an engine's last slot at once, and streams that are
-// taken off for it.
-var _ = Describe("Hosts that decide at once", func() {
-	It("fill no engine beyond its slots before they hear of one another", func() {
+// Guards against several hosts filling an engine's last slot at the same time, so that streams
+// are preempted.
+var _ = Describe("Hosts that decide at the same time", func() {
+	It("fill no engine beyond its slots before they learn of each other", func() {
 		const hosts, slots = 3, 24
 		names := []string{"e-1", "e-2", "e-3", "e-4"}
 		workers := engines(names...)
@@ -42,7 +42,7 @@
 				}
 			}
 		}
-		Expect(placed).To(Equal(len(names)), "each last slot is somebody's")
+		Expect(placed).To(Equal(len(names)), "each last slot belongs to a host")
 		for _, n := range taken {
 			Expect(n).To(Equal(1))
 		}
--- a/placer/suspecting.go
+++ b/placer/suspecting.go
@@ -42,13 +42,13 @@
 // workerOfCopy returns the worker that has a copy of a suspected request; "" if there is none,
 // or if the request was there before. Copies of a request that crashes workers arrive faster
 // than they crash them, and would crash one worker each. Together they crash one.
-func (v *View) workerOfCopy(a Request) string {
-	if !v.quarantine.Suspected(a.Fingerprint) {
+func (v *View) workerOfCopy(req Request) string {
+	if !v.quarantine.Suspected(req.Fingerprint) {
 		return ""
 	}
 	worker, id := "", uint64(0)
 	for _, f := range v.flights {
-		if f.Fingerprint == a.Fingerprint && !excluded(a, f.Worker) && v.workers[f.Worker] != nil && (worker == "" || f.ID < id) {
+		if f.Fingerprint == req.Fingerprint && !excluded(req, f.Worker) && v.workers[f.Worker] != nil && (worker == "" || f.ID < id) {
 			worker, id = f.Worker, f.ID
 		}
 	}
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -80,8 +80,8 @@
 // prompt that was prefilled alone.
 func (w *worker) learn(f *flight, took float64) {
 	w.fit.learn(f.Prefill, f.Hold, math.Max(took-w.decodeTime(f.Prefill), 1))
-	expected := w.fit.predict(termsOf(f.Prefill, f.Hold)) + w.decodeTime(f.Prefill)
-	seen := math.Min(math.Max(took/expected, minSlowness), maxSlowness)
+	predicted := w.fit.predict(termsOf(f.Prefill, f.Hold)) + w.decodeTime(f.Prefill)
+	seen := math.Min(math.Max(took/predicted, minSlowness), maxSlowness)
 	w.slowness += sampleWeight * (seen - w.slowness)
 }
 
--- a/quarantiner/bench_test.go
+++ b/quarantiner/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkFingerprintOf measures the fingerprint of a long prompt.
-func BenchmarkOf(b *testing.B) {
+func BenchmarkFingerprintOf(b *testing.B) {
 	body := make([]byte, 18_000)
 	for range b.N {
 		_ = quarantiner.FingerprintOf("organisation", "POST", "/v1/plans/17", body)
@@ -18,28 +18,28 @@
 
 // BenchmarkWorkerCrashed measures the recording of one crash, with as many marks as a crash of
 // thirty workers with fifty requests each leaves, and one quarantined request.
-func BenchmarkEnded(b *testing.B) {
-	var book quarantiner.Tracker
+func BenchmarkWorkerCrashed(b *testing.B) {
+	var tracker quarantiner.Tracker
 	now := time.Unix(1000, 0)
 	for i := range 3 {
 		now = now.Add(time.Second)
-		book.WorkerCrashed(now, 1, fmt.Sprint("w-", i), now.Add(-time.Millisecond))
+		tracker.WorkerCrashed(now, 1, fmt.Sprint("w-", i), now.Add(-time.Millisecond))
 	}
 	for i := range 1500 {
-		book.WorkerCrashed(now, quarantiner.Fingerprint(2+i), fmt.Sprint("x-", i/50), now.Add(-time.Millisecond))
+		tracker.WorkerCrashed(now, quarantiner.Fingerprint(2+i), fmt.Sprint("x-", i/50), now.Add(-time.Millisecond))
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		book.WorkerCrashed(now, quarantiner.Fingerprint(2+i%1500), "x-31", now.Add(-time.Second))
+		tracker.WorkerCrashed(now, quarantiner.Fingerprint(2+i%1500), "x-31", now.Add(-time.Second))
 	}
 }
 
 // BenchmarkQuarantined measures the check that each request goes through, with nothing
 // quarantined.
-func BenchmarkHeld(b *testing.B) {
-	var book quarantiner.Tracker
+func BenchmarkQuarantined(b *testing.B) {
+	var tracker quarantiner.Tracker
 	now := time.Unix(1000, 0)
 	for range b.N {
-		_, _ = book.Quarantined(now, 7)
+		_, _ = tracker.Quarantined(now, 7)
 	}
 }
--- a/quarantiner/fingerprint.go
+++ b/quarantiner/fingerprint.go
@@ -30,7 +30,7 @@
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != size {
-		return fmt.Errorf("%q is no fingerprint of %d hexadecimal digits", text, 2*size)
+		return fmt.Errorf("%q is not a fingerprint of %d hexadecimal digits", text, 2*size)
 	}
 	*f = Fingerprint(binary.BigEndian.Uint64(b))
 	return nil
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -127,39 +127,39 @@
 
 // WorkerCrashed records that a worker crashed with a request that was sent to it at the given
 // time.
-func (b *Tracker) WorkerCrashed(now time.Time, f Fingerprint, worker string, sent time.Time) {
-	r := b.records[f]
+func (t *Tracker) WorkerCrashed(now time.Time, f Fingerprint, worker string, sent time.Time) {
+	r := t.records[f]
 	switch {
 	case f == 0:
 		return
 	case r != nil && r.quarantined(now):
 		r.addMark(mark{worker, now})
 		return
-	case b.isExplained(mark{worker, now}):
+	case t.isExplained(mark{worker, now}):
 		return
 	case r == nil:
-		r = b.add(f)
+		r = t.add(f)
 	case !sent.After(r.lastMark()):
 		return // the previous crash happened while this copy was under way
-	case b.stillRunning(now, r, worker):
+	case t.stillRunning(now, r, worker):
 		return
 	}
 	r.marks = append(r.marks, mark{worker, now})
-	b.lastMark = now
+	t.lastMark = now
 	if len(r.marks) < r.needed {
 		return
 	}
 	r.duration = min(max(2*r.duration, firstDuration), maxDuration)
 	r.quarantine(now, r.duration)
-	b.clearExplained(now, r)
-	b.newlyQuarantined = append(b.newlyQuarantined, r.entry(now, f))
+	t.clearExplained(now, r)
+	t.newlyQuarantined = append(t.newlyQuarantined, r.entry(now, f))
 }
 
 // stillRunning reports whether the request has a recent mark for the same worker. The worker
 // then did not crash the first time, only a connection broke; the mark moves to now.
-func (b *Tracker) stillRunning(now time.Time, r *record, worker string) bool {
+func (t *Tracker) stillRunning(now time.Time, r *record, worker string) bool {
 	i := slices.IndexFunc(r.marks, func(m mark) bool { return m.worker == worker })
-	if !b.RenamedOnRestart || i < 0 || now.Sub(r.marks[i].at) >= b.minRestartTime() {
+	if !t.RenamedOnRestart || i < 0 || now.Sub(r.marks[i].at) >= t.minRestartTime() {
 		return false
 	}
 	r.marks[i].at = now
@@ -167,21 +167,21 @@
 }
 
 // minRestartTime returns MinRestartTime or its default.
-func (b *Tracker) minRestartTime() time.Duration {
-	return cmp.Or(b.MinRestartTime, defaultMinRestartTime)
+func (t *Tracker) minRestartTime() time.Duration {
+	return cmp.Or(t.MinRestartTime, defaultMinRestartTime)
 }
 
 // DrainQuarantined returns the requests quarantined by this host since the last call.
-func (b *Tracker) DrainQuarantined() []Entry {
-	caught := b.newlyQuarantined
-	b.newlyQuarantined = nil
+func (t *Tracker) DrainQuarantined() []Entry {
+	caught := t.newlyQuarantined
+	t.newlyQuarantined = nil
 	return caught
 }
 
 // DrainReleased returns the requests released since the last call.
-func (b *Tracker) DrainReleased() []Fingerprint {
-	freed := b.newlyReleased
-	b.newlyReleased = nil
+func (t *Tracker) DrainReleased() []Fingerprint {
+	freed := t.newlyReleased
+	t.newlyReleased = nil
 	return freed
 }
 
@@ -195,8 +195,8 @@
 }
 
 // isExplained reports whether a quarantined request caused the crash that a mark stands for.
-func (b *Tracker) isExplained(m mark) bool {
-	for _, r := range b.records {
+func (t *Tracker) isExplained(m mark) bool {
+	for _, r := range t.records {
 		if r.quarantined(m.at) && r.explains(m) {
 			return true
 		}
@@ -206,76 +206,76 @@
 
 // clearExplained removes the marks of other requests for crashes that a quarantined request
 // explains.
-func (b *Tracker) clearExplained(now time.Time, by *record) {
-	for f, r := range b.records {
+func (t *Tracker) clearExplained(now time.Time, by *record) {
+	for f, r := range t.records {
 		if r == by || r.quarantined(now) {
 			continue
 		}
 		r.marks = slices.DeleteFunc(r.marks, by.explains)
 		if r.empty() {
-			delete(b.records, f)
+			delete(t.records, f)
 		}
 	}
 }
 
 // add creates a record, after dropping old ones if there are too many.
-func (b *Tracker) add(f Fingerprint) *record {
-	if b.records == nil {
-		b.records = map[Fingerprint]*record{}
+func (t *Tracker) add(f Fingerprint) *record {
+	if t.records == nil {
+		t.records = map[Fingerprint]*record{}
 	}
-	if len(b.records) >= maxRecords {
-		b.shrink()
+	if len(t.records) >= maxRecords {
+		t.shrink()
 	}
 	r := &record{needed: maxMarks}
-	b.records[f] = r
+	t.records[f] = r
 	return r
 }
 
 // shrink drops a quarter of the records: those not quarantined first, the oldest of them before
 // others.
-func (b *Tracker) shrink() {
-	all := slices.SortedFunc(maps.Keys(b.records), func(x, y Fingerprint) int {
-		return cmp.Or(b.records[x].until.Compare(b.records[y].until), b.records[x].lastMark().Compare(b.records[y].lastMark()))
+func (t *Tracker) shrink() {
+	all := slices.SortedFunc(maps.Keys(t.records), func(x, y Fingerprint) int {
+		return cmp.Or(t.records[x].until.Compare(t.records[y].until), t.records[x].lastMark().Compare(t.records[y].lastMark()))
 	})
 	for _, f := range all[:len(all)/4] {
-		delete(b.records, f)
+		delete(t.records, f)
 	}
 }
 
 // Answered records that a worker answered a request, even with an error: the request does not
 // crash its worker, so its record is removed.
-func (b *Tracker) Answered(f Fingerprint) { delete(b.records, f) }
+func (t *Tracker) Answered(f Fingerprint) { delete(t.records, f) }
 
 // Alive records that a worker was alive at a given time. If it seemed to crash before that,
 // only a connection broke. Alive reports whether it removed a mark.
-func (b *Tracker) Alive(now time.Time, worker string, at time.Time) bool {
-	within := b.minRestartTime()
-	if now.Sub(b.lastMark) >= within {
+func (t *Tracker) Alive(now time.Time, worker string, at time.Time) bool {
+	within := t.minRestartTime()
+	if now.Sub(t.lastMark) >= within {
 		return false // no mark is recent enough
 	}
-	some := false
-	for f, r := range b.records {
+	removed := false
+	for f, r := range t.records {
 		before := len(r.marks)
 		r.marks = slices.DeleteFunc(r.marks, func(m mark) bool {
 			return m.worker == worker && at.Sub(m.at) > UsualUpdateDelay && now.Sub(m.at) < within
 		})
-		some = some || len(r.marks) < before
+		removed = removed || len(r.marks) < before
 		if len(r.marks) < r.needed && r.quarantined(now) {
 			r.until, r.duration = time.Time{}, 0
 		}
 		if r.empty() {
-			delete(b.records, f)
+			delete(t.records, f)
 		}
 	}
-	return some
+	return removed
 }
 
 // Suspected reports whether a request has a record.
-func (b *Tracker) Suspected(f Fingerprint) bool { return b.records[f] != nil }
+func (t *Tracker) Suspected(f Fingerprint) bool { return t.records[f] != nil }
 
 // Quarantined reports whether a request is quarantined, and for how much longer.
-func (b *Tracker) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
-	r := b.records[f]
+func (t *Tracker) Quarantined(now time.Time, f Fingerprint) (time.Duration, bool) {
+	r := t.records[f]
 	if r == nil || !r.quarantined(now) {
 		return 0, false
 	}
@@ -283,9 +283,9 @@
 }
 
 // List returns the quarantined requests, ordered by fingerprint.
-func (b *Tracker) List(now time.Time) []Entry {
+func (t *Tracker) List(now time.Time) []Entry {
 	var out []Entry
-	for f, r := range b.records {
+	for f, r := range t.records {
 		if r.quarantined(now) {
 			out = append(out, r.entry(now, f))
 		}
@@ -308,39 +308,39 @@
 
 // Receive adds a request that another host has quarantined. It reports whether it was not
 // quarantined here yet.
-func (b *Tracker) Receive(now time.Time, h Entry) bool {
-	if h.Fingerprint == 0 || h.Remaining <= 0 {
+func (t *Tracker) Receive(now time.Time, e Entry) bool {
+	if e.Fingerprint == 0 || e.Remaining <= 0 {
 		return false
 	}
-	r := b.records[h.Fingerprint]
+	r := t.records[e.Fingerprint]
 	if r != nil && r.quarantined(now) {
 		return false
 	}
 	if r == nil {
-		r = b.add(h.Fingerprint)
+		r = t.add(e.Fingerprint)
 	}
 	r.marks = nil
-	for _, worker := range h.Workers {
+	for _, worker := range e.Workers {
 		r.marks = append(r.marks, mark{worker, now})
 	}
-	r.duration = min(h.Duration, maxDuration)
-	r.quarantine(now, min(h.Remaining, maxDuration))
-	b.clearExplained(now, r)
+	r.duration = min(e.Duration, maxDuration)
+	r.quarantine(now, min(e.Remaining, maxDuration))
+	t.clearExplained(now, r)
 	return true
 }
 
 // Sweep releases requests whose quarantine is over, on probation: a single further crash
 // quarantines them again, for longer. It also removes old records.
-func (b *Tracker) Sweep(now time.Time) {
-	for f, r := range b.records {
+func (t *Tracker) Sweep(now time.Time) {
+	for f, r := range t.records {
 		switch {
 		case r.quarantined(now):
 		case r.duration > 0 && !r.released:
-			b.newlyReleased = append(b.newlyReleased, f)
+			t.newlyReleased = append(t.newlyReleased, f)
 			r.marks, r.needed, r.released = nil, 1, true
 		case now.Sub(r.idleSince()) > max(forgetAfter, r.duration):
-			delete(b.records, f)
+			delete(t.records, f)
 		}
 	}
-	slices.Sort(b.newlyReleased)
+	slices.Sort(t.newlyReleased)
 }
