--- a/placer/ask.go
+++ b/placer/ask.go
@@ -17,8 +17,8 @@
 	EventTokens int           // tokens in one event of an engine's stream
 	TokenBytes  int           // bytes that a token takes in an engine's KV cache
 	LinkMbps    float64       // rate at which it fetches cached tokens from another engine; 0 if it can't
-	ColdFor     time.Duration // remaining time for which it is slow after its start
-	Instance    string        // changes when the worker restarts under the same name
+	WarmUp      time.Duration // remaining time for which it is slow after its start
+	Incarnation string        // changes when the worker restarts under the same name
 }
 
 // Part is one part of a prompt. Its Key also covers all parts before it: a cached part is only
@@ -55,7 +55,7 @@
 	Parts   []Part
 	Prefill int           // prompt tokens that the worker has to prefill
 	Hold    int           // tokens that it takes up in the worker's KV cache
-	Left    time.Duration // time by which its answer is over
+	Left    time.Duration // time within which its answer ends
 	Gap     time.Duration // target for the longest pause in its stream; 0 is none
 	Rank    int           // urgency among all requests; 0 is the most urgent
 	Tier    int           // urgency of its route alone
--- a/placer/basis.go
+++ b/placer/basis.go
@@ -13,7 +13,7 @@
 	Bound   time.Duration // maximum of the queue, or of a plain service's wait
 	End     time.Duration // expected time to the last event
 	Free    int           // free slots of all engines of the service
-	Wanted  int           // of these, the ones that more urgent routes will want
+	Wanted  int           // slots that more urgent routes will want besides those that they have
 	Offered float64       // requests of more urgent routes per second
 	Held    time.Duration // expected time for which one of those takes a slot
 	Age     time.Duration // time since another host last reported what it sent; 0 if none ever did
@@ -38,8 +38,8 @@
 
 // bound returns the maximum wait for other requests, in milliseconds: in the prefill queue, or
 // for a plain service's answer.
-func (v *View) bound(o *candidate, req Request) float64 {
-	if o.CacheTokens == 0 {
+func (v *View) bound(c *candidate, req Request) float64 {
+	if c.CacheTokens == 0 {
 		return v.maxPlainWait(req)
 	}
 	return maxQueueShare * inMilliseconds(req.Target)
--- a/placer/chooser_test.go
+++ b/placer/chooser_test.go
@@ -92,9 +92,9 @@
 // other events.
 type updateDelays struct{ sent, others time.Duration }
 
-func fleetOf(hosts int, late updateDelays, worker func(string) placer.Worker) func([]string, *rand.Rand) chooser {
+func fleetOf(hosts int, delays updateDelays, worker func(string) placer.Worker) func([]string, *rand.Rand) chooser {
 	return func(names []string, r *rand.Rand) chooser {
-		f := &fleet{delays: late, chosenBy: map[uint64]int{}, sent: map[uint64]time.Duration{}, r: r}
+		f := &fleet{delays: delays, chosenBy: map[uint64]int{}, sent: map[uint64]time.Duration{}, r: r}
 		var workers []placer.Worker
 		for _, n := range names {
 			workers = append(workers, worker(n))
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -80,57 +80,57 @@
 )
 
 // cost returns the cost of a candidate in milliseconds. The request goes to the lowest.
-func (v *View) cost(now time.Time, o *candidate, req Request) float64 {
-	c := o.wait + o.currentPenalty(now)
-	if o.Zone != cmp.Or(req.Zone, v.zone) {
-		c += zoneCost
+func (v *View) cost(now time.Time, c *candidate, req Request) float64 {
+	total := c.wait + c.currentPenalty(now)
+	if c.Zone != cmp.Or(req.Zone, v.zone) {
+		total += zoneCost
 	}
-	if now.Before(o.coldUntil) {
-		c += coldCost
+	if now.Before(c.coldUntil) {
+		total += coldCost
 	}
-	if o.CacheTokens == 0 {
-		return c + loadCost*float64(len(o.flights))/float64(o.Slots)
+	if c.CacheTokens == 0 {
+		return total + loadCost*float64(len(c.flights))/float64(c.Slots)
 	}
-	c += prefillWeight*o.ownTime + fetchWeight*o.fetchDelay + o.pauseCost(now, req)
+	total += prefillWeight*c.ownTime + fetchWeight*c.fetchDelay + c.pauseCost(now, req)
 	if !v.ignoreEvictions {
-		c += o.evictionCost(req)
+		total += c.evictionCost(req)
 	}
-	if over := len(o.flights) + 1 - o.Slots; over > 0 {
-		c += slotCost * float64(over)
+	if over := len(c.flights) + 1 - c.Slots; over > 0 {
+		total += slotCost * float64(over)
 	}
-	if room := memoryShare * float64(o.CacheTokens); float64(o.hold+req.Prompt+req.Output) > room {
-		c += fullCost
+	if room := memoryShare * float64(c.CacheTokens); float64(c.hold+req.Prompt+req.Output) > room {
+		total += fullCost
 	}
-	return c
+	return total
 }
 
 // evictionCost returns the time, in milliseconds, to prefill again what the engine would evict
 // for the request, of parts that other requests use. Without it, engines with a full cache get
 // more requests while their queue is short for a moment, though others have room; what they
 // evict is prefilled again for the next requests, which lengthens the queues.
-func (o *candidate) evictionCost(req Request) float64 {
-	cached := req.Prompt - o.prefillTokens - o.fetchTokens
+func (c *candidate) evictionCost(req Request) float64 {
+	cached := req.Prompt - c.prefillTokens - c.fetchTokens
 	fresh := -cached
 	for _, p := range req.Parts {
 		fresh += p.Tokens
 	}
-	evicted := o.cache.tokens + max(fresh, 0) - o.cacheRoom(o.hold+req.Prompt+req.Output)
-	return float64(o.cache.sharedTokens(evicted)) / chunkTokens * o.prefillTime(chunkTokens, chunkTokens)
+	evicted := c.cache.tokens + max(fresh, 0) - c.cacheRoom(c.hold+req.Prompt+req.Output)
+	return float64(c.cache.sharedTokens(evicted)) / chunkTokens * c.prefillTime(chunkTokens, chunkTokens)
 }
 
 // pauseCost returns the cost, in milliseconds, of longer pauses in streams: in those at the
 // worker, if this request's prefill delays one of their events too long; and in this request's
 // own, if the worker has much to prefill. It separates long prompts from streams with tight
 // targets.
-func (o *candidate) pauseCost(now time.Time, req Request) float64 {
-	limit := longPrefillShare * o.maxPrefillPause()
+func (c *candidate) pauseCost(now time.Time, req Request) float64 {
+	limit := longPrefillShare * c.maxPrefillPause()
 	cost := 0.0
-	if o.ownTime > limit || o.delay(req) == 0 && o.ownTime+o.backlog > limit {
-		cost += tightCost * o.tightStreams
+	if c.ownTime > limit || c.delay(req) == 0 && c.ownTime+c.backlog > limit {
+		cost += tightCost * c.tightStreams
 	}
-	cost += concurrentWeight * o.ownTime * o.tightStreams
-	if req.Gap > 0 && inMilliseconds(req.Gap) < tightFactor*o.maxPrefillPause() {
-		cost += riskCost*o.prefillLoad(now)/inMilliseconds(prefillLoadDecay) + followingWeight*math.Max(o.backlog-o.queueTime, 0)
+	cost += concurrentWeight * c.ownTime * c.tightStreams
+	if req.Gap > 0 && inMilliseconds(req.Gap) < tightFactor*c.maxPrefillPause() {
+		cost += riskCost*c.prefillLoad(now)/inMilliseconds(prefillLoadDecay) + followingWeight*math.Max(c.backlog-c.queueTime, 0)
 	}
 	return cost
 }
@@ -138,9 +138,9 @@
 // delay returns how long a long prompt waits at its host until the worker has prefilled what it
 // was sent before, if prefilling both without a break would exceed the target for pauses of
 // streams at the worker. In between, the streams get their next tokens.
-func (o *candidate) delay(req Request) time.Duration {
-	if o.ownTime < minLongPrefill || o.backlog == 0 || o.ownTime+o.backlog <= longPrefillShare*o.maxPrefillPause() || o.tightStreams == 0 {
+func (c *candidate) delay(req Request) time.Duration {
+	if c.ownTime < minLongPrefill || c.backlog == 0 || c.ownTime+c.backlog <= longPrefillShare*c.maxPrefillPause() || c.tightStreams == 0 {
 		return 0
 	}
-	return min(milliseconds(o.backlog+decodePause), time.Duration(maxDelayShare*float64(req.Target)))
+	return min(milliseconds(c.backlog+decodePause), time.Duration(maxDelayShare*float64(req.Target)))
 }
--- a/placer/demand.go
+++ b/placer/demand.go
@@ -20,10 +20,10 @@
 }
 
 // note records the arrival of a request.
-func (d recentTargets) note(now time.Time, req Request) {
-	recent := d[req.Service][:0]
+func (t recentTargets) note(now time.Time, req Request) {
+	recent := t[req.Service][:0]
 	known := false
-	for _, x := range d[req.Service] {
+	for _, x := range t[req.Service] {
 		if x.rank == req.Rank && x.tier == req.Tier && x.target == req.Target {
 			known, x.at = true, now
 		}
@@ -34,14 +34,14 @@
 	if !known {
 		recent = append(recent, recentTarget{rank: req.Rank, tier: req.Tier, target: req.Target, at: now})
 	}
-	d[req.Service] = recent
+	t[req.Service] = recent
 }
 
 // tightest returns the shortest target among this request and recent ones that are at least as
 // urgent.
-func (d recentTargets) tightest(req Request) time.Duration {
+func (t recentTargets) tightest(req Request) time.Duration {
 	tightest := req.Target
-	for _, x := range d[req.Service] {
+	for _, x := range t[req.Service] {
 		if x.rank <= req.Rank && x.target > 0 && x.target < tightest {
 			tightest = x.target
 		}
@@ -50,6 +50,6 @@
 }
 
 // leastUrgent reports whether no request of a less urgent route arrived recently.
-func (d recentTargets) leastUrgent(req Request) bool {
-	return !slices.ContainsFunc(d[req.Service], func(x recentTarget) bool { return x.tier > req.Tier })
+func (t recentTargets) leastUrgent(req Request) bool {
+	return !slices.ContainsFunc(t[req.Service], func(x recentTarget) bool { return x.tier > req.Tier })
 }
--- a/placer/fit.go
+++ b/placer/fit.go
@@ -65,9 +65,10 @@
 
 func newFit() *fit { return &fit{factor: priorFactors} }
 
-// termsOf returns the terms of a request with so many tokens, of which read are prefilled.
-func termsOf(read, tokens int) factors {
-	n := float64(read)
+// termsOf returns the terms of a request with so many tokens, of which prefill have to be
+// prefilled.
+func termsOf(prefill, tokens int) factors {
+	n := float64(prefill)
 	return factors{1, n / 1e3, n * math.Max(float64(tokens)-n/2, 0) / 1e6}
 }
 
@@ -80,8 +81,8 @@
 }
 
 // prefillTime returns the time of a prefill in milliseconds, without the overhead.
-func (f *fit) prefillTime(read, tokens int) float64 {
-	x := termsOf(read, tokens)
+func (f *fit) prefillTime(prefill, tokens int) float64 {
+	x := termsOf(prefill, tokens)
 	x[0] = 0
 	return f.predict(x)
 }
@@ -91,19 +92,19 @@
 
 // learn updates the fit with the measured milliseconds to the first event of a request that was
 // prefilled alone.
-func (f *fit) learn(read, tokens int, took float64) {
-	x := termsOf(read, tokens)
+func (f *fit) learn(prefill, tokens int, took float64) {
+	x := termsOf(prefill, tokens)
 	predicted := f.predict(x)
-	seen := math.Min(math.Max(took, predicted/maxRatio), predicted*maxRatio)
+	clipped := math.Min(math.Max(took, predicted/maxRatio), predicted*maxRatio)
 	weight := 1 / squared(predicted+minFitMillis)
-	if ratio := math.Max(seen/predicted, predicted/seen); ratio > commonRatio {
+	if ratio := math.Max(clipped/predicted, predicted/clipped); ratio > commonRatio {
 		weight *= squared(commonRatio / ratio)
 	}
 	for i := range x {
 		for j := range x {
 			f.products[i][j] = fitDecay*f.products[i][j] + weight*x[i]*x[j]
 		}
-		f.moments[i] = fitDecay*f.moments[i] + weight*x[i]*seen
+		f.moments[i] = fitDecay*f.moments[i] + weight*x[i]*clipped
 	}
 	for range fitSweeps {
 		f.sweep()
@@ -127,14 +128,14 @@
 // Gauss-Seidel).
 func (f *fit) sweep() {
 	for i := range f.factor {
-		own := priorWeight * squared(priorTerms[i]/priorScale)
-		top, bottom := f.moments[i]+own*priorFactors[i], f.products[i][i]+own
+		prior := priorWeight * squared(priorTerms[i]/priorScale)
+		numerator, denominator := f.moments[i]+prior*priorFactors[i], f.products[i][i]+prior
 		for j := range f.factor {
 			if j != i {
-				top -= f.products[i][j] * f.factor[j]
+				numerator -= f.products[i][j] * f.factor[j]
 			}
 		}
-		f.factor[i] = math.Min(math.Max(top/bottom, minFactors[i]), maxFactors[i])
+		f.factor[i] = math.Min(math.Max(numerator/denominator, minFactors[i]), maxFactors[i])
 	}
 }
 
--- a/placer/flight.go
+++ b/placer/flight.go
@@ -20,7 +20,7 @@
 	prefilledAt  time.Time     // predicted end of its prefill; zero before that
 	alone        bool          // nothing else was prefilled between its sending and its first event
 	begun        bool          // its first event was seen
-	rounds       float64       // predicted time to its plain worker's answer, in times of one answer
+	rounds       float64       // predicted time to its plain worker's answer, in multiples of one answer's time
 	expiresAt    time.Time     // predicted end, if its host is lost; zero otherwise
 	tokenTime    float64       // milliseconds per token when it was sent
 	predictedEnd float64       // milliseconds to its last event, predicted by this host; 0 if unknown
@@ -108,7 +108,7 @@
 }
 
 // forget removes a flight and returns its worker. It returns nil if the view does not know the
-// worker, or only an instance that started after the flight was sent.
+// worker, or only an incarnation that started after the flight was sent.
 func (v *View) forget(now time.Time, f *flight) *worker {
 	delete(v.flights, f.ID)
 	w := v.workers[f.Worker]
--- a/placer/limiting.go
+++ b/placer/limiting.go
@@ -110,20 +110,20 @@
 }
 
 // atLimit reports whether the worker has had as many requests as it accepts.
-func (o *candidate) atLimit() bool { return o.limitWait > 0 }
+func (c *candidate) atLimit() bool { return c.limitWait > 0 }
 
 // refuseByLimit refuses a request that no worker may get because of the limits: if all of them
 // are used up, or if all workers have one and more urgent routes ask for all that they accept.
-func (v *View) refuseByLimit(now time.Time, options []candidate, req Request) *Refusal {
-	if len(options) == 0 {
+func (v *View) refuseByLimit(now time.Time, candidates []candidate, req Request) *Refusal {
+	if len(candidates) == 0 {
 		return nil
 	}
 	rate, soonest, all := 0.0, time.Duration(math.MaxInt64), true
-	for i := range options {
-		o := &options[i]
-		all = all && o.limit.rate > 0
-		rate += o.limit.rate
-		soonest = min(soonest, o.limitWait)
+	for i := range candidates {
+		c := &candidates[i]
+		all = all && c.limit.rate > 0
+		rate += c.limit.rate
+		soonest = min(soonest, c.limitWait)
 	}
 	switch {
 	case soonest > 0:
@@ -146,11 +146,11 @@
 }
 
 // withinLimit returns the candidates that may get a request.
-func withinLimit(options []candidate) []candidate {
-	out := options[:0]
-	for i := range options {
-		if !options[i].atLimit() {
-			out = append(out, options[i])
+func withinLimit(candidates []candidate) []candidate {
+	out := candidates[:0]
+	for i := range candidates {
+		if !candidates[i].atLimit() {
+			out = append(out, candidates[i])
 		}
 	}
 	return out
--- a/placer/limiting_test.go
+++ b/placer/limiting_test.go
@@ -149,7 +149,7 @@
 		answer(start, "d-1", 1e-9)
 		Expect(v.RateLimit("d-1")).To(Equal(0.25))
 		workers := plainWorkers("d-1", "d-2")
-		workers[0].Instance = "2"
+		workers[0].Incarnation = "2"
 		v.SetWorkers(start.Add(time.Second), workers)
 		Expect(v.RateLimit("d-1")).To(BeZero())
 	})
--- a/placer/line.go
+++ b/placer/line.go
@@ -15,21 +15,21 @@
 }
 
 // add inserts a flight in order.
-func (l *prefillQueue) add(now time.Time, f *flight) {
-	l.advance(now)
-	at := len(l.flights)
-	for at > 1 && l.flights[at-1].Rank > f.Rank {
+func (q *prefillQueue) add(now time.Time, f *flight) {
+	q.advance(now)
+	at := len(q.flights)
+	for at > 1 && q.flights[at-1].Rank > f.Rank {
 		at--
 	}
-	l.flights = slices.Insert(l.flights, at, f)
+	q.flights = slices.Insert(q.flights, at, f)
 }
 
 // advance removes what must have been prefilled by now.
-func (l *prefillQueue) advance(now time.Time) {
-	spent := inMilliseconds(now.Sub(l.since))
-	l.since = now
-	for len(l.flights) > 0 && spent > 0 {
-		f := l.flights[0]
+func (q *prefillQueue) advance(now time.Time) {
+	spent := inMilliseconds(now.Sub(q.since))
+	q.since = now
+	for len(q.flights) > 0 && spent > 0 {
+		f := q.flights[0]
 		if f.prefillLeft > spent {
 			f.prefillLeft -= spent
 			return
@@ -37,23 +37,23 @@
 		spent -= f.prefillLeft
 		f.prefillLeft = 0
 		f.prefilledAt = now.Add(-milliseconds(spent))
-		l.flights = l.flights[1:]
+		q.flights = q.flights[1:]
 	}
 }
 
 // remove removes a flight that was prefilled or will not be.
-func (l *prefillQueue) remove(now time.Time, f *flight) {
-	l.advance(now)
-	if i := slices.Index(l.flights, f); i >= 0 {
-		l.flights = slices.Delete(l.flights, i, i+1)
+func (q *prefillQueue) remove(now time.Time, f *flight) {
+	q.advance(now)
+	if i := slices.Index(q.flights, f); i >= 0 {
+		q.flights = slices.Delete(q.flights, i, i+1)
 	}
 }
 
 // timeAhead returns the milliseconds of prefill ahead of a request of a rank.
-func (l *prefillQueue) timeAhead(now time.Time, rank int) float64 {
-	l.advance(now)
+func (q *prefillQueue) timeAhead(now time.Time, rank int) float64 {
+	q.advance(now)
 	sum := 0.0
-	for i, f := range l.flights {
+	for i, f := range q.flights {
 		if i > 0 && f.Rank > rank {
 			break
 		}
@@ -64,10 +64,10 @@
 
 // timeUpToRank returns the milliseconds of prefill of flights that are at least as urgent as a
 // rank.
-func (l *prefillQueue) timeUpToRank(now time.Time, rank int) float64 {
-	l.advance(now)
+func (q *prefillQueue) timeUpToRank(now time.Time, rank int) float64 {
+	q.advance(now)
 	sum := 0.0
-	for _, f := range l.flights {
+	for _, f := range q.flights {
 		if f.Rank <= rank {
 			sum += f.prefillLeft
 		}
@@ -76,8 +76,8 @@
 }
 
 // clear empties the queue once the engine has prefilled all.
-func (l *prefillQueue) clear(now time.Time) {
-	l.flights, l.since = nil, now
+func (q *prefillQueue) clear(now time.Time) {
+	q.flights, q.since = nil, now
 }
 
 // maxRank is less urgent than every rank: all flights are ahead of it.
--- a/placer/load_test.go
+++ b/placer/load_test.go
@@ -118,8 +118,8 @@
 		for seed := range uint64(3) {
 			with := simulate(burst, 301+seed, 8*time.Second, linked)
 			without := simulate(burst, 301+seed, 8*time.Second, viewWithout(""))
-			AddReportEntry("fetched", fmt.Sprintf("reviews %s; %d read in all", with.reviews, with.prefilled))
-			AddReportEntry("prefilled", fmt.Sprintf("reviews %s; %d read in all", without.reviews, without.prefilled))
+			AddReportEntry("fetched", fmt.Sprintf("reviews %s; %d tokens prefilled", with.reviews, with.prefilled))
+			AddReportEntry("prefilled", fmt.Sprintf("reviews %s; %d tokens prefilled", without.reviews, without.prefilled))
 			Expect(with.prefilled).To(BeNumerically("<", without.prefilled))
 			Expect(with.reviews.share()).To(BeNumerically(">", without.reviews.share()+0.05))
 			Expect(with.reviews.refused).To(BeNumerically("<", without.reviews.refused))
@@ -145,7 +145,7 @@
 				})
 				all, read = all.plus(o.reviews), read+o.prefilled
 			}
-			AddReportEntry(name, fmt.Sprintf("%s; %d read in all", all, read))
+			AddReportEntry(name, fmt.Sprintf("%s; %d tokens prefilled", all, read))
 			return all, read
 		}
 		with, read := served("counted", func(*placer.View) {})
--- a/placer/memory.go
+++ b/placer/memory.go
@@ -20,10 +20,10 @@
 
 // covered returns the tokens of a prompt's leading parts that are cached. A part is only of use
 // if all parts before it are cached.
-func (m *prefixCache) covered(parts []Part) int {
+func (c *prefixCache) covered(parts []Part) int {
 	n := 0
 	for _, p := range parts {
-		if m.byKey[p.Key] == nil {
+		if c.byKey[p.Key] == nil {
 			break
 		}
 		n += p.Tokens
@@ -33,10 +33,10 @@
 
 // fetchable is like covered, for parts that must be present by now. Those of a request without
 // a first event can't be fetched yet.
-func (m *prefixCache) fetchable(parts []Part) int {
+func (c *prefixCache) fetchable(parts []Part) int {
 	n := 0
 	for _, p := range parts {
-		e := m.byKey[p.Key]
+		e := c.byKey[p.Key]
 		if e == nil || !e.Value.(*cachedPart).owner.begun {
 			break
 		}
@@ -47,54 +47,54 @@
 
 // dropUnread removes the parts of a request that ended before its first event: whether they
 // were prefilled is unknown.
-func (m *prefixCache) dropUnread(f *flight) {
+func (c *prefixCache) dropUnread(f *flight) {
 	for _, p := range f.Parts {
-		if e := m.byKey[p.Key]; e != nil && e.Value.(*cachedPart).owner == f {
-			m.remove(e)
+		if e := c.byKey[p.Key]; e != nil && e.Value.(*cachedPart).owner == f {
+			c.remove(e)
 		}
 	}
 }
 
 // sharedTokens returns how many of the least recently used tokens are in parts that several
 // requests had or that other parts build on. Parts of a single request are not used again.
-func (m *prefixCache) sharedTokens(tokens int) int {
+func (c *prefixCache) sharedTokens(tokens int) int {
 	n := 0
-	for e := m.order.Front(); e != nil && tokens > 0; e = e.Next() {
-		k := e.Value.(*cachedPart)
-		if k.shared {
-			n += min(k.tokens, tokens)
+	for e := c.order.Front(); e != nil && tokens > 0; e = e.Next() {
+		part := e.Value.(*cachedPart)
+		if part.shared {
+			n += min(part.tokens, tokens)
 		}
-		tokens -= k.tokens
+		tokens -= part.tokens
 	}
 	return n
 }
 
-func (m *prefixCache) remove(e *list.Element) {
-	k := m.order.Remove(e).(*cachedPart)
-	delete(m.byKey, k.key)
-	m.tokens -= k.tokens
+func (c *prefixCache) remove(e *list.Element) {
+	part := c.order.Remove(e).(*cachedPart)
+	delete(c.byKey, part.key)
+	c.tokens -= part.tokens
 }
 
 // add records that a request uses its prompt's parts, and evicts the least recently used ones
 // beyond room tokens.
-func (m *prefixCache) add(f *flight, room int) {
+func (c *prefixCache) add(f *flight, room int) {
 	parts := f.Parts
-	if m.byKey == nil {
-		m.byKey = map[uint64]*list.Element{}
+	if c.byKey == nil {
+		c.byKey = map[uint64]*list.Element{}
 	}
 	// In reverse order: the parts that others build on are kept longest.
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
-		if e := m.byKey[p.Key]; e != nil {
-			m.order.MoveToBack(e)
-			k := e.Value.(*cachedPart)
-			k.shared = k.shared || k.owner != f
+		if e := c.byKey[p.Key]; e != nil {
+			c.order.MoveToBack(e)
+			part := e.Value.(*cachedPart)
+			part.shared = part.shared || part.owner != f
 			continue
 		}
-		m.byKey[p.Key] = m.order.PushBack(&cachedPart{key: p.Key, tokens: p.Tokens, owner: f, shared: i < len(parts)-1})
-		m.tokens += p.Tokens
+		c.byKey[p.Key] = c.order.PushBack(&cachedPart{key: p.Key, tokens: p.Tokens, owner: f, shared: i < len(parts)-1})
+		c.tokens += p.Tokens
 	}
-	for m.tokens > room && m.order.Len() > 0 {
-		m.remove(m.order.Front())
+	for c.tokens > room && c.order.Len() > 0 {
+		c.remove(c.order.Front())
 	}
 }
--- a/placer/offer.go
+++ b/placer/offer.go
@@ -49,33 +49,33 @@
 type tierLoads map[string][]tierLoad
 
 // tier returns the offered load of a service's routes of one tier.
-func (o tierLoads) tier(service string, tier int) *tierLoad {
-	list := o[service]
+func (t tierLoads) tier(service string, tier int) *tierLoad {
+	list := t[service]
 	for i := range list {
 		if list[i].tier == tier {
 			return &list[i]
 		}
 	}
-	o[service] = append(list, tierLoad{tier: tier})
-	return &o[service][len(list)]
+	t[service] = append(list, tierLoad{tier: tier})
+	return &t[service][len(list)]
 }
 
 // note adds requests to the offered load.
-func (o tierLoads) note(now time.Time, more OfferedLoad) {
+func (t tierLoads) note(now time.Time, more OfferedLoad) {
 	if more.Count <= 0 {
 		return
 	}
-	x := o.tier(more.Service, more.Tier)
+	x := t.tier(more.Service, more.Tier)
 	count := float64(more.Count)
-	output, read := float64(more.Output)/count, inMilliseconds(more.Prefill)/count
+	output, prefill := float64(more.Output)/count, inMilliseconds(more.Prefill)/count
 	if x.at.IsZero() {
-		x.output, x.prefill = output, read
+		x.output, x.prefill = output, prefill
 	}
 	x.rate = x.currentRate(now) + count/offeredDecay.Seconds()
 	x.at = now
 	weight := 1 - math.Pow(1-offeredSampleWeight, count)
 	x.output += weight * (output - x.output)
-	x.prefill += weight * (read - x.prefill)
+	x.prefill += weight * (prefill - x.prefill)
 }
 
 // currentRate returns the requests per second, as of now.
@@ -88,8 +88,8 @@
 }
 
 // assign adds milliseconds of prefill to the work assigned to engines.
-func (x *tierLoad) assign(now time.Time, read float64) {
-	x.assigned = x.currentAssigned(now) + read/assignedDecay.Seconds()
+func (x *tierLoad) assign(now time.Time, prefill float64) {
+	x.assigned = x.currentAssigned(now) + prefill/assignedDecay.Seconds()
 	x.assignedAt = now
 }
 
@@ -101,9 +101,9 @@
 
 // learn records the expected and the approximate actual output of a request. Expectations are
 // often far off, and merely the output limit if the caller states none.
-func (x *tierLoad) learn(expected, seen float64) {
+func (x *tierLoad) learn(expected, actual float64) {
 	x.expected = fitDecay*x.expected + expected
-	x.actual = fitDecay*x.actual + seen
+	x.actual = fitDecay*x.actual + actual
 }
 
 // expectedOutput returns the output tokens per request, corrected by recent answers.
@@ -117,10 +117,10 @@
 }
 
 // assigned returns the milliseconds of prefill per second assigned to a service's engines.
-func (o tierLoads) assigned(now time.Time, service string) float64 {
+func (t tierLoads) assigned(now time.Time, service string) float64 {
 	sum := 0.0
-	for i := range o[service] {
-		sum += o[service][i].currentAssigned(now)
+	for i := range t[service] {
+		sum += t[service][i].currentAssigned(now)
 	}
 	return sum
 }
--- a/placer/option.go
+++ b/placer/option.go
@@ -39,29 +39,29 @@
 // candidate returns what a request would mean for an engine. For a plain worker, setPlainTimes
 // completes it.
 func (w *worker) candidate(now time.Time, req Request, holder *worker, heldTokens int) candidate {
-	o := candidate{worker: w, contention: w.contention(now, req), limitWait: w.limit.wait(now)}
+	c := candidate{worker: w, contention: w.contention(now, req), limitWait: w.limit.wait(now)}
 	if w.CacheTokens == 0 {
-		return o
+		return c
 	}
 	cached := w.cache.covered(req.Parts)
-	o.prefillTokens = max(req.Prompt-cached, 1)
-	o.ownTime = w.prefillTime(o.prefillTokens, req.Prompt+req.Output)
-	o.queueTime, o.backlog = w.queue.timeAhead(now, req.Rank)+o.lag, w.queue.timeAhead(now, maxRank)
-	o.urgentBacklog = w.queue.timeUpToRank(now, req.Rank) + o.urgentLag
+	c.prefillTokens = max(req.Prompt-cached, 1)
+	c.ownTime = w.prefillTime(c.prefillTokens, req.Prompt+req.Output)
+	c.queueTime, c.backlog = w.queue.timeAhead(now, req.Rank)+c.lag, w.queue.timeAhead(now, maxRank)
+	c.urgentBacklog = w.queue.timeUpToRank(now, req.Rank) + c.urgentLag
 	if holder != nil && holder != w && heldTokens-cached >= minFetchTokens {
-		o.fetchFrom(holder, heldTokens, cached, req)
+		c.fetchFrom(holder, heldTokens, cached, req)
 	}
-	o.wait = math.Max(o.queueTime, o.fetchDelay) + o.ownTime + w.overhead()
-	return o
+	c.wait = math.Max(c.queueTime, c.fetchDelay) + c.ownTime + w.overhead()
+	return c
 }
 
 // fetchFrom has the worker fetch the tokens that another one has beyond its own, if that takes
 // less time than their prefill.
-func (o *candidate) fetchFrom(holder *worker, heldTokens, cached int, req Request) {
+func (c *candidate) fetchFrom(holder *worker, heldTokens, cached int, req Request) {
 	prefillTokens := max(req.Prompt-heldTokens, 1)
-	ownTime, fetchDelay := o.prefillTime(prefillTokens, req.Prompt+req.Output), o.fetchTime(heldTokens-cached, holder)
-	if ownTime+fetchDelay < o.ownTime {
-		o.prefillTokens, o.fetchTokens, o.source, o.ownTime, o.fetchDelay = prefillTokens, heldTokens-cached, holder.Address, ownTime, fetchDelay
+	ownTime, fetchDelay := c.prefillTime(prefillTokens, req.Prompt+req.Output), c.fetchTime(heldTokens-cached, holder)
+	if ownTime+fetchDelay < c.ownTime {
+		c.prefillTokens, c.fetchTokens, c.source, c.ownTime, c.fetchDelay = prefillTokens, heldTokens-cached, holder.Address, ownTime, fetchDelay
 	}
 }
 
--- a/placer/others.go
+++ b/placer/others.go
@@ -19,26 +19,26 @@
 
 // contention computes the effect in one pass over the worker's flights.
 func (w *worker) contention(now time.Time, req Request) contention {
-	var o contention
-	stretch := milliseconds(tightFactor * w.maxPrefillPause())
-	rest := w.overhead()
+	var c contention
+	tightLimit := milliseconds(tightFactor * w.maxPrefillPause())
+	overhead := w.overhead()
 	for _, f := range w.flights {
 		if f.Tier < req.Tier {
-			o.urgentCount++
+			c.urgentCount++
 		}
-		if f.Gap > 0 && f.Gap < stretch {
-			o.tightStreams += f.pauseWeight(req.Rank)
+		if f.Gap > 0 && f.Gap < tightLimit {
+			c.tightStreams += f.pauseWeight(req.Rank)
 		}
 		if f.begun || f.prefilledAt.IsZero() || !f.expiresAt.IsZero() {
 			continue // the first event of a lost host's request will not be reported
 		}
-		behind := inMilliseconds(now.Sub(f.prefilledAt)) - rest
-		o.lag = math.Max(o.lag, behind)
+		lag := inMilliseconds(now.Sub(f.prefilledAt)) - overhead
+		c.lag = math.Max(c.lag, lag)
 		if f.Rank <= req.Rank {
-			o.urgentLag = math.Max(o.urgentLag, behind)
+			c.urgentLag = math.Max(c.urgentLag, lag)
 		}
 	}
-	return o
+	return c
 }
 
 // pauseWeight returns the weight of a stream's pauses against a request of a rank.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -58,7 +58,7 @@
 	lastReceived  time.Time                 // when another host last reported what it sent
 	deciders      int                       // number of hosts that decide by views of their own
 	self          int                       // index of this host among them
-	returns       map[serviceRank]time.Time // when the prompts of refused requests that were asked to retry will have been prefilled
+	returns       map[serviceRank]time.Time // when the refused requests that were asked to retry will have been prefilled
 
 	ignoreEvictions bool // evictions cost nothing, so that specs can compare
 }
@@ -81,9 +81,9 @@
 	v.workers = make(map[string]*worker, len(workers))
 	for _, w := range workers {
 		x := old[w.Name]
-		if x == nil || x.Instance != w.Instance || x.Address != w.Address {
+		if x == nil || x.Incarnation != w.Incarnation || x.Address != w.Address {
 			x = newWorker()
-			x.coldUntil = now.Add(w.ColdFor)
+			x.coldUntil = now.Add(w.WarmUp)
 			added = append(added, w)
 		}
 		x.Worker, x.fit = w, v.fitOf(w.Service)
@@ -122,7 +122,7 @@
 
 // PlaceFor is like Place, for a request that another host sends.
 func (v *View) PlaceFor(now time.Time, host string, id uint64, req Request) (Choice, *Refusal) {
-	if left, held := v.quarantine.Quarantined(now, req.Fingerprint); held {
+	if left, quarantined := v.quarantine.Quarantined(now, req.Fingerprint); quarantined {
 		return Choice{}, newRefusal("quarantine", left)
 	}
 	best, refusal := v.best(now, req)
@@ -139,8 +139,8 @@
 		Worker: best.Worker, Flight: f, Wait: milliseconds(best.wait), Delay: best.delay(req), Source: best.source,
 		Filling: float64(len(best.flights)+1) >= fillingShare*float64(best.Slots),
 	}
-	ends := best.predictEnd(req)
-	v.add(now, host, f).predictedEnd = ends
+	predictedEnd := best.predictEnd(req)
+	v.add(now, host, f).predictedEnd = predictedEnd
 	return c, nil
 }
 
@@ -150,14 +150,14 @@
 // that the request would have got.
 func (v *View) best(now time.Time, req Request) (*candidate, *Refusal) {
 	v.recentTargets.note(now, req)
-	options := v.candidatesFor(now, req)
-	if refusal := v.refuseByLimit(now, options, req); refusal != nil {
-		return cheapest(options, anyCandidate), refusal
+	candidates := v.candidatesFor(now, req)
+	if refusal := v.refuseByLimit(now, candidates, req); refusal != nil {
+		return cheapest(candidates, anyCandidate), refusal
 	}
-	options = withinLimit(options)
-	best := cheapest(options, (*candidate).hasSlot)
+	candidates = withinLimit(candidates)
+	best := cheapest(candidates, (*candidate).hasSlot)
 	if best == nil {
-		best = cheapest(options, anyCandidate)
+		best = cheapest(candidates, anyCandidate)
 	}
 	if best == nil {
 		return nil, &Refusal{RetryAfter: noWorkersRetryAfter, Reason: "no_workers"}
@@ -167,9 +167,9 @@
 		return best, nil
 	}
 	least := v.recentTargets.leastUrgent(req)
-	other := cheapest(options, func(o *candidate) bool { return (o.tightStreams == 0 || !least) && v.refuse(o, req) == nil })
+	other := cheapest(candidates, func(c *candidate) bool { return (c.tightStreams == 0 || !least) && v.refuse(c, req) == nil })
 	if other == nil {
-		refusal.RetryAfter = v.scheduleReturn(now, req, options, refusal.RetryAfter)
+		refusal.RetryAfter = v.scheduleReturn(now, req, candidates, refusal.RetryAfter)
 		return best, refusal
 	}
 	return other, nil
@@ -178,36 +178,36 @@
 // candidatesFor returns the workers of a request's service with what the request would mean for
 // each, and its cost.
 func (v *View) candidatesFor(now time.Time, req Request) []candidate {
-	options := v.candidates[:0]
+	candidates := v.candidates[:0]
 	holder, heldTokens := v.holder(req)
 	copyAt := v.workerOfCopy(req)
 	for _, w := range v.sorted {
 		if w.Service != req.Service || excluded(req, w.Name) || copyAt != "" && w.Name != copyAt {
 			continue
 		}
-		o := w.candidate(now, req, holder, heldTokens)
-		o.margin = v.margin(w)
-		if o.CacheTokens == 0 {
-			v.setPlainTimes(&o)
+		c := w.candidate(now, req, holder, heldTokens)
+		c.margin = v.margin(w)
+		if c.CacheTokens == 0 {
+			v.setPlainTimes(&c)
 		}
-		o.cost = v.cost(now, &o, req)
-		options = append(options, o)
+		c.cost = v.cost(now, &c, req)
+		candidates = append(candidates, c)
 	}
-	setPrefillShares(now, options)
-	v.reservation = v.reserve(now, options, req)
-	v.candidates = options
-	return options
+	setPrefillShares(now, candidates)
+	v.reservation = v.reserve(now, candidates, req)
+	v.candidates = candidates
+	return candidates
 }
 
 // cheapest returns the candidate with the lowest cost among those that may get the request.
-func cheapest(options []candidate, may func(*candidate) bool) *candidate {
+func cheapest(candidates []candidate, may func(*candidate) bool) *candidate {
 	var best *candidate
-	for i := range options {
-		o := &options[i]
-		if best != nil && (o.cost > best.cost || o.cost == best.cost && o.Name > best.Name) || !may(o) {
+	for i := range candidates {
+		c := &candidates[i]
+		if best != nil && (c.cost > best.cost || c.cost == best.cost && c.Name > best.Name) || !may(c) {
 			continue
 		}
-		best = o
+		best = c
 	}
 	return best
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -121,10 +121,10 @@
 
 	It("takes the cache of a restarted worker for empty", func() {
 		workers := engines("e-1")
-		workers[0].Instance = "1"
+		workers[0].Incarnation = "1"
 		v.SetWorkers(start, workers)
 		place(start, plan(7))
-		workers[0].Instance = "2"
+		workers[0].Incarnation = "2"
 		v.SetWorkers(start, workers)
 		c, _ := place(start, plan(7))
 		Expect(c.Flight.Prefill).To(Equal(9200))
@@ -417,10 +417,10 @@
 	// would never seem idle again, and no more would be learned of its speed.
 	It("does not count requests of a worker's previous process", func() {
 		workers := engines("e-1")
-		workers[0].Instance = "1"
+		workers[0].Incarnation = "1"
 		v.SetWorkers(start, workers)
 		old, _ := place(start, plan(7))
-		workers[0].Instance = "2"
+		workers[0].Incarnation = "2"
 		v.SetWorkers(start, workers)
 		v.Begun(start.Add(time.Second), old.Flight.ID)
 		Expect(v.WorkerStates(start.Add(time.Second))[0].Reading).To(BeZero())
--- a/placer/plain.go
+++ b/placer/plain.go
@@ -14,23 +14,23 @@
 	// of the answers miss their target if all of it may be used, and one in fifty with this
 	// share.
 	plainTargetShare = 0.65
-	// plainRounds is the wait that is allowed even if the target is shorter, in times of one
-	// answer: the request's own, and that of one under way.
+	// plainRounds is the wait that is allowed even if the target is shorter, in multiples of one
+	// answer's time: the request's own, and that of one under way.
 	plainRounds = 2.0
 )
 
-// rounds returns the time until a plain worker answers a request that is sent now, in times of
-// one answer: its own, and a fraction for each request that waits.
+// rounds returns the time until a plain worker answers a request that is sent now, in
+// multiples of one answer's time: its own, and a fraction for each request that waits.
 func (w *worker) rounds() float64 {
 	over := len(w.flights) + 1 - w.Slots
 	return 1 + float64(max(over, 0))/float64(max(w.Slots, 1))
 }
 
 // setPlainTimes sets the times of a request at a plain worker.
-func (v *View) setPlainTimes(o *candidate) {
-	answer := inMilliseconds(v.answerTime(o.Service))
-	o.ownTime = answer / float64(max(o.Slots, 1))
-	o.wait = o.rounds() * answer
+func (v *View) setPlainTimes(c *candidate) {
+	answer := inMilliseconds(v.answerTime(c.Service))
+	c.ownTime = answer / float64(max(c.Slots, 1))
+	c.wait = c.rounds() * answer
 }
 
 // maxPlainWait returns the maximum expected time of a plain service's answer, in milliseconds.
@@ -57,8 +57,8 @@
 
 // answerTime returns the time of a plain service's answer without any wait for others.
 func (v *View) answerTime(service string) time.Duration {
-	if pace, ok := v.answerTimes[service]; ok {
-		return pace
+	if t, ok := v.answerTimes[service]; ok {
+		return t
 	}
 	return initialAnswerTime
 }
--- a/placer/plain_test.go
+++ b/placer/plain_test.go
@@ -119,12 +119,12 @@
 		j := &plainRequest{id: uint64(out.asked), host: r.IntN(hosts), asked: at}
 		var try func(now time.Duration)
 		try = func(now time.Duration) {
-			ask := req
-			ask.Left -= now - j.asked
-			choice, refusal := views[j.host].Place(start.Add(now), j.id, ask)
+			remaining := req
+			remaining.Left -= now - j.asked
+			choice, refusal := views[j.host].Place(start.Add(now), j.id, remaining)
 			if refusal != nil {
 				// A caller retries once, if that is within a third of its time.
-				if !j.refused && refusal.RetryAfter <= ask.Left/3 {
+				if !j.refused && refusal.RetryAfter <= remaining.Left/3 {
 					do(now+refusal.RetryAfter, try)
 				}
 				out.refused++
--- a/placer/protecting.go
+++ b/placer/protecting.go
@@ -31,38 +31,38 @@
 // requests at the engines, it would fall with each refusal. The route decides, not the
 // organisation: the long prompts of an urgent organisation would keep out the short ones of all
 // others.
-func (v *View) reserve(now time.Time, options []candidate, req Request) reservation {
-	var p reservation
-	if len(options) == 0 || options[0].CacheTokens == 0 {
-		return p
+func (v *View) reserve(now time.Time, candidates []candidate, req Request) reservation {
+	var r reservation
+	if len(candidates) == 0 || candidates[0].CacheTokens == 0 {
+		return r
 	}
 	heldTokens := 0
-	for i := range options {
-		o := &options[i]
-		p.present += o.urgentCount
-		p.free += max(o.Slots-len(o.flights), 0)
-		heldTokens += o.hold
+	for i := range candidates {
+		c := &candidates[i]
+		r.present += c.urgentCount
+		r.free += max(c.Slots-len(c.flights), 0)
+		heldTokens += c.hold
 	}
-	n := float64(len(options))
-	tokens, prefill := p.addDemand(now, v.offered[req.Service], req.Tier)
-	if p.rate > 0 {
-		f := options[0].fit
-		p.holdTime = f.overhead() + tokens/p.rate*f.tokenTime(float64(heldTokens)/n, prefill/n/1000)
+	n := float64(len(candidates))
+	tokens, prefill := r.addDemand(now, v.offered[req.Service], req.Tier)
+	if r.rate > 0 {
+		f := candidates[0].fit
+		r.holdTime = f.overhead() + tokens/r.rate*f.tokenTime(float64(heldTokens)/n, prefill/n/1000)
 	}
-	p.reservePerEngine(options)
-	return p
+	r.reservePerEngine(candidates)
+	return r
 }
 
 // addDemand sets the rate of more urgent requests, and returns their output tokens per second
 // and the milliseconds per second that engines prefill beside them. Requests less urgent than
 // this one are left out: they are refused first, so that engines do not prefill them for long.
-func (p *reservation) addDemand(now time.Time, list []tierLoad, tier int) (tokens, prefill float64) {
+func (r *reservation) addDemand(now time.Time, list []tierLoad, tier int) (tokens, prefill float64) {
 	for i := range list {
 		x := &list[i]
 		switch {
 		case x.tier < tier:
 			rate := x.currentRate(now)
-			p.rate += rate
+			r.rate += rate
 			tokens += rate * x.expectedOutput()
 			prefill += rate * x.prefill
 		case x.tier == tier:
@@ -85,38 +85,38 @@
 
 // reservePerEngine reserves slots of each engine for the expected fluctuation of the more
 // urgent requests: a multiple of the standard deviation of their number.
-func (p reservation) reservePerEngine(options []candidate) {
-	if p.present == 0 {
+func (r reservation) reservePerEngine(candidates []candidate) {
+	if r.present == 0 {
 		return
 	}
-	n := float64(len(options))
-	slots := min(reserveDeviations*math.Sqrt(float64(p.present)/n), pooledDeviations*math.Sqrt(float64(p.present))/n)
-	for i := range options {
-		o := &options[i]
-		o.reserved = int(math.Ceil(math.Min(slots, maxReserveShare*float64(o.Slots))))
+	n := float64(len(candidates))
+	slots := min(reserveDeviations*math.Sqrt(float64(r.present)/n), pooledDeviations*math.Sqrt(float64(r.present))/n)
+	for i := range candidates {
+		c := &candidates[i]
+		c.reserved = int(math.Ceil(math.Min(slots, maxReserveShare*float64(c.Slots))))
 	}
 }
 
 // hasSlot reports whether an engine has a slot that is neither reserved nor left to other
 // hosts.
-func (o *candidate) hasSlot() bool {
-	return o.CacheTokens == 0 || len(o.flights)+max(o.reserved, o.margin) < o.Slots
+func (c *candidate) hasSlot() bool {
+	return c.CacheTokens == 0 || len(c.flights)+max(c.reserved, c.margin) < c.Slots
 }
 
 // wanted returns the slots that more urgent routes will want besides those that they have.
-func (p reservation) wanted() float64 {
-	need := p.rate * p.holdTime / 1000
-	return need + reserveDeviations*math.Sqrt(need) - float64(p.present)
+func (r reservation) wanted() float64 {
+	need := r.rate * r.holdTime / 1000
+	return need + reserveDeviations*math.Sqrt(need) - float64(r.present)
 }
 
 // exhausted reports whether more urgent routes will want all free slots.
-func (p reservation) exhausted() bool { return p.rate > 0 && float64(p.free) <= p.wanted() }
+func (r reservation) exhausted() bool { return r.rate > 0 && float64(r.free) <= r.wanted() }
 
 // offeredLoad returns a request as offered load. Its prefill is that at the best candidate.
-func (req Request) offeredLoad(o *candidate) OfferedLoad {
+func (req Request) offeredLoad(c *candidate) OfferedLoad {
 	x := OfferedLoad{Service: req.Service, Tier: req.Tier, Count: 1, Output: req.Output}
-	if o != nil && o.CacheTokens > 0 {
-		x.Prefill = milliseconds(o.ownTime)
+	if c != nil && c.CacheTokens > 0 {
+		x.Prefill = milliseconds(c.ownTime)
 	}
 	return x
 }
@@ -133,8 +133,8 @@
 // tokenTime returns the milliseconds per token of a stream at the engines of a worker's
 // service, given their current load.
 func (v *View) tokenTime(now time.Time, w *worker) float64 {
-	reading := v.offered.assigned(now, w.Service) / float64(max(v.WorkerCount(w.Service), 1))
-	return w.fit.tokenTime(float64(w.hold), reading/1000)
+	prefill := v.offered.assigned(now, w.Service) / float64(max(v.WorkerCount(w.Service), 1))
+	return w.fit.tokenTime(float64(w.hold), prefill/1000)
 }
 
 // learnLength estimates the output tokens of a complete stream from its duration and the time
--- a/placer/refusing.go
+++ b/placer/refusing.go
@@ -23,41 +23,41 @@
 // That bound only applies to the queue, so that long prompts are not refused for their own
 // prefill; and only to flights that are at least as urgent, as refusing a request for a less
 // urgent one under way helps nobody.
-func (v *View) refuse(o *candidate, req Request) *Refusal {
-	wait := milliseconds(o.wait)
+func (v *View) refuse(c *candidate, req Request) *Refusal {
+	wait := milliseconds(c.wait)
 	bound := req.Left
 	if req.FirstEventTimeout > 0 {
 		bound = min(bound, req.FirstEventTimeout)
 	}
-	room := v.bound(o, req)
+	maxQueue := v.bound(c, req)
 	switch {
-	case !o.hasSlot():
+	case !c.hasSlot():
 		// An engine whose slots are taken only runs one more request by preempting another,
 		// which it has to prefill again.
 		return newRefusal("slots", req.Target/2)
-	case o.CacheTokens > 0 && v.reservation.exhausted():
+	case c.CacheTokens > 0 && v.reservation.exhausted():
 		return newRefusal("slots", max(req.Target/2, milliseconds(v.reservation.holdTime)))
-	case o.CacheTokens == 0 && req.Target > 0 && o.wait > room:
+	case c.CacheTokens == 0 && req.Target > 0 && c.wait > maxQueue:
 		// Without this, a queue beyond the service's capacity grows to the longest time that
 		// callers wait, and all answers are late. With a short queue as many are answered, in
 		// time.
 		return newRefusal("queue", wait-req.Target/2)
 	case wait > time.Duration(maxWaitShare*float64(bound)):
 		return newRefusal("overload", wait-min(req.Target, bound))
-	case o.expectedEnd(req) > req.Left && v.recentTargets.leastUrgent(req):
+	case c.expectedEnd(req) > req.Left && v.recentTargets.leastUrgent(req):
 		// Without this, in a flood of prompts, engines prefill without a break, streams get one
 		// token per chunk, and the long ones are cut when their callers leave. If those are not
 		// sent, their prefill time goes to requests that can be served. This only applies to
 		// the least urgent route: streams of other routes are slowed by its prompts, and must
 		// not be refused for that.
-		return newRefusal("length", o.expectedEnd(req)-req.Left)
-	case req.Target > 0 && o.ownTime >= minLongPrefill && o.urgentBacklog > room:
-		return newRefusal("queue", milliseconds(o.urgentBacklog-room/2))
+		return newRefusal("length", c.expectedEnd(req)-req.Left)
+	case req.Target > 0 && c.ownTime >= minLongPrefill && c.urgentBacklog > maxQueue:
+		return newRefusal("queue", milliseconds(c.urgentBacklog-maxQueue/2))
 	}
 	return nil
 }
 
 // newRefusal returns a refusal with a reason and a retry time.
-func newRefusal(why string, after time.Duration) *Refusal {
-	return &Refusal{RetryAfter: max(after, minRetryAfter), Reason: why}
+func newRefusal(reason string, retryAfter time.Duration) *Refusal {
+	return &Refusal{RetryAfter: max(retryAfter, minRetryAfter), Reason: reason}
 }
--- a/placer/returning.go
+++ b/placer/returning.go
@@ -20,10 +20,10 @@
 // requests of its rank refused before it have been prefilled. Without it, requests that are
 // refused together return together, and all but the first are refused again. Less urgent
 // requests do not delay more urgent ones.
-func (v *View) scheduleReturn(now time.Time, req Request, options []candidate, after time.Duration) time.Duration {
+func (v *View) scheduleReturn(now time.Time, req Request, candidates []candidate, after time.Duration) time.Duration {
 	prefill := 0.0
-	for _, o := range options {
-		prefill += o.ownTime / float64(len(options)*len(options))
+	for _, c := range candidates {
+		prefill += c.ownTime / float64(len(candidates)*len(candidates))
 	}
 	at := now.Add(after)
 	key := serviceRank{service: req.Service, rank: req.Rank}
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -81,8 +81,8 @@
 func (w *worker) learn(f *flight, took float64) {
 	w.fit.learn(f.Prefill, f.Hold, math.Max(took-w.decodeTime(f.Prefill), 1))
 	predicted := w.fit.predict(termsOf(f.Prefill, f.Hold)) + w.decodeTime(f.Prefill)
-	seen := math.Min(math.Max(took/predicted, minSlowness), maxSlowness)
-	w.slowness += sampleWeight * (seen - w.slowness)
+	ratio := math.Min(math.Max(took/predicted, minSlowness), maxSlowness)
+	w.slowness += sampleWeight * (ratio - w.slowness)
 }
 
 // has reports whether a flight is counted here. A flight that was sent before the worker
@@ -110,14 +110,14 @@
 
 // prefillTime returns the milliseconds to prefill so many tokens of a request, including the
 // decoding steps in between.
-func (w *worker) prefillTime(read, tokens int) float64 {
-	return w.slowness * (w.fit.prefillTime(read, tokens) + w.decodeTime(read))
+func (w *worker) prefillTime(prefill, tokens int) float64 {
+	return w.slowness * (w.fit.prefillTime(prefill, tokens) + w.decodeTime(prefill))
 }
 
 // decodeTime returns the milliseconds that running requests add to the steps in which so many
 // tokens are prefilled.
-func (w *worker) decodeTime(read int) float64 {
-	return float64(read) / chunkTokens * contextMillis * float64(w.hold) / 1000
+func (w *worker) decodeTime(prefill int) float64 {
+	return float64(prefill) / chunkTokens * contextMillis * float64(w.hold) / 1000
 }
 
 // overhead returns the milliseconds to a first event besides the prefill.
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -173,16 +173,16 @@
 
 // DrainQuarantined returns the requests quarantined by this host since the last call.
 func (t *Tracker) DrainQuarantined() []Entry {
-	caught := t.newlyQuarantined
+	out := t.newlyQuarantined
 	t.newlyQuarantined = nil
-	return caught
+	return out
 }
 
 // DrainReleased returns the requests released since the last call.
 func (t *Tracker) DrainReleased() []Fingerprint {
-	freed := t.newlyReleased
+	out := t.newlyReleased
 	t.newlyReleased = nil
-	return freed
+	return out
 }
 
 // addMark adds the crash of a worker by a copy that was under way as the request was
@@ -249,15 +249,15 @@
 // Alive records that a worker was alive at a given time. If it seemed to crash before that,
 // only a connection broke. Alive reports whether it removed a mark.
 func (t *Tracker) Alive(now time.Time, worker string, at time.Time) bool {
-	within := t.minRestartTime()
-	if now.Sub(t.lastMark) >= within {
+	minRestart := t.minRestartTime()
+	if now.Sub(t.lastMark) >= minRestart {
 		return false // no mark is recent enough
 	}
 	removed := false
 	for f, r := range t.records {
 		before := len(r.marks)
 		r.marks = slices.DeleteFunc(r.marks, func(m mark) bool {
-			return m.worker == worker && at.Sub(m.at) > UsualUpdateDelay && now.Sub(m.at) < within
+			return m.worker == worker && at.Sub(m.at) > UsualUpdateDelay && now.Sub(m.at) < minRestart
 		})
 		removed = removed || len(r.marks) < before
 		if len(r.marks) < r.needed && r.quarantined(now) {
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -20,11 +20,11 @@
 		now     time.Time
 	)
 	BeforeEach(func() { tracker, now = &quarantiner.Tracker{}, time.Unix(1000, 0) })
-	pass := func(d time.Duration) time.Time { now = now.Add(d); return now }
+	advance := func(d time.Duration) time.Time { now = now.Add(d); return now }
 	// crash crashes a worker with requests that were sent to it just before.
 	crash := func(worker string, fs ...quarantiner.Fingerprint) {
-		sent := pass(100 * time.Millisecond)
-		pass(50 * time.Millisecond)
+		sent := advance(100 * time.Millisecond)
+		advance(50 * time.Millisecond)
 		for _, f := range fs {
 			tracker.WorkerCrashed(now, f, worker, sent)
 		}
@@ -50,9 +50,9 @@
 	// Guards against quarantining requests that were under way when all workers lost power.
 	It("counts simultaneous crashes as one", func() {
 		sent := now
-		pass(time.Second)
+		advance(time.Second)
 		for i := range 9 {
-			tracker.WorkerCrashed(pass(time.Millisecond), bad, fmt.Sprint("w-", i), sent)
+			tracker.WorkerCrashed(advance(time.Millisecond), bad, fmt.Sprint("w-", i), sent)
 		}
 		Expect(quarantined(bad)).To(BeFalse())
 	})
@@ -71,12 +71,12 @@
 	It("removes the mark if the worker is still alive", func() {
 		crash("w-0", bad)
 		crash("w-1", bad)
-		tracker.Alive(pass(200*time.Millisecond), "w-1", now.Add(-50*time.Millisecond))
+		tracker.Alive(advance(200*time.Millisecond), "w-1", now.Add(-50*time.Millisecond))
 		crash("w-2", bad)
 		Expect(quarantined(bad)).To(BeFalse())
 		crash("w-3", bad)
 		Expect(quarantined(bad)).To(BeTrue())
-		tracker.Alive(pass(200*time.Millisecond), "w-3", now.Add(-50*time.Millisecond))
+		tracker.Alive(advance(200*time.Millisecond), "w-3", now.Add(-50*time.Millisecond))
 		Expect(quarantined(bad)).To(BeFalse(), "also for a quarantined request")
 	})
 
@@ -85,9 +85,9 @@
 		for i := range 3 {
 			crash(fmt.Sprint("w-", i), bad)
 		}
-		tracker.Alive(pass(200*time.Millisecond), "w-2", now.Add(-160*time.Millisecond))
+		tracker.Alive(advance(200*time.Millisecond), "w-2", now.Add(-160*time.Millisecond))
 		Expect(quarantined(bad)).To(BeTrue())
-		tracker.Alive(pass(5*time.Second), "w-2", now.Add(-time.Millisecond))
+		tracker.Alive(advance(5*time.Second), "w-2", now.Add(-time.Millisecond))
 		Expect(quarantined(bad)).To(BeTrue())
 	})
 
@@ -113,7 +113,7 @@
 			crash("w-1", bad)
 		}
 		Expect(quarantined(bad)).To(BeFalse())
-		pass(3 * time.Second) // long enough for a restart
+		advance(3 * time.Second) // long enough for a restart
 		crash("w-0", bad)
 		Expect(quarantined(bad)).To(BeTrue())
 	})
@@ -124,7 +124,7 @@
 		for i := range 3 {
 			crash(fmt.Sprint("w-", i), bad)
 		}
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		for i := range 3 {
 			Expect(quarantined(sound)).To(BeFalse())
 			crash(fmt.Sprint("w-", i), sound)
@@ -136,9 +136,9 @@
 		for i := range 3 {
 			crash(fmt.Sprint("w-", i), bad)
 		}
-		tracker.Sweep(pass(9 * time.Minute))
+		tracker.Sweep(advance(9 * time.Minute))
 		Expect(tracker.DrainReleased()).To(BeEmpty())
-		tracker.Sweep(pass(time.Minute))
+		tracker.Sweep(advance(time.Minute))
 		Expect(tracker.DrainReleased()).To(Equal([]quarantiner.Fingerprint{bad}))
 		Expect(quarantined(bad)).To(BeFalse())
 		crash("w-3", bad)
@@ -148,9 +148,9 @@
 
 	It("forgets marks after an hour", func() {
 		crash("w-0", bad)
-		tracker.Sweep(pass(time.Hour))
+		tracker.Sweep(advance(time.Hour))
 		Expect(tracker.Suspected(bad)).To(BeTrue())
-		tracker.Sweep(pass(time.Second))
+		tracker.Sweep(advance(time.Second))
 		Expect(tracker.Suspected(bad)).To(BeFalse())
 	})
 
@@ -171,7 +171,7 @@
 			crash(fmt.Sprint("w-", i), bad)
 		}
 		for i := range 10000 {
-			tracker.WorkerCrashed(pass(time.Millisecond), quarantiner.Fingerprint(100+i), fmt.Sprint("x-", i), now)
+			tracker.WorkerCrashed(advance(time.Millisecond), quarantiner.Fingerprint(100+i), fmt.Sprint("x-", i), now)
 		}
 		Expect(quarantined(bad)).To(BeTrue())
 		Expect(tracker.Suspected(100)).To(BeFalse())
