--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -233,7 +233,7 @@
 	var workers []placer.Worker
 	for _, e := range p.directory.Present() {
 		w := placer.Worker{
-			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, ColdFor: e.Cold, Instance: e.Born,
+			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, WarmUp: e.Cold, Incarnation: e.Born,
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
