--- a/router/delivery.go
+++ b/router/delivery.go
@@ -8,85 +8,90 @@
 	"time"
 )
 
-// errCaller says that the caller takes nothing more.
-var errCaller = errors.New("the caller takes nothing more")
+// errCallerWrite is returned when a write to the caller's connection fails.
+var errCallerWrite = errors.New("writing to the caller failed")
 
-// delivery is what a caller has been given, over all sends of its request.
+// delivery is the part of an answer written to the caller so far, across all sends of
+// its request.
 type delivery struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	stall   time.Duration
-	until   time.Time // write deadline that is set
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	writeTimeout  time.Duration
+	writeDeadline time.Time // write deadline currently set on the connection
 
-	begun  bool // the head went out
-	status int
-	first  time.Time
-	latest time.Time     // of the last piece
-	pause  time.Duration // the longest between two pieces
-	bytes  int
+	headSent     bool // the response head has been written
+	status       int
+	firstPiece   time.Time
+	lastPiece    time.Time     // time of the latest write
+	longestPause time.Duration // longest time between two writes
+	bytes        int
 }
 
-// bound gives the caller time to take the next piece: one that takes nothing would
-// hold its worker, and memory, for ever.
-func (d *delivery) bound() {
+// extendDeadline allows the caller writeTimeout to accept the next write. Without a
+// deadline, a caller that stops reading would occupy its worker, and memory,
+// indefinitely.
+func (d *delivery) extendDeadline() {
 	now := time.Now()
-	if d.until.Sub(now) >= d.stall*3/4 {
+	if d.writeDeadline.Sub(now) >= d.writeTimeout*3/4 {
 		return
 	}
-	d.until = now.Add(d.stall)
-	// A connection that can't be bounded is one that is gone: the write says so.
-	_ = d.control.SetWriteDeadline(d.until)
+	d.writeDeadline = now.Add(d.writeTimeout)
+	// If the deadline can't be set, the connection is closed, and the next write returns
+	// the error.
+	_ = d.control.SetWriteDeadline(d.writeDeadline)
 }
 
-// head begins the answer with a worker's head. length is -1 where it is not known.
-func (d *delivery) head(status int, from http.Header, length int) {
+// writeHead starts the answer with the head of a worker's answer. length is -1 if
+// unknown.
+func (d *delivery) writeHead(status int, from http.Header, length int) {
 	h := d.w.Header()
-	ending := h.Get("Connection")
+	connection := h.Get("Connection")
 	for name, values := range EndToEndHeader(from) {
 		h[name] = values
 	}
-	if ending != "" {
-		h.Set("Connection", ending)
+	if connection != "" {
+		h.Set("Connection", connection)
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // net/http would guess one
+		h["Content-Type"] = nil // suppresses the type that net/http would detect
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.Itoa(length))
 	}
-	d.begun, d.status = true, status
-	d.bound()
+	d.headSent, d.status = true, status
+	d.extendDeadline()
 	d.w.WriteHeader(status)
 }
 
-// write gives the caller a piece of the answer.
+// write writes a piece of the body to the caller.
 func (d *delivery) write(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
-	d.bound()
-	d.note(time.Now())
+	d.extendDeadline()
+	d.recordPiece(time.Now())
 	n, err := d.w.Write(p)
 	d.bytes += n
 	if err != nil {
-		return fmt.Errorf("%w: %v", errCaller, err)
+		return fmt.Errorf("%w: %v", errCallerWrite, err)
 	}
 	return nil
 }
 
-// note takes the time of a piece.
-func (d *delivery) note(now time.Time) {
-	if d.first.IsZero() {
-		d.first = now
+// recordPiece updates the times of the first write, the latest write and the longest
+// pause.
+func (d *delivery) recordPiece(now time.Time) {
+	if d.firstPiece.IsZero() {
+		d.firstPiece = now
 	} else {
-		d.pause = max(d.pause, now.Sub(d.latest))
+		d.longestPause = max(d.longestPause, now.Sub(d.lastPiece))
 	}
-	d.latest = now
+	d.lastPiece = now
 }
 
 func (d *delivery) flush() error {
 	if err := d.control.Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return fmt.Errorf("%w: %v", errCaller, err)
+		return fmt.Errorf("%w: %v", errCallerWrite, err)
 	}
 	return nil
 }
--- a/router/header.go
+++ b/router/header.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// hopHeaders are the headers of one connection, which are not passed on
-// (RFC 9110, section 7.6.1), and those that the sender sets itself.
+// hopHeaders are the hop-by-hop headers, which are not forwarded (RFC 9110, section
+// 7.6.1), and the headers that the sender sets itself.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Host",
 }
 
-// EndToEndHeader is a copy of a header without what concerns one connection only.
+// EndToEndHeader returns a copy of h without its hop-by-hop headers.
 func EndToEndHeader(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h["Connection"] {
--- a/router/index.go
+++ b/router/index.go
@@ -10,14 +10,14 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// index is what each request looks up, made once for each configuration.
+// index holds the lookup tables for requests, built once per configuration.
 type index struct {
 	folder     *loader.Folder
 	generation uint64
-	hosts      map[string][]target          // the longest prefix first
-	keys       map[[sha256.Size]byte]string // organisation by the hash of a key
-	tiers      []int                        // that requests may have, ascending
-	routeTiers []int                        // that routes have, ascending
+	hosts      map[string][]target          // by host name; longest prefix first
+	keys       map[[sha256.Size]byte]string // organisation by the hash of an API key
+	tiers      []int                        // all tiers that a request can have, ascending
+	routeTiers []int                        // all tiers of routes, ascending
 }
 
 // target is a route with its name.
@@ -36,12 +36,12 @@
 			return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.name, b.name))
 		})
 	}
-	x.tiers, x.routeTiers = tiersOf(f)
+	x.tiers, x.routeTiers = tiersIn(f)
 	return x
 }
 
-// tiersOf is the tiers that requests may have, and those of routes alone.
-func tiersOf(f *loader.Folder) (all, routes []int) {
+// tiersIn returns the tiers that requests can have, and those of routes alone.
+func tiersIn(f *loader.Folder) (all, routes []int) {
 	for _, r := range f.Routes {
 		routes = append(routes, r.Tier)
 	}
@@ -56,7 +56,7 @@
 	return slices.Compact(all), slices.Compact(routes)
 }
 
-// route is the route of a request for host, with or without a port, and path.
+// route returns the route for a path and a host, with or without a port.
 func (x *index) route(host, path string) (target, bool) {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -70,14 +70,15 @@
 	return target{}, false
 }
 
-// organisation is the organisation that holds a key. What is compared is a hash
-// that the caller can't steer, so that the time it takes tells nothing of the keys.
+// organisation returns the organisation that owns an API key. The lookup compares
+// hashes, which the caller can't choose, so its timing reveals nothing about the keys.
 func (x *index) organisation(key string) (string, bool) {
 	name, ok := x.keys[sha256.Sum256([]byte(key))]
 	return name, ok
 }
 
-// tier is the urgency of a request: the organisation's, where it has one.
+// tier returns the tier of a request: its organisation's, or the route's if the
+// organisation has none.
 func (x *index) tier(t target, organisation string) int {
 	if o := x.folder.Organisations[organisation]; o.Tier != nil {
 		return *o.Tier
@@ -85,22 +86,22 @@
 	return t.Tier
 }
 
-// rank is the place of a request among all in the order of urgency: by its tier, and
-// among those of one tier by the route's. Failure: an engine with more requests than
-// slots takes the least urgent off its streams, and knows what is urgent from us
-// alone. Told the tier only, it takes off whichever came last: a chat in mid-stream,
-// while a long plan of an organisation of the same tier runs on.
+// rank returns the position of a request in the order of urgency: by tier, and within a
+// tier by the route's tier. When an engine has more requests than slots, it suspends the
+// least urgent streams, and it knows the urgency only from the router. Given only the
+// tier, it would preempt the stream that arrived last: an interactive chat, while a long
+// planning request of an organisation of the same tier continued.
 func (x *index) rank(t target, organisation string) int {
 	tier, _ := slices.BinarySearch(x.tiers, x.tier(t, organisation))
 	route, _ := slices.BinarySearch(x.routeTiers, t.Tier)
 	return tier*len(x.routeTiers) + route
 }
 
-// ranks is the number of ranks.
+// ranks returns the number of ranks.
 func (x *index) ranks() int { return len(x.tiers) * len(x.routeTiers) }
 
-// service picks a route's service by the weights. share is from 0 to 1.
-func (t target) service(share float64) string {
+// pickService picks one of the route's services by weight. share is in [0, 1).
+func (t target) pickService(share float64) string {
 	sum := 0
 	for _, s := range t.Services {
 		sum += s.Weight
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -11,19 +11,19 @@
 	"github.com/cicadawood/cicadawood/connector"
 )
 
-// Metrics is the router's metrics. Labels are kinds of request, outcomes and tiers
-// only: their number does not grow with routes or organisations.
+// Metrics holds the router's metrics. Labels are only request kinds, outcomes, causes
+// and tiers, so the number of series does not grow with routes or organisations.
 type Metrics struct {
-	requests *prometheus.CounterVec
-	firsts   *prometheus.HistogramVec
-	wholes   *prometheus.HistogramVec
-	pauses   prometheus.Histogram
-	errors   prometheus.Histogram
-	failed   *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	waits    *prometheus.HistogramVec
-	taken    *prometheus.HistogramVec
-	wanted   *prometheus.HistogramVec
+	requests      *prometheus.CounterVec
+	firstByte     *prometheus.HistogramVec
+	completed     *prometheus.HistogramVec
+	pauses        prometheus.Histogram
+	predictions   prometheus.Histogram
+	failedSends   *prometheus.CounterVec
+	refused       *prometheus.CounterVec
+	refusedWaits  *prometheus.HistogramVec
+	refusedTaken  *prometheus.HistogramVec
+	refusedWanted *prometheus.HistogramVec
 }
 
 // NewMetrics registers the router's metrics.
@@ -33,42 +33,43 @@
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "cicadawood_routed_requests_total", Help: "Requests of host routes by kind and outcome.",
 		}, []string{"kind", "outcome"}),
-		firsts: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "cicadawood_routed_first_seconds", Help: "Time to the first byte of an answer's body.", Buckets: buckets,
 		}, []string{"kind"}),
-		wholes: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		completed: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "cicadawood_routed_whole_seconds", Help: "Time to the end of an answer that was whole.", Buckets: buckets,
 		}, []string{"kind"}),
 	}
 	m.pauses = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "cicadawood_routed_pause_seconds", Help: "Longest pause between two pieces of a stream.", Buckets: buckets,
 	})
-	m.errors = prometheus.NewHistogram(prometheus.HistogramOpts{
+	m.predictions = prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: "cicadawood_routed_prediction_ratio", Help: "Time to an engine's first event as seen, in parts of what was expected.",
 		Buckets: prometheus.ExponentialBuckets(0.125, 2, 8),
 	})
-	m.failed = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.failedSends = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "cicadawood_routed_failed_sends_total", Help: "Requests that a worker did not answer, by cause and by whether they were sent again.",
 	}, []string{"cause", "again"})
 	m.refused = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "cicadawood_routed_refused_total", Help: "Requests that no worker got, by the tier of their route and by cause.",
 	}, []string{"tier", "cause"})
-	m.waits = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.refusedWaits = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "cicadawood_routed_refused_wait_seconds", Help: "Wait that a refused request would have had, by the tier of its route and by cause.", Buckets: buckets,
 	}, []string{"tier", "cause"})
-	m.taken = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.refusedTaken = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "cicadawood_routed_refused_taken_ratio", Help: "Slots taken and kept of the worker that a refused request came nearest to, in parts of all its slots.",
 		Buckets: prometheus.LinearBuckets(0.25, 0.25, 6),
 	}, []string{"tier", "cause"})
-	m.wanted = prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m.refusedWanted = prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Name: "cicadawood_routed_refused_wanted_slots", Help: "Slots that more urgent routes want beside those that they have, as a request was refused.",
 		Buckets: prometheus.ExponentialBuckets(1, 4, 6),
 	}, []string{"tier", "cause"})
-	r.MustRegister(m.requests, m.firsts, m.wholes, m.pauses, m.errors, m.failed, m.refused, m.waits, m.taken, m.wanted)
+	r.MustRegister(m.requests, m.firstByte, m.completed, m.pauses, m.predictions, m.failedSends, m.refused, m.refusedWaits, m.refusedTaken, m.refusedWanted)
 	return m
 }
 
-// kind names what may be done with a request after a failure.
+// kind returns the request's metric label: how the request may be repeated after a
+// failure.
 func (q *request) kind() string {
 	switch {
 	case q.name == "":
@@ -83,55 +84,55 @@
 	return "repeatable"
 }
 
-func (m *Metrics) request(t *trip, outcome string) {
+func (m *Metrics) observeRequest(t *transaction, outcome string) {
 	q, d := t.q, t.delivery
 	kind := q.kind()
 	m.requests.WithLabelValues(kind, outcome).Inc()
-	if !d.first.IsZero() {
-		m.firsts.WithLabelValues(kind).Observe(d.first.Sub(q.started).Seconds())
+	if !d.firstPiece.IsZero() {
+		m.firstByte.WithLabelValues(kind).Observe(d.firstPiece.Sub(q.started).Seconds())
 	}
 	if outcome == "answered" {
-		m.wholes.WithLabelValues(kind).Observe(time.Since(q.started).Seconds())
+		m.completed.WithLabelValues(kind).Observe(time.Since(q.started).Seconds())
 	}
-	if d.pause > 0 {
-		m.pauses.Observe(d.pause.Seconds())
+	if d.longestPause > 0 {
+		m.pauses.Observe(d.longestPause.Seconds())
 	}
-	if t.seen > 0 && t.expected > 0 {
-		m.errors.Observe(float64(t.seen) / float64(t.expected))
+	if t.timeToFirst > 0 && t.expectedWait > 0 {
+		m.predictions.Observe(float64(t.timeToFirst) / float64(t.expectedWait))
 	}
 }
 
-// refuse counts a request that no worker got.
-func (m *Metrics) refuse(q *request, r Refused) {
+// observeRefusal counts a request that was placed on no worker.
+func (m *Metrics) observeRefusal(q *request, r Refused) {
 	tier, b := strconv.Itoa(q.Tier), r.Basis
 	m.refused.WithLabelValues(tier, r.Reason).Inc()
-	m.waits.WithLabelValues(tier, r.Reason).Observe(b.Wait.Seconds())
+	m.refusedWaits.WithLabelValues(tier, r.Reason).Observe(b.Wait.Seconds())
 	if b.Slots > 0 {
-		m.taken.WithLabelValues(tier, r.Reason).Observe(float64(b.Taken+b.Kept) / float64(b.Slots))
+		m.refusedTaken.WithLabelValues(tier, r.Reason).Observe(float64(b.Taken+b.Kept) / float64(b.Slots))
 	}
-	m.wanted.WithLabelValues(tier, r.Reason).Observe(float64(b.Wanted))
+	m.refusedWanted.WithLabelValues(tier, r.Reason).Observe(float64(b.Wanted))
 }
 
-// send counts a send that failed; again says that another follows.
-func (m *Metrics) send(err error, again bool) {
-	m.failed.WithLabelValues(causeOf(err), strconv.FormatBool(again)).Inc()
+// observeFailedSend counts a failed send; again reports whether another send follows.
+func (m *Metrics) observeFailedSend(err error, again bool) {
+	m.failedSends.WithLabelValues(causeLabel(err), strconv.FormatBool(again)).Inc()
 }
 
-// causeOf names what a send failed by.
-func causeOf(err error) string {
+// causeLabel returns the metric label for the error of a failed send.
+func causeLabel(err error) string {
 	for _, c := range []struct {
 		err  error
 		name string
 	}{
-		{errCaller, "caller"},
+		{errCallerWrite, "caller"},
 		{connector.ErrNotSent, "not_sent"},
-		{errMisled, "other_worker"},
+		{errOtherWorker, "other_worker"},
 		{errNotRun, "not_run"},
 		{errSilent, "silent"},
-		{errFailed, "failed"},
+		{errWorkerFailed, "failed"},
 		{errUnsealed, "unsealed"},
-		{errPromise, "false_promise"},
-		{errShort, "short"},
+		{errImpliesNotRun, "false_promise"},
+		{errTruncatedEvent, "short"},
 		{errEncoded, "encoded"},
 		{connector.ErrClosedByPeer, "ended"},
 		{context.Canceled, "caller"},
--- a/router/port.go
+++ b/router/port.go
@@ -1,8 +1,8 @@
-// Package router answers the callers of host routes: it finds a request's route
-// by host name and path, checks its key and its limits, has it placed on a worker,
-// passes the answer on, and decides what may be repeated after a failure.
+// Package router serves callers of host routes. It finds the route of a request by host
+// name and path, checks its API key and limits, has it placed on a worker, passes the
+// answer on, and decides whether a failed request may be repeated.
 //
-// What headers are called is a Dialect's matter, where requests go a Placer's.
+// The names of headers are defined by a Dialect, the choice of a worker by a Placer.
 package router
 
 import (
@@ -14,115 +14,116 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// Part is one part of a prompt, as a caller names it.
+// Part is one part of a prompt, as identified by the caller.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// RequestHead is what a caller says in a request's head.
+// RequestHead is the information in the head of a caller's request.
 type RequestHead struct {
-	ID             string        // of this one try of the caller
-	Deadline       time.Duration // that the caller waits; 0 where it does not say
+	ID             string        // unique to this attempt of the caller
+	Deadline       time.Duration // how long the caller waits; 0 if not stated
 	Model          string
 	Prompt         int // tokens
-	MaxOutput      int // tokens at most
-	ExpectedOutput int // tokens of output that the caller expects; 0 where it does not say
+	MaxOutput      int // maximum tokens of output
+	ExpectedOutput int // expected tokens of output; 0 if not stated
 	Parts          []Part
-	LastEventID    string // the last event that the caller has of a stream
+	LastEventID    string // last event of a stream that the caller received
 }
 
-// WorkerHead is what a worker is told besides the caller's request.
+// WorkerHead is the information sent to a worker in addition to the caller's request.
 type WorkerHead struct {
-	Worker       string        // any other worker is not to run it
-	TimeLeft     time.Duration // nobody waits for the answer any longer
-	Organisation string        // "" where the route asks for no key
+	Worker       string        // name of the worker; any other worker must reject the request
+	TimeLeft     time.Duration // time until the caller's deadline
+	Organisation string        // "" if the route requires no key
 	Engine       bool
-	Rank         int    // among Ranks; 0 is the most urgent
-	Ranks        int    // that the configuration in force tells apart
-	Source       string // address of the worker to fetch the prompt's memory from; "" for none
-	LastEventID  string // the stream is to go on after this event; "" leaves the caller's
+	Rank         int    // 0 is the most urgent; less than Ranks
+	Ranks        int    // number of ranks in the current configuration
+	Source       string // address of the worker to fetch the prompt's KV cache from; "" for none
+	LastEventID  string // resume the stream after this event; "" keeps the caller's value
 }
 
-// Load is a worker's own count of its requests.
+// Load is the number of requests and slots that a worker reports.
 type Load struct {
 	Known                   bool
 	Running, Waiting, Slots int
 }
 
-// AnswerHead is what an answer's head says of the request.
+// AnswerHead is the information in the head of a worker's answer.
 type AnswerHead struct {
-	ID          string // of the request that is answered; "" where it does not say
+	ID          string // ID of the answered request; "" if not stated
 	Sealed      bool   // the worker vouches for the answer
 	NotRun      bool   // the worker did not and will not run the request
-	OtherWorker bool   // another worker has the address now
+	OtherWorker bool   // the address now belongs to another worker
 	Load        Load
 	Limit       Limit
 }
 
-// Limit is how many requests a second a worker says that it takes from all hosts together.
+// Limit is the rate that a worker reports to accept from all hosts together.
 type Limit struct {
-	Rate    float64 // 0 is any number
-	Invalid string  // what it said cannot be read
+	Rate    float64 // requests per second; 0 is unlimited
+	Invalid string  // reported value that can't be parsed
 }
 
-// Dialect is the port to what callers and workers call things.
+// Dialect is the port to the header names that callers and workers use.
 type Dialect interface {
-	// Key is the key of a request; false where it has none.
+	// Key returns the API key of a request, or false if it has none.
 	Key(h http.Header) (string, bool)
-	// ReadRequest reads a request's head.
+	// ReadRequest parses the head of a caller's request.
 	ReadRequest(h http.Header) RequestHead
-	// WriteRequest makes a caller's header, without those of one connection, the worker's.
+	// WriteRequest turns the caller's end-to-end headers into those for the worker.
 	WriteRequest(h http.Header, o WorkerHead)
-	// ReadAnswer reads the head of a worker's answer.
+	// ReadAnswer parses the head of a worker's answer.
 	ReadAnswer(status int, h http.Header) AnswerHead
-	// WriteAnswer completes the header of an answer that the system gives itself.
+	// WriteAnswer adds the headers of a response generated by the router itself.
 	WriteAnswer(h http.Header, id string, after time.Duration)
 }
 
-// Placement is where a request goes.
+// Placement is the worker that a request is placed on.
 type Placement struct {
 	ID           uint64
 	Service      string
 	Worker       placer.Worker
-	ExpectedWait time.Duration // expected until the first event, or the answer
-	Delay        time.Duration // it is to be sent only then
-	PromptTokens int           // tokens that the worker is expected to read
-	ListAge      time.Duration // of the list of workers that it was chosen from
-	Source       string        // address of the worker that it is to fetch memory from; "" for none
-	PlacedBy     string        // host that chose it; "" is this one
-	HalfFull     bool          // half of the worker's slots are taken, or more
-	RateLimit    float64       // requests a second that the worker said it takes; 0 is any number
+	ExpectedWait time.Duration // expected time until the first event or the whole answer
+	Delay        time.Duration // time to wait before the request is sent
+	PromptTokens int           // tokens of the prompt that the worker is expected to process
+	ListAge      time.Duration // age of the list of workers that this one was chosen from
+	Source       string        // address of the worker to fetch the prompt's KV cache from; "" for none
+	PlacedBy     string        // host that made the choice; "" is this host
+	HalfFull     bool          // at least half of the worker's slots are in use
+	RateLimit    float64       // requests per second that the worker reported to accept; 0 is unlimited
 }
 
-// Refused is the error of a request that no worker should get now.
+// Refused is the error for a request that is placed on no worker for now.
 type Refused struct {
 	Reason    string
 	After     time.Duration
-	RefusedBy string       // host that refused it; "" is this one
-	Basis     placer.Basis // what that was decided by
+	RefusedBy string       // host that refused the request; "" is this host
+	Basis     placer.Basis // figures that the decision was based on
 }
 
 // Error implements error.
 func (r Refused) Error() string { return "refused: " + r.Reason }
 
-// Placer is the port to the decision where requests go.
+// Placer is the port to the component that chooses a worker for each request.
 type Placer interface {
-	// Place picks a worker. Its error is a Refused, or that of ctx. Again says that
-	// the request was sent to a worker before.
+	// Place chooses a worker. It returns a Refused, or the error of ctx. again reports
+	// whether the request was already sent to a worker.
 	Place(ctx context.Context, a placer.Ask, again bool) (Placement, error)
-	// Started tells that the first event of a stream, or a whole answer, has come, so long
-	// after the request was sent.
+	// Started reports that the first event of a stream, or a whole answer, was received,
+	// and how long after the request was sent.
 	Started(p Placement, took time.Duration)
-	// RateReported tells how many requests a second the worker named as it answered; 0 where it
-	// named none. It comes only where there is, or was, a limit.
+	// RateReported reports the request rate that the worker stated in its answer; 0 if
+	// it stated none. It is called only if there is or was a limit.
 	RateReported(p Placement, rate float64)
-	// Ended tells how a request at its place ended. It is called once for each Place.
+	// Ended reports how a placed request ended. It is called once for each Placement.
 	Ended(p Placement, o placer.Outcome)
 }
 
-// Configuration is the port to the settings in force.
+// Configuration is the port to the configuration in force.
 type Configuration interface {
-	// Folder is the configuration in force and its generation; nil before the first.
+	// Folder returns the configuration in force and its generation; nil before the first
+	// is loaded.
 	Folder() (*loader.Folder, uint64)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -20,7 +20,7 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-// Config is what a Router is made with.
+// Config holds the dependencies and limits of a Router.
 type Config struct {
 	Dialect       Dialect
 	Configuration Configuration
@@ -28,23 +28,24 @@
 	Pool          *connector.Pool
 	Log           *zap.Logger
 	Metrics       *Metrics
-	MaxAnswer     int64         // bytes of an answer that is held until it is whole
-	WriteTimeout  time.Duration // for a caller to take a piece of its answer
-	MaxBuffered   int64         // bytes of requests and answers held at once
+	MaxAnswer     int64         // maximum bytes of an answer that is buffered until it is whole
+	WriteTimeout  time.Duration // time for a caller to accept one write
+	MaxBuffered   int64         // maximum bytes of requests buffered at any time
 }
 
 // Router is an http.Handler for host routes.
 type Router struct {
 	Config
-	index atomic.Pointer[index]
-	held  atomic.Int64 // bytes
+	index    atomic.Pointer[index]
+	buffered atomic.Int64 // bytes of request bodies in memory
 }
 
-// New returns a router.
+// New returns a Router.
 func New(c Config) *Router { return &Router{Config: c} }
 
-// look is the index of the configuration in force, nil before the first.
-func (r *Router) look() *index {
+// currentIndex returns the index of the configuration in force, or nil before the first
+// is loaded.
+func (r *Router) currentIndex() *index {
 	f, generation := r.Configuration.Folder()
 	if f == nil {
 		return nil
@@ -65,14 +66,14 @@
 	service      string
 	organisation string
 	tier         int
-	rank         int // among the index's ranks
+	rank         int // less than the index's ranks
 	started      time.Time
 	method       string
 	uri          string
 	host         string
 	header       http.Header
 	body         []byte
-	fingerprint  quarantiner.Fingerprint // of what it asks for, whatever its id
+	fingerprint  quarantiner.Fingerprint // identifies the content of the request, independent of its ID
 	ask          placer.Ask
 }
 
@@ -82,18 +83,19 @@
 		RequestHead: r.Dialect.ReadRequest(req.Header), started: time.Now(),
 		method: req.Method, uri: req.RequestURI, host: req.Host,
 	}
-	d := &delivery{w: w, control: http.NewResponseController(w), stall: r.WriteTimeout}
-	t := &trip{router: r, q: q, delivery: d}
-	f := r.check(q, w, req)
+	d := &delivery{w: w, control: http.NewResponseController(w), writeTimeout: r.WriteTimeout}
+	t := &transaction{router: r, q: q, delivery: d}
+	f := r.prepare(q, w, req)
 	if f == nil {
-		defer r.held.Add(-int64(len(q.body)))
+		defer r.buffered.Add(-int64(len(q.body)))
 		f = t.serve(req.Context())
 	}
-	r.end(t, f)
+	r.finish(t, f)
 }
 
-// end answers a request that got no answer, and logs either.
-func (r *Router) end(t *trip, f *failure) {
+// finish writes the error response of a failed request, and records the outcome of any
+// request in the metrics and the log.
+func (r *Router) finish(t *transaction, f *failure) {
 	code, status := "answered", t.delivery.status
 	abort := false
 	if f != nil {
@@ -101,34 +103,34 @@
 		switch {
 		case f.status == statusGone:
 			abort = true
-		case t.delivery.begun:
-			// Part of the answer is with the caller: only a broken connection says
-			// that the rest is missing.
+		case t.delivery.headSent:
+			// The caller has part of the answer: only an aborted connection shows that
+			// the rest is missing.
 			abort = true
 		default:
 			f.write(t.delivery.w, r.Dialect, t.q.ID)
 		}
 	}
-	r.Metrics.request(t, code)
+	r.Metrics.observeRequest(t, code)
 	r.log(t, code, status, f)
 	if abort {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (r *Router) log(t *trip, code string, status int, f *failure) {
+func (r *Router) log(t *transaction, code string, status int, f *failure) {
 	q := t.q
 	fields := []zap.Field{
 		zap.String("request", q.ID), zap.Stringer("fingerprint", q.fingerprint), zap.String("route", q.name), zap.String("service", q.service), zap.Int("tier", q.tier), zap.Int("rank", q.rank), zap.Duration("target", q.First.Std()),
-		zap.String("outcome", code), zap.Int("status", status), zap.Int("sends", t.sends), zap.Bool("exposed", t.exposed),
-		zap.Duration("took", time.Since(q.started)), zap.Int("bytes", t.delivery.bytes), zap.String("worker", t.worker), zap.Bool("kept", t.kept),
-		zap.Duration("expected", t.expected), zap.Int("read", t.read),
+		zap.String("outcome", code), zap.Int("status", status), zap.Int("sends", t.sends), zap.Bool("exposed", t.mayHaveRun),
+		zap.Duration("took", time.Since(q.started)), zap.Int("bytes", t.delivery.bytes), zap.String("worker", t.worker), zap.Bool("kept", t.reused),
+		zap.Duration("expected", t.expectedWait), zap.Int("read", t.promptTokens),
 	}
-	if !t.delivery.first.IsZero() {
-		fields = append(fields, zap.Duration("first", t.delivery.first.Sub(q.started)), zap.Duration("pause", t.delivery.pause))
+	if !t.delivery.firstPiece.IsZero() {
+		fields = append(fields, zap.Duration("first", t.delivery.firstPiece.Sub(q.started)), zap.Duration("pause", t.delivery.longestPause))
 	}
-	if !t.sent.IsZero() {
-		fields = append(fields, zap.Duration("sent", t.sent.Sub(q.started)))
+	if !t.sentAt.IsZero() {
+		fields = append(fields, zap.Duration("sent", t.sentAt.Sub(q.started)))
 	}
 	if q.index != nil {
 		fields = append(fields, zap.Uint64("generation", q.index.generation))
@@ -136,8 +138,8 @@
 	if t.source != "" {
 		fields = append(fields, zap.String("source", t.source))
 	}
-	if t.by != "" {
-		fields = append(fields, zap.String("by", t.by))
+	if t.placedBy != "" {
+		fields = append(fields, zap.String("by", t.placedBy))
 	}
 	if t.cause != nil {
 		fields = append(fields, zap.String("cause", t.cause.Error()))
@@ -145,8 +147,8 @@
 	if t.refused != nil {
 		fields = append(fields, basisFields(*t.refused)...)
 	}
-	if f != nil && f.after > 0 {
-		fields = append(fields, zap.Duration("after", f.after))
+	if f != nil && f.retryAfter > 0 {
+		fields = append(fields, zap.Duration("after", f.retryAfter))
 	}
 	if f != nil {
 		r.Log.Warn("request", fields...)
@@ -155,7 +157,7 @@
 	r.Log.Info("request", fields...)
 }
 
-// basisFields is what a refusal was decided by.
+// basisFields returns the log fields for the figures that a refusal was based on.
 func basisFields(r Refused) []zap.Field {
 	b := r.Basis
 	fields := []zap.Field{
@@ -170,27 +172,27 @@
 	return fields
 }
 
-// check finds the route of a request, and refuses what may not pass.
-func (r *Router) check(q *request, w http.ResponseWriter, req *http.Request) *failure {
-	q.index = r.look()
+// prepare finds the route of a request, checks its key, and reads its body.
+func (r *Router) prepare(q *request, w http.ResponseWriter, req *http.Request) *failure {
+	q.index = r.currentIndex()
 	if q.index == nil {
-		return &failure{status: http.StatusServiceUnavailable, code: codeUnconfigured, after: comeBack}
+		return &failure{status: http.StatusServiceUnavailable, code: codeNoConfiguration, retryAfter: defaultRetryAfter}
 	}
-	if limit := q.index.callers().Header; limit > 0 && headBytes(req) > limit {
-		return &failure{status: http.StatusRequestHeaderFieldsTooLarge, code: codeHeader, close: true}
+	if limit := q.index.callerLimits().Header; limit > 0 && headSize(req) > limit {
+		return &failure{status: http.StatusRequestHeaderFieldsTooLarge, code: codeHeaderTooLarge, closeConnection: true}
 	}
 	var ok bool
 	if q.target, ok = q.index.route(req.Host, req.URL.EscapedPath()); !ok {
-		return &failure{status: http.StatusNotFound, code: codeNoRoute}
+		return &failure{status: http.StatusNotFound, code: codeRouteNotFound}
 	}
 	if f := r.identify(q, req.Header); f != nil {
 		return f
 	}
 	if len(req.TransferEncoding) > 0 {
-		// Failure: a request that says its length in two ways is read in two ways,
-		// and what follows it may be taken for a request that nobody sent. net/http
-		// goes by the chunks and drops the other length without a word, so that no
-		// connection is used again after chunks.
+		// A request that states its length in two ways can be read in two ways, and
+		// bytes after it can be taken for a request that nobody sent (request
+		// smuggling). net/http follows the chunks and silently drops the other length,
+		// so a connection is not reused after a chunked request.
 		w.Header().Set("Connection", "close")
 	}
 	q.header = EndToEndHeader(req.Header)
@@ -198,12 +200,12 @@
 		return f
 	}
 	q.fingerprint = quarantiner.Of(q.organisation, q.method, q.uri, q.body)
-	q.service = q.target.service(rand.Float64())
+	q.service = q.target.pickService(rand.Float64())
 	q.ask = r.ask(q)
 	return nil
 }
 
-// identify finds the organisation of a request by its key.
+// identify finds the organisation of a request by its API key.
 func (r *Router) identify(q *request, h http.Header) *failure {
 	q.tier = q.Tier
 	q.rank = q.index.rank(q.target, "")
@@ -215,24 +217,24 @@
 		q.organisation, ok = q.index.organisation(key)
 	}
 	if !ok {
-		return &failure{status: http.StatusUnauthorized, code: codeKey}
+		return &failure{status: http.StatusUnauthorized, code: codeInvalidKey}
 	}
 	q.tier = q.index.tier(q.target, q.organisation)
 	q.rank = q.index.rank(q.target, q.organisation)
 	return nil
 }
 
-// callers is the limits on what callers send.
-func (x *index) callers() loader.Callers {
+// callerLimits returns the limits on requests of callers.
+func (x *index) callerLimits() loader.Callers {
 	if x.folder.Callers == nil {
 		return loader.Callers{}
 	}
 	return *x.folder.Callers
 }
 
-// headBytes is about the size of a request's head on the wire.
-func headBytes(req *http.Request) int {
-	const separators = 4 // ": " and the line's end
+// headSize returns the approximate size of a request's head on the wire, in bytes.
+func headSize(req *http.Request) int {
+	const separators = 4 // ": " and CRLF
 	n := len(req.Method) + len(req.RequestURI) + len(" HTTP/1.1  ") + len("Host: ") + len(req.Host)
 	for name, values := range req.Header {
 		for _, v := range values {
@@ -242,17 +244,17 @@
 	return n
 }
 
-// readBody takes the caller's whole body, bounded.
+// readBody reads the caller's whole body, up to the limit.
 func (r *Router) readBody(q *request, w http.ResponseWriter, req *http.Request) *failure {
-	limit := q.index.callers().Body
+	limit := q.index.callerLimits().Body
 	if limit <= 0 {
 		limit = r.MaxAnswer
 	}
 	if req.ContentLength > limit {
-		return &failure{status: http.StatusRequestEntityTooLarge, code: codeBody, close: true}
+		return &failure{status: http.StatusRequestEntityTooLarge, code: codeBodyTooLarge, closeConnection: true}
 	}
-	if r.held.Load()+max(req.ContentLength, 0) > r.MaxBuffered {
-		return &failure{status: http.StatusServiceUnavailable, code: codeFull, after: comeBack, close: true}
+	if r.buffered.Load()+max(req.ContentLength, 0) > r.MaxBuffered {
+		return &failure{status: http.StatusServiceUnavailable, code: codeHostFull, retryAfter: defaultRetryAfter, closeConnection: true}
 	}
 	var b bytes.Buffer
 	if req.ContentLength > 0 {
@@ -262,18 +264,18 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return &failure{status: http.StatusRequestEntityTooLarge, code: codeBody, close: true}
+		return &failure{status: http.StatusRequestEntityTooLarge, code: codeBodyTooLarge, closeConnection: true}
 	case err != nil && req.Context().Err() != nil:
-		return &failure{status: statusGone, code: codeGone}
+		return &failure{status: statusGone, code: codeCallerGone}
 	case err != nil:
-		return &failure{status: http.StatusBadRequest, code: codeUnreadable, close: true}
+		return &failure{status: http.StatusBadRequest, code: codeBodyUnreadable, closeConnection: true}
 	}
 	q.body = b.Bytes()
-	r.held.Add(int64(len(q.body)))
+	r.buffered.Add(int64(len(q.body)))
 	return nil
 }
 
-// ask is the request as its placer sees it.
+// ask returns the request as seen by the placer.
 func (r *Router) ask(q *request) placer.Ask {
 	a := placer.Ask{
 		Service: q.service, Prompt: q.Prompt, Output: q.MaxOutput, Rank: q.rank, Tier: q.Tier,
@@ -283,13 +285,13 @@
 		a.Output = q.ExpectedOutput
 	}
 	if q.ExpectedOutput > 0 && q.LastEventID == "" {
-		a.Expected = a.Output // how much of it a resumed stream lacks is not known
+		a.Expected = a.Output // the remaining length of a resumed stream is unknown
 	}
 	if q.Stream {
 		a.Patience, a.Gap = patience(q.target), q.Gap.Std()
 	}
 	h := xxhash.New()
-	_, _ = h.WriteString(q.Model) // a hash takes everything
+	_, _ = h.WriteString(q.Model) // never fails
 	for _, p := range q.Parts {
 		_, _ = h.WriteString("\x00" + p.ID)
 		a.Parts = append(a.Parts, placer.Part{Key: h.Sum64(), Tokens: p.Tokens})
@@ -298,21 +300,22 @@
 }
 
 const (
-	// patienceLeast, patienceTargets and patienceGaps tell when a caller leaves a
-	// stream that brings nothing: after the longest of a fixed time, so many targets
-	// for the first event, and so many targets for a pause. The users' callers do so.
-	patienceLeast   = 2 * time.Second
-	patienceTargets = 4
-	patienceGaps    = 8
+	// A caller closes a stream without new events after the longest of minPatience,
+	// patienceFirstTargets times the route's target for the first event, and
+	// patienceGapTargets times its target for the gap between events. These values
+	// follow the behaviour of the users' callers.
+	minPatience          = 2 * time.Second
+	patienceFirstTargets = 4
+	patienceGapTargets   = 8
 )
 
-// patience is how long a caller waits for a stream's next event.
+// patience returns how long a caller waits for a stream's next event.
 func patience(t target) time.Duration {
-	return max(patienceLeast, patienceTargets*t.First.Std(), patienceGaps*t.Gap.Std())
+	return max(minPatience, patienceFirstTargets*t.First.Std(), patienceGapTargets*t.Gap.Std())
 }
 
-// left is how long a request may still take.
-func (q *request) left(now time.Time) time.Duration {
+// timeLeft returns the time until the request's deadline.
+func (q *request) timeLeft(now time.Time) time.Duration {
 	whole := q.Whole.Std()
 	if q.Deadline > 0 {
 		whole = min(whole, q.Deadline)
@@ -320,7 +323,7 @@
 	return whole - now.Sub(q.started)
 }
 
-// timeout is a context that ends when a request may take no longer.
-func (q *request) timeout(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, q.left(time.Now()))
+// withTimeout returns a context that ends at the request's deadline.
+func (q *request) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, q.timeLeft(time.Now()))
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -29,12 +29,12 @@
 	RunSpecs(t, "router")
 }
 
-// plainDialect names headers in the simplest way.
+// plainDialect uses the simplest header names.
 type plainDialect struct{}
 
 func (plainDialect) Key(h http.Header) (string, bool) { return h.Get("Key"), h.Get("Key") != "" }
 func (plainDialect) ReadRequest(h http.Header) router.RequestHead {
-	output, _ := strconv.Atoi(h.Get("Output")) // 0 where there is none
+	output, _ := strconv.Atoi(h.Get("Output")) // 0 if missing
 	hint, _ := strconv.Atoi(h.Get("Hint"))
 	return router.RequestHead{ID: h.Get("Id"), Deadline: 2 * time.Second, MaxOutput: output, ExpectedOutput: hint, LastEventID: h.Get("After")}
 }
@@ -54,12 +54,12 @@
 	}
 }
 
-// listPlacer hands out its workers in order, as often as the budget allows.
+// listPlacer returns its workers in order, and limits repeats to its budget.
 type listPlacer struct {
 	mu       sync.Mutex
 	workers  []placer.Worker
 	pause    time.Duration
-	budget   int // of repeats
+	budget   int // maximum number of repeats
 	asks     []placer.Ask
 	outcomes []placer.Outcome
 }
@@ -186,7 +186,7 @@
 	}
 	bg := context.Background()
 
-	It("goes by the longest prefix of the path, and by the weights of its services", func() {
+	It("routes by the longest path prefix, and by the weights of the services", func() {
 		worker("w", status(http.StatusOK, "Seal"))
 		for path, service := range map[string]string{"/a/x": "a", "/a/b/x": "a/b", "/a/bc": "a"} {
 			code, _, err := call(bg, path, "s")
@@ -204,7 +204,7 @@
 		Expect(count).NotTo(HaveKey("z"))
 	})
 
-	It("counts what no worker got by its route's tier and by cause", func() {
+	It("counts refused requests by the route's tier and by cause", func() {
 		for path, key := range map[string]string{"/a/x": "l", "/late/x": "s"} {
 			code, _, err := call(bg, path, key)
 			Expect(err).NotTo(HaveOccurred())
@@ -218,8 +218,9 @@
 		`), "cicadawood_routed_refused_total")).To(Succeed())
 	})
 
-	// An engine has more requests than slots, and takes the least urgent off. Both are
-	// of organisations of one tier: that of the less urgent route must yield.
+	// Guards against an engine with more requests than slots preempting the more urgent
+	// of two requests: both organisations have the same tier, so the route's tier must
+	// decide.
 	It("ranks a request by its organisation's tier, and within that by its route's", func() {
 		worker("w", status(http.StatusOK, "Seal"))
 		for _, c := range []struct{ path, key, rank string }{
@@ -231,9 +232,9 @@
 		}
 	})
 
-	// A worker answers with a status that promises callers that the request was not
-	// run, but does not vouch for that itself. The promise must not be passed on.
-	DescribeTable("passes no promise on that the worker does not make", func(code int) {
+	// Guards against passing on a status that callers take to mean "not run" from a
+	// worker that does not state this itself.
+	DescribeTable("does not pass on a status that implies not run unless the worker confirms it", func(code int) {
 		worker("w", status(code, "Seal"))
 		got, h, err := call(bg, "/once/x", "s")
 		Expect(err).NotTo(HaveOccurred())
@@ -243,19 +244,19 @@
 		Expect(seen).To(HaveLen(1))
 	}, Entry(nil, 429), Entry(nil, 503), Entry(nil, 408))
 
-	It("passes a worker's own failure on as it is, where no other may be asked", func() {
+	It("passes a worker's error response on unchanged if no other worker may be tried", func() {
 		worker("w", status(http.StatusInternalServerError, "Seal"))
 		code, h, err := call(bg, "/once/x", "s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(http.StatusInternalServerError))
 		Expect(h.Get("Seal")).To(Equal("1"))
-		code, _, err = call(bg, "/a/x", "s") // may be repeated, but nobody else is there
+		code, _, err = call(bg, "/a/x", "s") // repeatable, but there is no other worker
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(http.StatusInternalServerError))
 		Expect(place.ended()).To(Equal([]placer.Outcome{placer.Errored, placer.Errored}))
 	})
 
-	It("repeats within the budget only, and then gives what it has", func() {
+	It("repeats only within the budget, and then passes on the stored error response", func() {
 		worker("w-1", status(http.StatusInternalServerError, "Seal"))
 		worker("w-2", status(http.StatusOK, "Seal"))
 		place.budget = 1
@@ -267,7 +268,7 @@
 		Expect(code).To(Equal(http.StatusInternalServerError))
 	})
 
-	It("counts what sends failed by, and whether another followed", func() {
+	It("counts failed sends by cause and by whether another send followed", func() {
 		worker("w-1", status(http.StatusServiceUnavailable, "Not-Run"))
 		worker("w-2", status(http.StatusInternalServerError, "Seal"))
 		_, _, err := call(bg, "/once/x", "s")
@@ -286,22 +287,22 @@
 		Expect(counted).To(Equal(map[string]float64{"not_run true": 1, "failed false": 1}))
 	})
 
-	It("promises that a request was not run only where all workers did", func() {
+	It("reports a request as not run only if all workers did", func() {
 		worker("w-1", status(http.StatusServiceUnavailable, "Not-Run"))
 		code, h, err := call(bg, "/once/x", "s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(http.StatusServiceUnavailable))
 		Expect(h.Get("Retry-After")).To(Equal("1"))
-		worker("w-2", status(http.StatusServiceUnavailable)) // says nothing
+		worker("w-2", status(http.StatusServiceUnavailable)) // does not state whether it ran the request
 		code, h, err = call(bg, "/once/x", "s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(http.StatusBadGateway))
 		Expect(h).NotTo(HaveKey("Retry-After"))
 	})
 
-	// A long prompt is held back for its worker, and its caller leaves meanwhile. It
-	// must not reach the worker any more.
-	It("sends nothing whose caller left while it was held back", func() {
+	// Guards against sending a request whose caller disconnected while the send was
+	// delayed.
+	It("does not send a request whose caller disconnected during its delay", func() {
 		worker("w", status(http.StatusOK, "Seal"))
 		place.pause = 300 * time.Millisecond
 		ctx, leave := context.WithTimeout(bg, 50*time.Millisecond)
@@ -312,10 +313,10 @@
 		Expect(seen).To(BeEmpty())
 	})
 
-	// A long stream breaks after most of it, and goes on at another worker. Judged by its
-	// whole length, it would be refused there as one that can't end in time, and its caller
-	// be left with a part.
-	It("tells the placer what a caller expects, and of a resumed stream nothing", func() {
+	// A long stream breaks after most of its events and resumes at another worker.
+	// Judged by its original expected length, it would be refused there for lack of
+	// time, and the caller would be left with a partial answer.
+	It("passes the expected output to the placer, except for resumed streams", func() {
 		broken := true
 		events := func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -342,8 +343,8 @@
 		}
 		Expect(expected("Output", "400", "Hint", "120")).To(Equal([]int{120, 0}))
 		Expect(expected("Output", "400", "Hint", "120")).To(Equal([]int{120}))
-		Expect(expected("Output", "400", "Hint", "900")).To(Equal([]int{400}), "the most that it may get")
-		Expect(expected("Output", "400")).To(Equal([]int{0}), "it does not say")
+		Expect(expected("Output", "400", "Hint", "900")).To(Equal([]int{400}), "no more than the maximum")
+		Expect(expected("Output", "400")).To(Equal([]int{0}), "not stated")
 		Expect(expected("Output", "400", "Hint", "120", "After", "7")).To(Equal([]int{0}))
 	})
 })
--- a/router/stream.go
+++ b/router/stream.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	streamBuffer = 4 << 10
-	// eventMost is the most bytes of one event.
-	eventMost = 1 << 20
+	streamBufferBytes = 4 << 10
+	// maxEventBytes is the maximum size of one event.
+	maxEventBytes = 1 << 20
 )
 
 var eventEnd = []byte("\n\n")
 
-// stream passes events on as they come, whole ones only: a worker may stop inside
-// one, and the rest of it would come from another.
-func (t *trip) stream(p Placement, a *connector.Answer) error {
-	resumed := t.delivery.begun
+// passStream passes events on as they arrive, whole events only: if the worker fails
+// inside an event, another worker could not continue it.
+func (t *transaction) passStream(p Placement, a *connector.Answer) error {
+	resumed := t.delivery.headSent
 	var pending []byte
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	for first := true; ; {
 		n, err := a.Read(buffer)
 		pending = append(pending, buffer[:n]...)
@@ -32,62 +32,62 @@
 			events := pending[:end+len(eventEnd)]
 			if first {
 				first = false
-				t.heard()
-				t.seen = time.Since(t.sent)
-				t.router.Placer.Started(p, t.seen)
+				t.stopSilenceTimer()
+				t.timeToFirst = time.Since(t.sentAt)
+				t.router.Placer.Started(p, t.timeToFirst)
 			}
 			if err := t.passEvents(a, events, resumed); err != nil {
-				return t.lost(err)
+				return t.recordFailure(err)
 			}
 			pending = append(pending[:0], pending[end+len(eventEnd):]...)
 		}
 		switch {
-		case errors.Is(err, io.EOF) && len(pending) > 0, len(pending) > eventMost:
-			return t.lost(errShort)
+		case errors.Is(err, io.EOF) && len(pending) > 0, len(pending) > maxEventBytes:
+			return t.recordFailure(errTruncatedEvent)
 		case errors.Is(err, io.EOF):
-			return t.endStream(a)
+			return t.finishStream(a)
 		case err != nil:
-			return t.lost(err)
+			return t.recordFailure(err)
 		}
 	}
 }
 
-// endStream ends an answer whose last event came. One without any event is passed
-// as it is.
-func (t *trip) endStream(a *connector.Answer) error {
+// finishStream completes a stream after its last event. An answer without any event is
+// passed on unchanged.
+func (t *transaction) finishStream(a *connector.Answer) error {
 	a.Finish()
-	if !t.delivery.begun {
-		t.delivery.head(a.Status, a.Header, -1)
+	if !t.delivery.headSent {
+		t.delivery.writeHead(a.Status, a.Header, -1)
 	}
 	return t.delivery.flush()
 }
 
-// passEvents gives the caller whole events. Of a resumed stream it leaves out what
-// the caller has.
-func (t *trip) passEvents(a *connector.Answer, events []byte, resumed bool) error {
-	if !t.delivery.begun {
-		t.delivery.head(a.Status, a.Header, -1)
+// passEvents writes whole events to the caller. Of a resumed stream, it skips the events
+// that the caller already has.
+func (t *transaction) passEvents(a *connector.Answer, events []byte, resumed bool) error {
+	if !t.delivery.headSent {
+		t.delivery.writeHead(a.Status, a.Header, -1)
 	}
-	had := t.last
+	previous := t.lastEventID
 	for rest := events; len(rest) > 0; {
 		end := bytes.Index(rest, eventEnd) + len(eventEnd)
 		event := rest[:end]
 		rest = rest[end:]
 		id := eventID(event)
-		if resumed && id != "" && !later(id, had) {
+		if resumed && id != "" && !isLater(id, previous) {
 			continue
 		}
 		if err := t.delivery.write(event); err != nil {
 			return err
 		}
 		if id != "" {
-			t.last = id
+			t.lastEventID = id
 		}
 	}
 	return t.delivery.flush()
 }
 
-// eventID is the id line of an event; "" where it has none.
+// eventID returns the id of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for _, line := range strings.Split(string(event), "\n") {
 		if id, ok := strings.CutPrefix(line, "id:"); ok {
@@ -97,8 +97,8 @@
 	return ""
 }
 
-// later says whether an event's id comes after another. Ids grow.
-func later(id, than string) bool {
+// isLater reports whether an event ID follows another. IDs increase within a stream.
+func isLater(id, than string) bool {
 	a, errA := strconv.ParseUint(id, 10, 64)
 	b, errB := strconv.ParseUint(than, 10, 64)
 	if errA != nil || errB != nil {
--- a/router/trip.go
+++ b/router/trip.go
@@ -16,75 +16,76 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// sendsMost is how many workers a request is sent to in all, those that refused it
-// included.
-const sendsMost = 4
+// maxSends is the maximum number of workers that a request is sent to, including those
+// that refused it.
+const maxSends = 4
 
 // Errors of a send.
 var (
-	errNotRun   = errors.New("the worker did not run it")
-	errUnsealed = errors.New("the answer is not vouched for")
-	errEncoded  = errors.New("the answer's body is encoded")
-	errPromise  = errors.New("the worker's status promises what it does not say")
-	errFailed   = errors.New("the worker failed it")
-	errShort    = errors.New("the stream ended inside an event")
-	errSilent   = errors.New("no answer in time")
+	errNotRun         = errors.New("the worker did not run the request")
+	errUnsealed       = errors.New("the answer has no seal")
+	errEncoded        = errors.New("the answer's body has a content encoding")
+	errImpliesNotRun  = errors.New("the status implies that the request was not run, but the worker does not confirm it")
+	errWorkerFailed   = errors.New("the worker answered with an error")
+	errTruncatedEvent = errors.New("the stream ended inside an event")
+	errSilent         = errors.New("the worker did not begin its answer in time")
 )
 
-// trip is one request over all its sends.
-type trip struct {
+// transaction is one request of a caller across all its sends. A send is one attempt at
+// one worker.
+type transaction struct {
 	router   *Router
 	q        *request
 	delivery *delivery
 
-	sends    int  // workers that it was sent to
-	runs     int  // of these, those that may have run it
-	exposed  bool // a worker may have run it
-	cause    error
-	worker   string
-	kept     bool          // its connection had served before
-	expected time.Duration // until the first event, of the last send
-	sent     time.Time
-	seen     time.Duration // until the first event, as it came; 0 before
-	read     int
-	by       string // host that chose the worker; "" is this one
-	source   string // address of the worker that it fetched memory from; "" is none
-	last     string // id of the last event passed
-	failed   *keptAnswer
-	refused  *Refused // that no worker was to get it
-	arrivals int      // sends that left
-	heard    func()   // ends the bound on the silence of the send under way
+	sends            int  // number of workers that the request was sent to
+	mayHaveRunCount  int  // number of sends that a worker may have run
+	mayHaveRun       bool // a worker may have run the request
+	cause            error
+	worker           string
+	reused           bool          // the last send used an existing connection
+	expectedWait     time.Duration // until the first event of the last send
+	sentAt           time.Time
+	timeToFirst      time.Duration // measured until the first event; 0 before it
+	promptTokens     int
+	placedBy         string // host that chose the worker; "" is this host
+	source           string // address of the worker that the KV cache was fetched from; "" for none
+	lastEventID      string // ID of the last event passed to the caller
+	workerError      *storedAnswer
+	refused          *Refused // set if no further worker was found
+	transmitted      int      // number of sends that left this host
+	stopSilenceTimer func()   // stops the silence timeout of the current send
 }
 
-// keptAnswer is a worker's failure that is passed only where no other worker does
-// better.
-type keptAnswer struct {
+// storedAnswer is a worker's error response, passed to the caller only if no other
+// worker gives a better one.
+type storedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// serve sends the request to workers, one after the other, until the caller has
-// its answer or it may be sent no more.
-func (t *trip) serve(caller context.Context) *failure {
-	ctx, cancel := t.q.timeout(caller)
+// serve sends the request to one worker after another until the caller has its answer or
+// the request must not be sent again.
+func (t *transaction) serve(caller context.Context) *failure {
+	ctx, cancel := t.q.withTimeout(caller)
 	defer cancel()
 	for {
-		t.q.ask.Left = t.q.left(time.Now())
-		if t.last != "" {
-			t.q.ask.Expected = 0 // how much of it is left is not known
+		t.q.ask.Left = t.q.timeLeft(time.Now())
+		if t.lastEventID != "" {
+			t.q.ask.Expected = 0 // the remaining length is unknown
 		}
-		place, err := t.router.Placer.Place(ctx, t.q.ask, t.arrivals > 0)
+		place, err := t.router.Placer.Place(ctx, t.q.ask, t.transmitted > 0)
 		if err != nil {
-			return t.unplaced(caller, err)
+			return t.notPlaced(caller, err)
 		}
-		if !wait(ctx, place.Delay) {
+		if !sleep(ctx, place.Delay) {
 			t.router.Placer.Ended(place, placer.Dropped)
 			return t.timedOut(caller)
 		}
 		t.sends++
-		t.worker, t.expected, t.read, t.by, t.source = place.Worker.Name, place.ExpectedWait, place.PromptTokens, place.PlacedBy, place.Source
-		t.sent = time.Now()
+		t.worker, t.expectedWait, t.promptTokens, t.placedBy, t.source = place.Worker.Name, place.ExpectedWait, place.PromptTokens, place.PlacedBy, place.Source
+		t.sentAt = time.Now()
 		err = t.send(ctx, place)
 		t.router.Placer.Ended(place, t.outcome(caller, err))
 		if err == nil {
@@ -92,11 +93,11 @@
 		}
 		t.cause = err
 		if !errors.Is(err, connector.ErrNotSent) {
-			t.arrivals++
+			t.transmitted++
 		}
-		f, final := t.final(caller, ctx, err)
+		f, final := t.afterFailure(caller, ctx, err)
 		t.log(place, final)
-		t.router.Metrics.send(err, !final)
+		t.router.Metrics.observeFailedSend(err, !final)
 		if final {
 			return f
 		}
@@ -104,18 +105,18 @@
 	}
 }
 
-// log tells of a send that failed: what it was decided by, and whether it was the
+// log records a failed send, with the figures behind the decision and whether it was the
 // last.
-func (t *trip) log(p Placement, final bool) {
+func (t *transaction) log(p Placement, final bool) {
 	t.router.Log.Warn("send", zap.String("request", t.q.ID), zap.Stringer("fingerprint", t.q.fingerprint), zap.Int("send", t.sends), zap.String("worker", p.Worker.Name),
-		zap.Duration("after", time.Since(t.sent)), zap.Bool("ended", errors.Is(t.cause, connector.ErrClosedByPeer)),
-		zap.String("address", p.Worker.Address), zap.Bool("kept", t.kept), zap.Duration("age", p.ListAge), zap.Duration("expected", p.ExpectedWait),
-		zap.Int("read", p.PromptTokens), zap.Bool("exposed", t.exposed), zap.Bool("passed", t.delivery.begun), zap.String("last", t.last),
-		zap.Bool("repeatable", t.q.Repeatable()), zap.Duration("left", t.q.left(time.Now())), zap.Bool("final", final), zap.Error(t.cause))
+		zap.Duration("after", time.Since(t.sentAt)), zap.Bool("ended", errors.Is(t.cause, connector.ErrClosedByPeer)),
+		zap.String("address", p.Worker.Address), zap.Bool("kept", t.reused), zap.Duration("age", p.ListAge), zap.Duration("expected", p.ExpectedWait),
+		zap.Int("read", p.PromptTokens), zap.Bool("exposed", t.mayHaveRun), zap.Bool("passed", t.delivery.headSent), zap.String("last", t.lastEventID),
+		zap.Bool("repeatable", t.q.Repeatable()), zap.Duration("left", t.q.timeLeft(time.Now())), zap.Bool("final", final), zap.Error(t.cause))
 }
 
-// wait waits; false where ctx ends first.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -129,85 +130,86 @@
 	}
 }
 
-// unplaced is the answer to a request that got no further worker.
-func (t *trip) unplaced(caller context.Context, err error) *failure {
+// notPlaced returns the response to a request for which no further worker was found.
+func (t *transaction) notPlaced(caller context.Context, err error) *failure {
 	var refused Refused
 	if !errors.As(err, &refused) {
 		return t.timedOut(caller)
 	}
-	t.router.Metrics.refuse(t.q, refused)
+	t.router.Metrics.observeRefusal(t.q, refused)
 	t.refused = &refused
-	if t.pass() {
+	if t.passWorkerError() {
 		return nil
 	}
-	if t.delivery.begun {
-		return gaveUp(true, codeCut, 0)
+	if t.delivery.headSent {
+		return unanswered(true, codeAnswerCut, 0)
 	}
-	if t.exposed {
-		return gaveUp(true, codeLost, 0)
+	if t.mayHaveRun {
+		return unanswered(true, codeAnswerLost, 0)
 	}
-	return gaveUp(false, refused.Reason, refused.After)
+	return unanswered(false, refused.Reason, refused.After)
 }
 
-// timedOut is the answer to a request whose caller has left or whose time is up.
-func (t *trip) timedOut(caller context.Context) *failure {
+// timedOut returns the response to a request whose caller has disconnected or whose
+// deadline has passed.
+func (t *transaction) timedOut(caller context.Context) *failure {
 	if caller.Err() != nil {
-		return &failure{status: statusGone, code: codeGone}
+		return &failure{status: statusGone, code: codeCallerGone}
 	}
-	return gaveUp(t.exposed, codeTimeout, comeBack)
+	return unanswered(t.mayHaveRun, codeTimeout, defaultRetryAfter)
 }
 
-// final is the answer after a send that failed, nil where the caller has it
-// already; false says that the request may be sent again. Nothing that may have
-// run is sent again unless it may be repeated; once part of an answer is with the
-// caller, only the rest may follow.
-func (t *trip) final(caller, ctx context.Context, err error) (*failure, bool) {
+// afterFailure decides what follows a failed send. It returns false if the request may
+// be sent again; otherwise the error response, which is nil if the caller already has an
+// answer. A request that may have run is sent again only if it is repeatable, and once
+// the caller has part of an answer, only the remaining part may follow.
+func (t *transaction) afterFailure(caller, ctx context.Context, err error) (*failure, bool) {
 	switch {
-	case caller.Err() != nil, errors.Is(err, errCaller):
-		return &failure{status: statusGone, code: codeGone}, true
+	case caller.Err() != nil, errors.Is(err, errCallerWrite):
+		return &failure{status: statusGone, code: codeCallerGone}, true
 	case ctx.Err() != nil:
-		if t.pass() {
+		if t.passWorkerError() {
 			return nil, true
 		}
 		return t.timedOut(caller), true
 	case errors.Is(err, connector.ErrNotSent), errors.Is(err, errNotRun):
-		return gaveUp(t.exposed, codeNotRun, comeBackSoon), t.sends >= sendsMost
+		return unanswered(t.mayHaveRun, codeWorkerRefused, shortRetryAfter), t.sends >= maxSends
 	}
-	resumable := !t.delivery.begun || t.q.Stream && t.last != ""
-	if t.q.Repeatable() && resumable && t.runs < t.q.Attempts && t.sends < sendsMost {
+	resumable := !t.delivery.headSent || t.q.Stream && t.lastEventID != ""
+	if t.q.Repeatable() && resumable && t.mayHaveRunCount < t.q.Attempts && t.sends < maxSends {
 		return nil, false
 	}
-	if t.pass() {
+	if t.passWorkerError() {
 		return nil, true
 	}
-	if t.delivery.begun {
-		return gaveUp(true, codeCut, 0), true
+	if t.delivery.headSent {
+		return unanswered(true, codeAnswerCut, 0), true
 	}
-	return gaveUp(true, codeLost, 0), true
+	return unanswered(true, codeAnswerLost, 0), true
 }
 
-// pass gives the caller the failure that a worker answered, if there is one.
-func (t *trip) pass() bool {
-	k := t.failed
-	if k == nil || t.delivery.begun {
+// passWorkerError passes on the stored error response of a worker, if there is one.
+func (t *transaction) passWorkerError() bool {
+	k := t.workerError
+	if k == nil || t.delivery.headSent {
 		return false
 	}
-	t.delivery.head(k.status, k.header, len(k.body))
+	t.delivery.writeHead(k.status, k.header, len(k.body))
 	return t.delivery.write(k.body) == nil
 }
 
-// outcome is what a send says of its worker.
-func (t *trip) outcome(caller context.Context, err error) placer.Outcome {
+// outcome returns what a send reveals about its worker.
+func (t *transaction) outcome(caller context.Context, err error) placer.Outcome {
 	switch {
 	case err == nil:
 		return placer.Answered
-	case caller.Err() != nil, errors.Is(err, errCaller):
+	case caller.Err() != nil, errors.Is(err, errCallerWrite):
 		return placer.Dropped
-	case errors.Is(err, errMisled):
+	case errors.Is(err, errOtherWorker):
 		return placer.Misled
 	case errors.Is(err, errNotRun):
 		return placer.Refused
-	case errors.Is(err, errFailed):
+	case errors.Is(err, errWorkerFailed):
 		return placer.Errored
 	case errors.Is(err, connector.ErrClosedByPeer):
 		return placer.Ended
@@ -215,41 +217,43 @@
 	return placer.Broken
 }
 
-// errMisled comes with errNotRun: another worker has the address.
-var errMisled = errors.New("another worker has the address")
+// errOtherWorker accompanies errNotRun: the address now belongs to another worker.
+var errOtherWorker = errors.New("another worker has the address")
 
-// silence bounds the wait for the head of an answer, so that another worker can
-// still be tried; 0 leaves the whole time. Only what may be repeated has a bound.
-func (t *trip) silence(p Placement) time.Duration {
-	if !t.q.Repeatable() || t.runs+1 >= t.q.Attempts {
+// silenceTimeout returns the maximum wait for an answer to begin, with its first event
+// or as a whole, which leaves time
+// to try another worker. 0 allows the whole time: only repeatable requests have a limit.
+func (t *transaction) silenceTimeout(p Placement) time.Duration {
+	if !t.q.Repeatable() || t.mayHaveRunCount+1 >= t.q.Attempts {
 		return 0
 	}
-	bound := max(silenceWaits*p.ExpectedWait, silenceTargets*t.q.First.Std())
-	return min(bound, t.q.left(time.Now())/2)
+	bound := max(silenceWaitFactor*p.ExpectedWait, silenceTargetFactor*t.q.First.Std())
+	return min(bound, t.q.timeLeft(time.Now())/2)
 }
 
 const (
-	// silenceWaits and silenceTargets are how many times what was expected, and how
-	// many targets, a worker may stay silent on a request that may be repeated.
-	silenceWaits   = 4
-	silenceTargets = 2
+	// A worker may stay silent on a repeatable request for silenceWaitFactor times the
+	// expected wait, or silenceTargetFactor times the target for the first event,
+	// whichever is longer.
+	silenceWaitFactor   = 4
+	silenceTargetFactor = 2
 )
 
-// send sends the request to one worker and passes the answer on. It returns nil
-// only where the caller has the whole answer.
-func (t *trip) send(ctx context.Context, p Placement) error {
+// send sends the request to one worker and passes the answer on. It returns nil only if
+// the caller has the whole answer.
+func (t *transaction) send(ctx context.Context, p Placement) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	t.heard = func() {}
-	if bound := t.silence(p); bound > 0 {
+	t.stopSilenceTimer = func() {}
+	if bound := t.silenceTimeout(p); bound > 0 {
 		timer := time.AfterFunc(bound, func() { cancel(errSilent) })
 		defer timer.Stop()
-		t.heard = func() { timer.Stop() }
+		t.stopSilenceTimer = func() { timer.Stop() }
 	}
 	header := t.q.header.Clone()
 	t.router.Dialect.WriteRequest(header, WorkerHead{
-		Worker: p.Worker.Name, TimeLeft: t.q.left(time.Now()), Organisation: t.q.organisation,
-		Engine: p.Worker.Memory > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), LastEventID: t.last, Source: p.Source,
+		Worker: p.Worker.Name, TimeLeft: t.q.timeLeft(time.Now()), Organisation: t.q.organisation,
+		Engine: p.Worker.Memory > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), LastEventID: t.lastEventID, Source: p.Source,
 	})
 	answer, err := t.router.Pool.Do(ctx, p.Worker.Address, connector.Call{
 		Method: t.q.method, Target: t.q.uri, Host: t.q.host, Header: header, Body: t.q.body,
@@ -260,54 +264,54 @@
 		FreshOnly: !t.q.Repeatable(),
 	})
 	if err != nil {
-		return t.lost(err)
+		return t.recordFailure(err)
 	}
 	defer answer.Close()
-	t.kept = answer.Reused()
-	return t.answer(p, answer)
+	t.reused = answer.Reused()
+	return t.handleAnswer(p, answer)
 }
 
-// lost notes a send whose answer did not come whole.
-func (t *trip) lost(err error) error {
+// recordFailure notes whether a failed send may have run, and returns its error.
+func (t *transaction) recordFailure(err error) error {
 	if !errors.Is(err, connector.ErrNotSent) && !errors.Is(err, errNotRun) {
-		t.ran()
+		t.recordRun()
 	}
 	return err
 }
 
-func (t *trip) ran() {
-	t.exposed = true
-	t.runs++
+func (t *transaction) recordRun() {
+	t.mayHaveRun = true
+	t.mayHaveRunCount++
 }
 
-// answer looks at the head of an answer, and passes the answer on.
-func (t *trip) answer(p Placement, a *connector.Answer) error {
+// handleAnswer checks the head of an answer and passes the answer on.
+func (t *transaction) handleAnswer(p Placement, a *connector.Answer) error {
 	v := t.router.Dialect.ReadAnswer(a.Status, a.Header)
-	t.limit(p, v.Limit)
+	t.reportRate(p, v.Limit)
 	ok := a.Status >= http.StatusOK && a.Status < http.StatusMultipleChoices
 	switch {
 	case v.NotRun:
-		t.skip(a)
+		t.discard(a)
 		if v.OtherWorker {
 			t.router.Pool.CloseIdle(p.Worker.Address)
-			return fmt.Errorf("%w: %w", errNotRun, errMisled)
+			return fmt.Errorf("%w: %w", errNotRun, errOtherWorker)
 		}
 		return fmt.Errorf("%w: status %d", errNotRun, a.Status)
 	case ok && !v.Sealed:
-		return t.lost(fmt.Errorf("%w: status %d", errUnsealed, a.Status))
+		return t.recordFailure(fmt.Errorf("%w: status %d", errUnsealed, a.Status))
 	case a.Header.Get("Content-Encoding") != "":
-		return t.lost(errEncoded)
+		return t.recordFailure(errEncoded)
 	case ok && t.q.Stream && strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream"):
-		return t.stream(p, a)
-	case t.delivery.begun:
-		t.skip(a)
-		return t.lost(fmt.Errorf("%w: status %d in place of a stream", errFailed, a.Status))
+		return t.passStream(p, a)
+	case t.delivery.headSent:
+		t.discard(a)
+		return t.recordFailure(fmt.Errorf("%w: status %d in place of a stream", errWorkerFailed, a.Status))
 	}
-	return t.whole(p, a, v)
+	return t.passWhole(p, a, v)
 }
 
-// limit takes how many requests a second the worker says that it takes.
-func (t *trip) limit(p Placement, l Limit) {
+// reportRate forwards the request rate stated by the worker to the placer.
+func (t *transaction) reportRate(p Placement, l Limit) {
 	switch {
 	case l.Invalid != "":
 		t.router.Log.Warn("limit", zap.String("request", t.q.ID), zap.String("worker", p.Worker.Name), zap.String("state", "unreadable"), zap.String("said", l.Invalid))
@@ -316,36 +320,36 @@
 	}
 }
 
-// skip reads a short answer to its end, so that its connection can be kept.
-func (t *trip) skip(a *connector.Answer) {
-	const most = 16 << 10
-	if _, err := io.CopyN(io.Discard, a, most); errors.Is(err, io.EOF) {
+// discard reads a short answer to its end, so that its connection can be reused.
+func (t *transaction) discard(a *connector.Answer) {
+	const maxDiscard = 16 << 10
+	if _, err := io.CopyN(io.Discard, a, maxDiscard); errors.Is(err, io.EOF) {
 		a.Finish()
 	}
 }
 
-// whole reads an answer to its end before it passes any of it, so that a broken
-// one never reaches the caller as if it were whole.
-func (t *trip) whole(p Placement, a *connector.Answer, v AnswerHead) error {
-	t.heard()
+// passWhole reads an answer to its end before passing any of it on, so that the caller
+// never receives a truncated answer as if it were complete.
+func (t *transaction) passWhole(p Placement, a *connector.Answer, v AnswerHead) error {
+	t.stopSilenceTimer()
 	var b bytes.Buffer
 	n, err := io.Copy(&b, io.LimitReader(a, t.router.MaxAnswer+1))
 	if err != nil {
-		return t.lost(err)
+		return t.recordFailure(err)
 	}
 	if n > t.router.MaxAnswer {
-		return t.lost(fmt.Errorf("the answer is over %d bytes", t.router.MaxAnswer))
+		return t.recordFailure(fmt.Errorf("the answer is over %d bytes", t.router.MaxAnswer))
 	}
 	a.Finish()
-	t.router.Placer.Started(p, time.Since(t.sent))
-	if a.Status >= http.StatusInternalServerError || promises(a.Status) {
-		t.ran()
-		if !promises(a.Status) {
-			t.failed = &keptAnswer{status: a.Status, header: a.Header, body: b.Bytes()}
-			return fmt.Errorf("%w: status %d", errFailed, a.Status)
+	t.router.Placer.Started(p, time.Since(t.sentAt))
+	if a.Status >= http.StatusInternalServerError || impliesNotRun(a.Status) {
+		t.recordRun()
+		if !impliesNotRun(a.Status) {
+			t.workerError = &storedAnswer{status: a.Status, header: a.Header, body: b.Bytes()}
+			return fmt.Errorf("%w: status %d", errWorkerFailed, a.Status)
 		}
-		return fmt.Errorf("%w: status %d, sealed=%t", errPromise, a.Status, v.Sealed)
+		return fmt.Errorf("%w: status %d, sealed=%t", errImpliesNotRun, a.Status, v.Sealed)
 	}
-	t.delivery.head(a.Status, a.Header, b.Len())
+	t.delivery.writeHead(a.Status, a.Header, b.Len())
 	return t.delivery.write(b.Bytes())
 }
