--- a/connector/answer.go
+++ b/connector/answer.go
@@ -8,67 +8,69 @@
 	"time"
 )
 
-// Answer is a backend server's answer, with its body still to be read.
+// Answer is a backend server's answer. Its body has not been read yet.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1 where the server did not say
-	Framed bool  // the end of the body can be told from a cut; else it ends with the connection
+	Length int64 // of the body; -1 if the server did not state it
+	Framed bool  // a truncated body can be detected; if false, the body ends with the connection
 
-	conn    *conn
-	body    io.ReadCloser
-	ctx     context.Context
-	stop    func() bool
-	written chan error
-	closing bool // the connection is not to be used again
-	ended   bool // the body was read to its end
-	over    bool
+	conn       *conn
+	body       io.ReadCloser
+	ctx        context.Context
+	stop       func() bool
+	written    chan error
+	closeAfter bool // the connection must not be reused
+	readToEnd  bool // the body was read to its end
+	finished   bool
 }
 
-// Reused says that the request went over a connection that had served another.
-func (a *Answer) Reused() bool { return a.conn.kept }
+// Reused reports whether the request was sent on a connection that had served another
+// request.
+func (a *Answer) Reused() bool { return a.conn.reused }
 
-// Read implements io.Reader. Its error says whether the body was cut: a body that
-// ends with its connection is whole only where the connection was closed in order,
-// and a reset shows as an error.
+// Read implements io.Reader. Its error reports whether the body was truncated. A body
+// that ends with its connection is complete only if the connection was closed in order:
+// a reset is returned as an error.
 func (a *Answer) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.readToEnd = true
 		return n, io.EOF
 	}
 	if err != nil {
-		return n, a.conn.failure(a.ctx, err)
+		return n, a.conn.wrapError(a.ctx, err)
 	}
 	return n, nil
 }
 
-// Finish ends an answer. Its connection is kept if the answer was read to its
-// end, the request was written to its end, and nothing else lies on it.
+// Finish completes an answer. Its connection is kept if the answer was read to its end,
+// the request was written to its end, and no further bytes were received.
 func (a *Answer) Finish() {
-	if a.over {
+	if a.finished {
 		return
 	}
-	a.over = true
-	alive := a.stop()
-	if !alive || !a.ended || a.closing || !a.Framed || !a.wrote() || a.conn.reader.Buffered() > 0 {
+	a.finished = true
+	stopped := a.stop()
+	if !stopped || !a.readToEnd || a.closeAfter || !a.Framed || !a.requestWritten() || a.conn.reader.Buffered() > 0 {
 		a.conn.close()
 		return
 	}
-	a.conn.learn(a.Header)
-	a.conn.since = time.Now()
+	a.conn.readKeepAlive(a.Header)
+	a.conn.idleSince = time.Now()
 	a.conn.pool.put(a.conn)
 }
 
-// writtenWait is how long the end of a request's writing is waited for once its
-// answer is whole. The bytes have long left, as a rule; on a busy host the
-// goroutine that wrote them may only not have said so yet.
-const writtenWait = 5 * time.Millisecond
+// writtenTimeout is how long Finish waits for the end of the request's write after a
+// complete answer. The bytes have normally been sent long before; on a busy host, the
+// goroutine that wrote them may not have reported it yet.
+const writtenTimeout = 5 * time.Millisecond
 
-// wrote says that the request went out whole. An early answer may come before
-// that: the server would take the next request for the rest of this one.
-func (a *Answer) wrote() bool {
-	timer := time.NewTimer(writtenWait)
+// requestWritten reports whether the whole request was written. If the answer arrives
+// before that, the server would take the next request on the connection for the rest of
+// this one.
+func (a *Answer) requestWritten() bool {
+	timer := time.NewTimer(writtenTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-a.written:
@@ -78,13 +80,13 @@
 	}
 }
 
-// Close ends an answer and its connection. A server drops a request whose
+// Close aborts an answer and closes its connection. A server drops a request whose
 // connection closes.
 func (a *Answer) Close() {
-	if a.over {
+	if a.finished {
 		return
 	}
-	a.over = true
+	a.finished = true
 	a.stop()
 	a.conn.close()
 }
--- a/connector/conn.go
+++ b/connector/conn.go
@@ -16,49 +16,51 @@
 )
 
 const (
-	readBuffer = 4 << 10
-	// foreignMost is how many answers of other requests are skipped.
-	foreignMost = 2
-	// drainMost is how many bytes of a foreign answer are read to skip it.
-	drainMost = 1 << 20
+	readBufferBytes = 4 << 10
+	// maxMismatched is the maximum number of answers to other requests that are skipped.
+	maxMismatched = 2
+	// maxSkippedBytes is the maximum size of the body of a skipped answer.
+	maxSkippedBytes = 1 << 20
 )
 
 // conn is one connection to a backend server.
 type conn struct {
-	pool    *Pool
-	address string
-	raw     net.Conn
-	reader  *bufio.Reader
-	idle    time.Duration // the server keeps it so long
-	since   time.Time     // idle since
-	kept    bool          // it served a request before
+	pool      *Pool
+	address   string
+	raw       net.Conn
+	reader    *bufio.Reader
+	keepAlive time.Duration // how long the server keeps the connection idle
+	idleSince time.Time     // time of the last completed answer
+	reused    bool          // the connection has served a request before
 }
 
 func newConn(p *Pool, address string, raw net.Conn) *conn {
-	return &conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBuffer), idle: idleDefault}
+	return &conn{pool: p, address: address, raw: raw, reader: bufio.NewReaderSize(raw, readBufferBytes), keepAlive: defaultKeepAlive}
 }
 
 func (c *conn) close() { _ = c.raw.Close() }
 
-// fresh says that the connection is well within the server's idle time.
-func (c *conn) fresh(now time.Time, careful bool) bool {
-	bound := time.Duration(idleShare * float64(c.idle))
-	if careful {
+// fresh reports whether the connection's idle time is well within the server's
+// keep-alive time; freshOnly halves the limit.
+func (c *conn) fresh(now time.Time, freshOnly bool) bool {
+	bound := time.Duration(maxIdleShare * float64(c.keepAlive))
+	if freshOnly {
 		bound /= 2
 	}
-	return now.Sub(c.since) < bound
+	return now.Sub(c.idleSince) < bound
 }
 
-// usable says whether an idle connection can carry a request. Failure: the server
-// has closed it meanwhile, or sent bytes that belong to no request; a request sent
-// then would be lost, or get those bytes for its answer. A look at the socket
-// shows both without taking anything from it.
-func (c *conn) usable(now time.Time, careful bool) bool {
-	return c.fresh(now, careful) && c.reader.Buffered() == 0 && c.quiet()
+// usable reports whether an idle connection can carry a request. If the server has
+// closed it, the request would be lost; if the server has sent unexpected bytes, they
+// would be read as the answer. Peeking at the socket detects both without consuming
+// anything.
+func (c *conn) usable(now time.Time, freshOnly bool) bool {
+	return c.fresh(now, freshOnly) && c.reader.Buffered() == 0 && c.nothingReceived()
 }
 
-// quiet says that nothing has arrived on the connection, its end included.
-func (c *conn) quiet() bool {
+// nothingReceived reports whether neither data nor the end of the connection has been
+// received.
+func (c *conn) nothingReceived() bool {
 	s, ok := c.raw.(syscall.Conn)
 	if !ok {
 		return true
@@ -67,18 +69,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = r.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		empty = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// exchange writes the request and reads the head of its answer. The request is
-// written beside the reading: a server may answer before it has read it all.
+// exchange writes the request and reads the head of its answer. It reads while it
+// writes: a server may answer before it has read the whole request.
 func (c *conn) exchange(ctx context.Context, call Call) (*Answer, error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.raw.SetDeadline(time.Unix(1, 0)) })
 	written := make(chan error, 1)
@@ -86,22 +88,22 @@
 		_, err := c.raw.Write(encode(call))
 		written <- err
 	}()
-	resp, foreign, err := c.head(call) //nolint:bodyclose // Answer closes it with the connection
+	resp, mismatched, err := c.readHead(call) //nolint:bodyclose // Answer closes it with the connection
 	if err != nil {
 		stop()
-		return nil, c.failure(ctx, err)
+		return nil, c.wrapError(ctx, err)
 	}
 	return &Answer{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
 		Framed: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || resp.Body == http.NoBody,
 		conn:   c, body: resp.Body, ctx: ctx, stop: stop, written: written,
-		closing: resp.Close || foreign,
+		closeAfter: resp.Close || mismatched,
 	}, nil
 }
 
-// failure is why an exchange broke. A deadline that ctx's end has set shows as a
-// time-out of the connection.
-func (c *conn) failure(ctx context.Context, err error) error {
+// wrapError returns the cause of a failed exchange. When ctx ends, its deadline on the
+// connection makes the pending read or write fail with a time-out.
+func (c *conn) wrapError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("%w: %w", ErrLost, context.Cause(ctx))
 	}
@@ -109,42 +111,42 @@
 		return fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	if ClosedByPeer(err) {
-		return fmt.Errorf("%w: %w: kept=%t: %v", ErrLost, ErrClosedByPeer, c.kept, err)
+		return fmt.Errorf("%w: %w: kept=%t: %v", ErrLost, ErrClosedByPeer, c.reused, err)
 	}
-	return fmt.Errorf("%w: kept=%t: %v", ErrLost, c.kept, err)
+	return fmt.Errorf("%w: kept=%t: %v", ErrLost, c.reused, err)
 }
 
-// head reads the head of the answer to call. It skips what is only informational,
-// and answers to earlier requests that come late.
-func (c *conn) head(call Call) (resp *http.Response, foreign bool, err error) {
+// readHead reads the head of the answer to call. It skips informational responses and
+// late answers to earlier requests.
+func (c *conn) readHead(call Call) (resp *http.Response, mismatched bool, err error) {
 	for skipped := 0; ; {
 		resp, err = http.ReadResponse(c.reader, &http.Request{Method: call.Method})
 		if err != nil {
-			return nil, foreign, err
+			return nil, mismatched, err
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
 		if call.Matches == nil || call.Matches(resp.Header) {
-			return resp, foreign, nil
+			return resp, mismatched, nil
 		}
-		foreign = true
+		mismatched = true
 		skipped++
-		if skipped > foreignMost || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+		if skipped > maxMismatched || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 			return nil, true, ErrMismatched
 		}
-		if _, err := io.CopyN(io.Discard, resp.Body, drainMost); !errors.Is(err, io.EOF) {
+		if _, err := io.CopyN(io.Discard, resp.Body, maxSkippedBytes); !errors.Is(err, io.EOF) {
 			return nil, true, ErrMismatched
 		}
 	}
 }
 
-// encode is the request as it goes out.
+// encode returns the request as sent on the wire.
 func encode(call Call) []byte {
 	var b bytes.Buffer
 	b.Grow(512 + len(call.Body))
 	b.WriteString(call.Method + " " + call.Target + " HTTP/1.1\r\nHost: " + call.Host + "\r\n")
-	_ = call.Header.Write(&b) // a bytes.Buffer takes everything
+	_ = call.Header.Write(&b) // never fails
 	if len(call.Body) > 0 || call.Method != http.MethodGet && call.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(call.Body)) + "\r\n")
 	}
@@ -153,12 +155,12 @@
 	return b.Bytes()
 }
 
-// learn takes the idle time that the server named, if it did.
-func (c *conn) learn(h http.Header) {
+// readKeepAlive applies the idle time stated in the server's Keep-Alive header, if any.
+func (c *conn) readKeepAlive(h http.Header) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(value); strings.EqualFold(name, "timeout") && err == nil && n >= 0 {
-			c.idle = time.Duration(n) * time.Second
+			c.keepAlive = time.Duration(n) * time.Second
 		}
 	}
 }
--- a/connector/connector.go
+++ b/connector/connector.go
@@ -1,10 +1,10 @@
-// Package connector sends requests to backend servers over kept HTTP/1.1
-// connections, and says of each failure whether the request may have run.
+// Package connector sends requests to backend servers over persistent HTTP/1.1
+// connections, and reports for each failure whether the request may have run.
 //
-// It differs from net/http's transport where a request must not run twice: it
-// never sends anything again by itself, it looks at a kept connection before it
-// uses it, it tells an answer of an earlier request from the one that is due, and
-// it never reuses a connection whose request was not written to its end.
+// It differs from net/http's transport to prevent requests from running twice: it never
+// resends a request by itself, checks an idle connection before reusing it, detects late
+// answers to earlier requests, and never reuses a connection whose request was not
+// completely written.
 package connector
 
 import (
@@ -17,53 +17,56 @@
 	"time"
 )
 
-// Errors of a call. Anything else, ErrLost included, means that the request may
+// Errors of a call. With any error but ErrNotSent, including ErrLost, the request may
 // have run.
 var (
-	// ErrNotSent says that no byte of the request left: no connection was made.
+	// ErrNotSent means that no connection was made and no byte of the request was sent.
 	ErrNotSent = errors.New("no connection to the backend server")
-	// ErrLost says that the connection broke or went silent with the request on it.
+	// ErrLost means that the connection failed or went silent after the request was
+	// sent.
 	ErrLost = errors.New("the connection broke; the request may have run")
-	// ErrClosedByPeer says that the backend server's end of the connection closed under the
-	// request. It comes with ErrLost.
-	ErrClosedByPeer = errors.New("the backend server ended it")
-	// ErrMismatched says that the backend server's answer belongs to another request.
+	// ErrClosedByPeer means that the backend server closed or reset the connection
+	// during the request. It is wrapped together with ErrLost.
+	ErrClosedByPeer = errors.New("the backend server closed the connection")
+	// ErrMismatched means that the backend server's answer belongs to another request.
 	ErrMismatched = errors.New("the answer belongs to another request")
 )
 
 const (
-	// dialTimeout bounds the making of a connection. A worker that is gone without
-	// a trace answers no handshake; the pages of the outside systems give no bound,
-	// so it is a multiple of the slowest path within a region.
+	// dialTimeout bounds the time to connect. A worker that is gone may not answer a
+	// handshake at all. The outside systems document no bound, so this is a multiple of
+	// the slowest network path within a region.
 	dialTimeout = 400 * time.Millisecond
-	// unacknowledged is how long sent bytes may stay unacknowledged before the
-	// system breaks the connection.
-	unacknowledged = 3 * time.Second
-	// idleDefault is how long a connection is kept where the server names no time.
-	idleDefault = 2 * time.Second
-	// idleShare is the part of the server's idle time within which a connection is
-	// used again: the rest is for the request's way to the server.
-	idleShare = 0.6
-	// idleMost is how many idle connections to one server are kept.
-	idleMost = 32
+	// userTimeout is how long sent data may stay unacknowledged before the system closes
+	// the connection.
+	userTimeout = 3 * time.Second
+	// defaultKeepAlive is how long an idle connection is kept if the server states no
+	// time.
+	defaultKeepAlive = 2 * time.Second
+	// maxIdleShare is the share of the server's keep-alive time within which an idle
+	// connection is reused. The rest covers the request's way to the server.
+	maxIdleShare = 0.6
+	// maxIdlePerServer is the maximum number of idle connections to one server.
+	maxIdlePerServer = 32
 )
 
 // Call is one request for a backend server.
 type Call struct {
 	Method string
-	Target string // path and query, as the caller sent them
+	Target string // path and query, as received from the caller
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches says whether an answer's header is this request's. An answer that is
-	// not is skipped: a late one of an earlier request may come first.
+	// Matches reports whether an answer's header belongs to this request. Other answers
+	// are skipped: a late answer to an earlier request may arrive first.
 	Matches func(http.Header) bool
-	// FreshOnly asks for a connection that has idled only briefly: for a request
-	// that must not be repeated, a connection that dies under it loses it.
+	// FreshOnly requires a connection that has been idle only briefly. It is set for
+	// requests that must not be repeated, which are lost if the connection is closed
+	// under them.
 	FreshOnly bool
 }
 
-// Pool is the connections to all backend servers. It is safe for concurrent use.
+// Pool holds the connections to all backend servers. It is safe for concurrent use.
 type Pool struct {
 	mu     sync.Mutex
 	idle   map[string][]*conn // by address; the most recently used last
@@ -73,14 +76,14 @@
 	made, reused uint64
 }
 
-// New returns an empty pool and its clean-up.
+// New returns an empty pool and its clean-up function.
 func New() (*Pool, func()) {
-	p := &Pool{idle: map[string][]*conn{}, dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: UserTimeoutControl(unacknowledged)}}
+	p := &Pool{idle: map[string][]*conn{}, dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: UserTimeoutControl(userTimeout)}}
 	return p, p.close
 }
 
-// Do sends a request to the backend server at address and returns its answer's
-// head. The caller ends the answer with Close or Finish.
+// Do sends a request to the backend server at address and returns the head of its
+// answer. The caller must end the answer with Close or Finish.
 func (p *Pool) Do(ctx context.Context, address string, call Call) (*Answer, error) {
 	c, err := p.get(ctx, address, call.FreshOnly)
 	if err != nil {
@@ -94,22 +97,23 @@
 	return a, nil
 }
 
-// Counts is the connections made, and the requests sent over a kept one.
+// Counts returns the number of connections made, and of idle connections taken for
+// reuse.
 func (p *Pool) Counts() (made, reused uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.made, p.reused
 }
 
-// HasIdle says whether a connection to address is kept.
+// HasIdle reports whether there is an idle connection to address.
 func (p *Pool) HasIdle(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[address]) > 0
 }
 
-// CloseIdle closes the idle connections to an address: its server has gone or was
-// replaced.
+// CloseIdle closes the idle connections to an address. It is called when the server at
+// it is gone or was replaced.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
@@ -120,15 +124,15 @@
 	}
 }
 
-// get takes an idle connection that still stands, or makes one.
-func (p *Pool) get(ctx context.Context, address string, careful bool) (*conn, error) {
+// get returns a usable idle connection, or makes a new one.
+func (p *Pool) get(ctx context.Context, address string, freshOnly bool) (*conn, error) {
 	for {
 		c := p.take(address)
 		if c == nil {
 			break
 		}
-		if c.usable(time.Now(), careful) {
-			c.kept = true
+		if c.usable(time.Now(), freshOnly) {
+			c.reused = true
 			return c, nil
 		}
 		c.close()
@@ -156,19 +160,20 @@
 	return c
 }
 
-// put keeps a connection whose answer was read to its end.
+// put returns a connection to the pool after its answer was read to its end.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
-	if p.closed || len(list) >= idleMost {
+	if p.closed || len(list) >= maxIdlePerServer {
 		c.close()
 		return
 	}
 	p.idle[c.address] = append(list, c)
 }
 
-// CloseExpired closes the connections that idled too long. It is called now and then.
+// CloseExpired closes connections that have been idle for too long. It is called
+// periodically.
 func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -23,9 +23,8 @@
 	RunSpecs(t, "connector")
 }
 
-// worker serves each connection by a script: what it answers to the first request,
-// to the second and so on, and then does nothing. "close" closes the connection,
-// "reset" resets it.
+// worker answers the requests of each connection by a script, one entry per request, and
+// then stays silent. The entry "close" closes the connection, "reset" resets it.
 type worker struct {
 	address string
 	conns   chan net.Conn
@@ -102,7 +101,7 @@
 	}
 	bg := context.Background()
 
-	It("uses a connection again, and sends what it is given unchanged", func() {
+	It("reuses a connection, and sends requests unchanged", func() {
 		w := newWorker([]string{whole("1", "one"), whole("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(do(bg, w, "2")).To(Equal("two"))
@@ -112,9 +111,9 @@
 		Expect([]uint64{made, reused}).To(Equal([]uint64{1, 1}))
 	})
 
-	// The worker closes a connection that lies idle. A request that is sent over it
-	// is lost, and one that must not be repeated fails for nothing.
-	It("does not send over a connection that the other end has closed", func() {
+	// Guards against sending a request on an idle connection that the worker has closed.
+	// The request would be lost, and fail without need if it must not be repeated.
+	It("does not reuse a connection that the other end has closed", func() {
 		w := newWorker([]string{whole("1", "one") + "", "close"}, []string{whole("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		c := <-w.conns
@@ -122,16 +121,16 @@
 		Eventually(func() (string, error) { return do(bg, w, "2") }, time.Second).Should(Equal("two"))
 	})
 
-	// A worker sends one answer too many. Whoever sends next over that connection
-	// would get it.
-	It("does not send over a connection on which something lies", func() {
+	// Guards against an unexpected extra answer being read as the answer to the next
+	// request on its connection.
+	It("does not reuse a connection with unread data", func() {
 		w := newWorker([]string{whole("1", "one") + whole("9", "nine")}, []string{whole("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(do(bg, w, "2")).To(Equal("two"))
 		Expect(w.conns).To(HaveLen(2))
 	})
 
-	// The extra answer comes late: just before the one that is due.
+	// The extra answer arrives late, just before the expected one.
 	It("skips an answer that belongs to another request", func() {
 		w := newWorker([]string{whole("0", "zero") + whole("1", "one"), whole("2", "two")}, []string{whole("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
@@ -139,22 +138,22 @@
 		Expect(w.conns).To(HaveLen(2))
 	})
 
-	DescribeTable("says that a request may have run",
+	DescribeTable("reports that a request may have run",
 		func(answer string) {
 			w := newWorker([]string{answer})
 			_, err := do(bg, w, "1")
 			Expect(err).To(MatchError(connector.ErrLost))
-			Expect(w.seen).To(HaveLen(1)) // and never sends it again
+			Expect(w.seen).To(HaveLen(1)) // it is never resent
 		},
-		Entry("that got a closed connection", "close"),
-		Entry("that got a reset", "reset"),
-		Entry("whose answer is cut", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 99\r\n\r\nhalf\nthen close"),
-		Entry("whose chunks are cut", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\nthen close"),
-		Entry("that got no HTTP", "nonsense\r\n\r\n\nthen close"),
-		Entry("that only got others' answers", whole("7", "x")+whole("8", "y")+whole("9", "z")),
+		Entry("when the connection is closed", "close"),
+		Entry("when the connection is reset", "reset"),
+		Entry("when the answer is truncated", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 99\r\n\r\nhalf\nthen close"),
+		Entry("when a chunked answer is truncated", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\nthen close"),
+		Entry("when the answer is not HTTP", "nonsense\r\n\r\n\nthen close"),
+		Entry("when all answers belong to other requests", whole("7", "x")+whole("8", "y")+whole("9", "z")),
 	)
 
-	It("says that a request was not sent where there was no connection", func() {
+	It("reports that a request was not sent if no connection was made", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.Close()).To(Succeed())
@@ -162,8 +161,9 @@
 		Expect(err).To(MatchError(connector.ErrNotSent))
 	})
 
-	// Guards against the end of a worker counting as a silence, or the other way round.
-	It("tells a connection that the worker ended from one that is silent", func() {
+	// Guards against a connection closed by the worker being reported as silent, or the
+	// other way round.
+	It("distinguishes a connection closed by the worker from a silent one", func() {
 		for script, ended := range map[string]bool{"close": true, "reset": true, "": false} {
 			w := newWorker([]string{script})
 			bounded, cancel := context.WithTimeout(bg, 100*time.Millisecond)
@@ -174,7 +174,7 @@
 		}
 	})
 
-	It("ends a request with its context, and the connection with it", func() {
+	It("ends a request and its connection when the context ends", func() {
 		w := newWorker([]string{""})
 		ctx, cancel := context.WithCancel(bg)
 		done := make(chan error, 1)
@@ -190,9 +190,10 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	// A worker answers a long body before it has read it. The next request over the
-	// connection would be taken for the rest of that body.
-	It("does not use a connection again whose request is not through", func() {
+	// Guards against reusing a connection whose request was not completely written,
+	// because the worker answered early. The next request would be read as the rest of
+	// that body.
+	It("does not reuse a connection whose request was not completely written", func() {
 		w := newWorker([]string{whole("1", "one")}, []string{whole("2", "two")})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -213,7 +214,7 @@
 		Expect(do(bg, w, "1")).To(Equal("one"))
 	})
 
-	It("keeps a connection no longer than the server says", func() {
+	It("keeps an idle connection no longer than the server states", func() {
 		w := newWorker([]string{whole("1", "one", "Keep-Alive: timeout=1\r\n"), whole("2", "two")}, []string{whole("3", "three")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(pool.HasIdle(w.address)).To(BeTrue())
--- a/connector/ended.go
+++ b/connector/peer.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// ClosedByPeer says that an error of a connection comes of the other end, which has closed or
-// reset it.
+// ClosedByPeer reports whether err means that the other end closed or reset the
+// connection.
 func ClosedByPeer(err error) bool {
 	for _, e := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, e) {
