--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	eventBuffer = 2 << 10
-	eventMost   = 1 << 20 // bytes of one event
+	eventBufferBytes = 2 << 10
+	maxEventBytes    = 1 << 20 // maximum size of one event
 )
 
-// ErrEvent says that a stream's event can't be read.
-var ErrEvent = errors.New("bad event")
+// ErrEvent means that an event of a stream can't be parsed.
+var ErrEvent = errors.New("invalid event")
 
-// doneData is the data of a stream's end mark.
+// doneData is the data of the event that ends a stream.
 const doneData = "[DONE]"
 
-// Event is one server-sent event of a completion. Its bytes are valid until the
-// next is read.
+// Event is one server-sent event of a completion. Raw is valid until the next event is
+// read.
 type Event struct {
-	Raw    []byte // as it came, with its blank line
-	Done   bool   // the end mark
-	Tokens int    // tokens it brings
-	Usage  int    // tokens of the whole answer as the engine counts; 0 where not told
+	Raw    []byte // as received, with its blank line
+	Done   bool   // the end marker
+	Tokens int    // number of tokens in the event
+	Usage  int    // tokens of the whole answer as counted by the engine; 0 if not stated
 
-	Finished bool // the engine says why the answer ends
-	Failed   bool // the engine says that it failed
+	Finished bool // the event states a finish reason
+	Failed   bool // the event reports an engine error
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBuffer) }}
+var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBufferBytes) }}
 
-// Events reads an answer event by event, and checks that each belongs to the
+// Events reads an answer event by event, and checks that each event belongs to the
 // answer's request.
 type Events struct {
-	answer *Answer
-	r      *bufio.Reader
-	raw    []byte
-	data   []byte
-	id     string // of the events so far
-	like   shape
+	answer   *Answer
+	r        *bufio.Reader
+	raw      []byte
+	data     []byte
+	id       string // of the previous events
+	template eventTemplate
 }
 
-// Events returns a reader of the answer's events and its clean-up.
+// Events returns a reader of the answer's events and its clean-up function.
 func (a *Answer) Events() (*Events, func()) {
 	r := readers.Get().(*bufio.Reader)
 	r.Reset(a.Body)
@@ -57,18 +57,18 @@
 	}
 }
 
-// Next reads one event. An event that was cut is never returned: its error is
-// io.ErrUnexpectedEOF, io.EOF between events, or one of this package's.
+// Next reads one event. It never returns a truncated event: the error is
+// io.ErrUnexpectedEOF, io.EOF between events, or an error of this package.
 func (e *Events) Next() (Event, error) {
 	e.raw, e.data = e.raw[:0], e.data[:0]
 	for {
 		from := len(e.raw)
-		if err := e.line(); err != nil {
-			return e.end(err)
+		if err := e.readLine(); err != nil {
+			return e.finish(err)
 		}
 		line := bytes.TrimRight(e.raw[from:], "\r\n")
 		if len(line) == 0 {
-			return e.take()
+			return e.parse()
 		}
 		if value, ok := bytes.CutPrefix(line, []byte("data:")); ok {
 			e.data = append(e.data, bytes.TrimPrefix(value, []byte(" "))...)
@@ -76,19 +76,19 @@
 	}
 }
 
-// Buffered says that the whole next event is here already.
+// Buffered reports whether the whole next event has already been received.
 func (e *Events) Buffered() bool {
 	next, _ := e.r.Peek(e.r.Buffered())
 	return bytes.Contains(next, []byte("\n\n"))
 }
 
-// line appends the next line to raw.
-func (e *Events) line() error {
+// readLine appends the next line to raw.
+func (e *Events) readLine() error {
 	for {
 		part, err := e.r.ReadSlice('\n')
 		e.raw = append(e.raw, part...)
-		if len(e.raw) > eventMost {
-			return fmt.Errorf("%w: over %d bytes", ErrEvent, eventMost)
+		if len(e.raw) > maxEventBytes {
+			return fmt.Errorf("%w: over %d bytes", ErrEvent, maxEventBytes)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return err
@@ -96,9 +96,9 @@
 	}
 }
 
-// end is the event at the end of the body. Only an end mark may lack its blank
-// line.
-func (e *Events) end(err error) (Event, error) {
+// finish returns the event at the end of the body. Only the end marker may lack its
+// blank line.
+func (e *Events) finish(err error) (Event, error) {
 	if !errors.Is(err, io.EOF) {
 		return Event{}, err
 	}
@@ -112,7 +112,7 @@
 	return Event{}, io.EOF
 }
 
-// chunk is what the router reads of an OpenAI chunk or answer.
+// chunk holds the fields that are read of an OpenAI chunk or answer.
 type chunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -128,16 +128,16 @@
 	Error json.RawMessage `json:"error"`
 }
 
-func (e *Events) take() (Event, error) {
+func (e *Events) parse() (Event, error) {
 	v, data := Event{Raw: e.raw}, e.data
 	if len(data) == 0 {
-		return v, nil // a comment, which keeps the connection alive
+		return v, nil // a comment, sent to keep the connection alive
 	}
 	if string(data) == doneData {
 		v.Done = true
 		return v, nil
 	}
-	if e.like.fits(data) {
+	if e.template.matches(data) {
 		v.Tokens = 1
 		return v, nil
 	}
@@ -145,7 +145,7 @@
 	if err := json.Unmarshal(data, &c); err != nil {
 		return Event{}, fmt.Errorf("%w: %v", ErrEvent, err)
 	}
-	if err := e.own(c.ID); err != nil {
+	if err := e.checkID(c.ID); err != nil {
 		return Event{}, err
 	}
 	v.Usage = c.Usage.Completion
@@ -157,19 +157,19 @@
 		v.Finished = v.Finished || choice.Finish != nil
 	}
 	if v.Tokens == 1 && v.Usage == 0 && !v.Failed && !v.Finished {
-		e.like = shapeOf(data)
+		e.template = templateOf(data)
 	}
 	return v, nil
 }
 
-// shape is a token's event without the token's text. An engine's events differ
-// in little else: one of the same shape says the same as the one before, and
-// needn't be parsed.
-type shape struct{ head, tail []byte }
+// eventTemplate is the event of a token without the token's text. An engine's events
+// differ in little else: an event that matches the previous one's template carries the
+// same information and needn't be parsed.
+type eventTemplate struct{ head, tail []byte }
 
-// shapeOf is the shape of a parsed event, or an empty one where it isn't clear
-// where its text stands.
-func shapeOf(data []byte) shape {
+// templateOf returns the template of a parsed event, or an empty one if the position of
+// its text is ambiguous.
+func templateOf(data []byte) eventTemplate {
 	for _, mark := range [][]byte{[]byte(`"content":"`), []byte(`"text":"`)} {
 		at := bytes.Index(data, mark)
 		if at < 0 || bytes.Count(data, mark) != 1 {
@@ -180,13 +180,14 @@
 		if end <= 0 || bytes.IndexByte(data[at:at+end], '\\') >= 0 {
 			continue
 		}
-		return shape{head: bytes.Clone(data[:at]), tail: bytes.Clone(data[at+end:])}
+		return eventTemplate{head: bytes.Clone(data[:at]), tail: bytes.Clone(data[at+end:])}
 	}
-	return shape{}
+	return eventTemplate{}
 }
 
-// fits says that data is of the shape, with some plain text.
-func (s shape) fits(data []byte) bool {
+// matches reports whether data consists of the template and some text without quotes,
+// escapes or control characters.
+func (s eventTemplate) matches(data []byte) bool {
 	if len(s.head) == 0 || len(data) <= len(s.head)+len(s.tail) || !bytes.HasPrefix(data, s.head) || !bytes.HasSuffix(data, s.tail) {
 		return false
 	}
@@ -198,44 +199,43 @@
 	return true
 }
 
-// own checks an event's id. A stream that was crossed with another shows as an
-// id that isn't this request's, or that changes on the way.
-func (e *Events) own(id string) error {
+// checkID checks an event's ID. Events of another stream show as an ID that isn't this
+// request's, or that changes within the stream.
+func (e *Events) checkID(id string) error {
 	if id == "" {
 		return nil
 	}
-	if !e.answer.owns(id) || (e.id != "" && e.id != id) {
+	if !e.answer.ownsID(id) || (e.id != "" && e.id != id) {
 		return fmt.Errorf("%w: %w: %s", ErrUnknown, ErrMismatched, id)
 	}
 	e.id = id
 	return nil
 }
 
-// owns says whether an id in the answer's body can be of its request. An engine
-// may name the request in its ids, alone or behind a prefix of its own; then an
-// id that names another gives a crossed answer away. One that has named its
-// requests is held to it. An engine that makes up its own ids shows nothing.
-func (a *Answer) owns(id string) bool {
-	if strings.HasSuffix(id, a.request) {
-		a.lane.echoes.Store(true)
+// ownsID reports whether an ID in the answer's body can belong to its request. An engine
+// may use the request's ID, alone or with a prefix of its own; then the ID of another
+// request reveals a mixed-up answer. From an engine that has used request IDs once, no
+// other IDs are accepted. The IDs of an engine that generates its own can't be checked.
+func (a *Answer) ownsID(id string) bool {
+	if strings.HasSuffix(id, a.requestID) {
+		a.backend.echoesID.Store(true)
 		return true
 	}
-	return !a.lane.echoes.Load() && !strings.Contains(id, RequestIDPrefix)
+	return !a.backend.echoesID.Load() && !strings.Contains(id, RequestIDPrefix)
 }
 
-// Completion reads what an answer that is not streamed tells: its tokens. It returns
-// an error where the body isn't an answer of this request.
+// Completion parses an answer that is not streamed and returns its number of tokens. It
+// returns an error if the body isn't an answer to this request.
 func (a *Answer) Completion(body []byte) (tokens int, err error) {
 	var c chunk
 	if err := json.Unmarshal(body, &c); err != nil {
 		return 0, fmt.Errorf("%w: %v", ErrUnknown, err)
 	}
-	if c.ID != "" && !a.owns(c.ID) {
+	if c.ID != "" && !a.ownsID(c.ID) {
 		return 0, fmt.Errorf("%w: %w: %s", ErrUnknown, ErrMismatched, c.ID)
 	}
 	return c.Usage.Completion, nil
 }
 
-// Drain lets a whole answer end by itself, so that its connection can be used
-// again.
+// Drain reads a complete answer to its end, so that its connection can be reused.
 func (a *Answer) Drain() { a.body.Drain() }
--- a/forwarder/lane.go
+++ b/forwarder/lane.go
@@ -11,80 +11,80 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	idleTimeout   = 30 * time.Second
-	idleMost      = 256      // connections kept open to one backend server
-	headMost      = 64 << 10 // bytes of an answer's headers
-	lanesMost     = 4096     // backend servers remembered
-	connectionBuf = 4 << 10
-	probeEvery    = time.Second // the shortest that the system takes
-	probeMost     = 2
+	dialTimeout     = time.Second
+	idleTimeout     = 30 * time.Second
+	maxIdleConns    = 256      // idle connections per backend server
+	maxHeaderBytes  = 64 << 10 // of an answer's header
+	maxBackends     = 4096     // backend servers with a connection pool
+	connBufferBytes = 4 << 10
+	probeInterval   = time.Second // minimum that the system supports
+	maxProbes       = 2
 )
 
-// lane is the connections to one backend server. Each has its own, so that the
-// idle connections of one can be dropped without touching the others.
-type lane struct {
+// backend holds the connections to one backend server. Each server has its own
+// transport, so that its idle connections can be closed without affecting others.
+type backend struct {
 	transport *http.Transport
 	client    *http.Client
-	// echoes says that this server's answers name the request they answer. A
-	// server that has done so once is held to it.
-	echoes atomic.Bool
+	// echoesID is set once an answer of this server carried the ID of its request. From
+	// then on, every ID in its answers is checked.
+	echoesID atomic.Bool
 }
 
-func newLane(silence time.Duration) *lane {
-	// An answer that comes in one piece may rightly take long, so that no bound on
-	// silence tells a forgotten connection. Where its packets are dropped, the
-	// system's probes do.
-	// They rest while a request is unacknowledged: that has a bound of its own.
-	bound := max(silence, probeEvery)
+func newBackend(silence time.Duration) *backend {
+	// An answer that is not streamed may take long, so a silent connection can't be told
+	// from a lost one by a time-out. TCP keep-alive probes detect a connection whose
+	// packets are dropped. They are not sent while data is unacknowledged, which
+	// UserTimeoutControl covers.
+	bound := max(silence, probeInterval)
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: bound, Interval: probeEvery, Count: probeMost},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: bound, Interval: probeInterval, Count: maxProbes},
 		Control:         connector.UserTimeoutControl(bound),
 	}
 	t := &http.Transport{
 		DialContext:            dialer.DialContext,
-		MaxIdleConnsPerHost:    idleMost,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: headMost,
-		ReadBufferSize:         connectionBuf,
-		WriteBufferSize:        connectionBuf,
+		MaxResponseHeaderBytes: maxHeaderBytes,
+		ReadBufferSize:         connBufferBytes,
+		WriteBufferSize:        connBufferBytes,
 	}
-	return &lane{transport: t, client: &http.Client{Transport: t, CheckRedirect: noRedirect}}
+	return &backend{transport: t, client: &http.Client{Transport: t, CheckRedirect: noRedirect}}
 }
 
-// lanes is the lanes by address. The zero value is empty.
-type lanes struct {
-	mu   sync.Mutex
-	list map[string]*lane
+// backends holds the backend servers by address. The zero value is empty.
+type backends struct {
+	mu        sync.Mutex
+	byAddress map[string]*backend
 }
 
-func (l *lanes) get(address string, silence time.Duration) *lane {
+func (l *backends) get(address string, silence time.Duration) *backend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.list[address]; k != nil {
-		return k
+	if b := l.byAddress[address]; b != nil {
+		return b
 	}
-	// Addresses of servers long gone must not pile up over months. Calls in
-	// flight keep their lane.
-	if l.list == nil || len(l.list) >= lanesMost {
-		l.dropAll()
-		l.list = map[string]*lane{}
+	// Limits the memory used for addresses of servers that are long gone. Calls in
+	// flight keep their backend.
+	if l.byAddress == nil || len(l.byAddress) >= maxBackends {
+		l.closeIdle()
+		l.byAddress = map[string]*backend{}
 	}
-	k := newLane(silence)
-	l.list[address] = k
-	return k
+	b := newBackend(silence)
+	l.byAddress[address] = b
+	return b
 }
 
-func (l *lanes) dropAll() {
-	for _, k := range l.list {
-		k.transport.CloseIdleConnections()
+func (l *backends) closeIdle() {
+	for _, b := range l.byAddress {
+		b.transport.CloseIdleConnections()
 	}
 }
 
-func (l *lanes) close() {
+func (l *backends) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropAll()
+	l.closeIdle()
 }
--- a/forwarder/refused.go
+++ b/forwarder/refused.go
@@ -1,11 +1,11 @@
 package forwarder
 
-// OnRefused has f called with the address of each backend server that answers
-// that it did not run a call. It is set before the first call.
-func (f *Forwarder) OnRefused(report func(address string)) { f.report = report }
+// OnRefused sets a function that is called with the address of each backend server that
+// answers that it did not run a call. It must be called before the first Do.
+func (f *Forwarder) OnRefused(report func(address string)) { f.onRefused = report }
 
-func (f *Forwarder) refused(address string) {
-	if f.report != nil {
-		f.report(address)
+func (f *Forwarder) reportRefused(address string) {
+	if f.onRefused != nil {
+		f.onRefused(address)
 	}
 }
--- a/forwarder/resend_test.go
+++ b/forwarder/resend_test.go
@@ -16,15 +16,14 @@
 	"github.com/cicadawood/cicadawood/forwarder"
 )
 
-// closer is a backend server that answers the first request of a connection and
-// closes the connection after it has read the second: the call ran, and its
-// answer never comes.
-type closer struct {
+// closingServer is a backend server that answers the first request of a connection and
+// closes the connection after reading the second: the call ran, but its answer is lost.
+type closingServer struct {
 	mu   sync.Mutex
-	seen map[string][]string // Idempotency-Key of each request, by request id
+	seen map[string][]string // Idempotency-Key of each request, by request ID
 }
 
-func (c *closer) serve(l net.Listener) {
+func (c *closingServer) serve(l net.Listener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -52,15 +51,15 @@
 	}
 }
 
-// A hold goes out on a connection that was kept open. The booking application
-// runs it and the connection breaks before the answer. net/http would send such
-// a request again by itself: it has an Idempotency-Key and no body to rewind.
-var _ = DescribeTable("a call whose connection breaks is not sent again",
+// Guards against a call running twice because net/http resends it. The call is sent on a
+// kept connection, the backend server runs it, and the connection breaks before the
+// answer. net/http would resend it, as it has an Idempotency-Key and no body to rewind.
+var _ = DescribeTable("a call whose connection breaks is not resent",
 	func(method string, body []byte, key string) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer l.Close()
-		c := &closer{seen: map[string][]string{}}
+		c := &closingServer{seen: map[string][]string{}}
 		go c.serve(l)
 		f, clean := forwarder.New(5 * time.Second)
 		defer clean()
