--- a/server/admit.go
+++ b/server/admit.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	lowestShare  = 0.8     // of a host's places, open to the lowest tier
-	leastReserve = 8 << 10 // bytes a body is counted with
-	leastBuffer  = 512
-	readStep     = 32 << 10 // bytes by which a body of unknown length grows
+	lowestTierShare = 0.8     // share of a host's places open to the lowest tier
+	minReserveBytes = 8 << 10 // minimum reserved per body
+	minBufferBytes  = 512
+	growBytes       = 32 << 10 // growth of a buffer for a body of unknown length
 )
 
-// room is how many requests may be in flight for one of a tier to be let in:
-// all places for the most urgent, a fifth less for the lowest, and in between
-// by tier. So a host that fills up refuses the lowest tier first, and the most
-// urgent one has places that no other can take.
-func room(limit, tier, lowest int) int64 {
+// maxInFlight returns the maximum number of requests in flight, including the new one,
+// for a request of a tier to be admitted: all places for the most urgent tier, 20% fewer
+// for the lowest, and proportionally in between. A host that fills up refuses the lowest
+// tier first, and some places are open only to the most urgent.
+func maxInFlight(limit, tier, lowest int) int64 {
 	if lowest <= 0 || tier <= 0 {
 		return int64(limit)
 	}
-	part := (1 - lowestShare) * float64(min(tier, lowest)) / float64(lowest)
+	part := (1 - lowestTierShare) * float64(min(tier, lowest)) / float64(lowest)
 	return int64(float64(limit) * (1 - part))
 }
 
-// connectionsMost is how many connections of callers a host keeps, for each of
-// its places: balancers keep idle ones.
-const connectionsMost = 2
+// maxConnsPerCall is the number of caller connections accepted per place of a host. It
+// exceeds 1 because load balancers keep idle connections.
+const maxConnsPerCall = 2
 
-// boundConnections closes a connection that is one too many as soon as it is
-// made. Callers that open connections and send nothing would otherwise use up the
-// host's descriptors, whatever each of them is bounded to.
-func (s *Server) boundConnections(c net.Conn, state http.ConnState) {
+// limitConnections closes new connections over the limit. Otherwise, callers that open
+// connections without sending requests could use up the host's file descriptors, even
+// though each connection is bounded by time-outs.
+func (s *Server) limitConnections(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		if s.connections.Add(1) > int64(connectionsMost*s.limits.Calls) {
+		if s.connections.Add(1) > int64(maxConnsPerCall*s.limits.Calls) {
 			_ = c.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -46,25 +46,24 @@
 	}
 }
 
-// admit takes one of the host's places for a request, and returns how to give
-// it back.
+// admit takes one of the host's places for a request. The returned function releases it.
 func (s *Server) admit(q *request, lowest int) (func(), *failure) {
-	release := func() { s.calls.Add(-1) }
-	if s.calls.Add(1) <= room(s.limits.Calls, q.tier, lowest) {
+	release := func() { s.inFlight.Add(-1) }
+	if s.inFlight.Add(1) <= maxInFlight(s.limits.Calls, q.tier, lowest) {
 		return release, nil
 	}
 	release()
-	return func() {}, &failure{status: http.StatusServiceUnavailable, code: "host_full", message: "this host has too many requests in flight", run: RunNo, after: comeBack}
+	return func() {}, &failure{status: http.StatusServiceUnavailable, code: "host_full", message: "this host has too many requests in flight", run: RunNo, retryAfter: defaultRetryAfter}
 }
 
-// memory bounds the bytes of bodies and answers held at once.
+// memory bounds the bytes of bodies and answers in memory.
 type memory struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// take reserves n bytes, or none.
-func (m *memory) take(n int64) bool {
+// reserve reserves n bytes, or none if they don't fit.
+func (m *memory) reserve(n int64) bool {
 	if m.used.Add(n) <= m.limit {
 		return true
 	}
@@ -72,43 +71,43 @@
 	return false
 }
 
-func (m *memory) give(n int64) { m.used.Add(-n) }
+func (m *memory) free(n int64) { m.used.Add(-n) }
 
-// hold is what one request has reserved of a memory.
-type hold struct {
+// reservation is the part of a memory reserved by one request.
+type reservation struct {
 	memory *memory
 	bytes  int64
 }
 
-func (h *hold) take(n int64) bool {
-	if !h.memory.take(n) {
+func (h *reservation) reserve(n int64) bool {
+	if !h.memory.reserve(n) {
 		return false
 	}
 	h.bytes += n
 	return true
 }
 
-func (h *hold) release() {
-	h.memory.give(h.bytes)
+func (h *reservation) release() {
+	h.memory.free(h.bytes)
 	h.bytes = 0
 }
 
-var errFull = errors.New("no memory left")
+var errMemoryFull = errors.New("buffer memory exhausted")
 
-// readAll reads to the end of r, at most limit bytes, and reserves the memory
-// before it takes it. It returns what it read also where it fails.
-func (h *hold) readAll(r io.Reader, length, limit int64) ([]byte, error) {
-	size := max(min(length, limit)+1, leastBuffer)
-	if !h.take(max(size, leastReserve)) {
-		return nil, errFull
+// readAll reads to the end of r, at most limit bytes, and reserves memory before
+// allocating it. On failure, it also returns what it has read.
+func (h *reservation) readAll(r io.Reader, length, limit int64) ([]byte, error) {
+	size := max(min(length, limit)+1, minBufferBytes)
+	if !h.reserve(max(size, minReserveBytes)) {
+		return nil, errMemoryFull
 	}
 	body := make([]byte, 0, size)
 	for {
 		if len(body) == cap(body) {
-			if !h.take(int64(cap(body)) + readStep) {
-				return body, errFull
+			if !h.reserve(int64(cap(body)) + growBytes) {
+				return body, errMemoryFull
 			}
-			body = append(make([]byte, 0, 2*cap(body)+readStep), body...)
+			body = append(make([]byte, 0, 2*cap(body)+growBytes), body...)
 		}
 		n, err := r.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
@@ -124,17 +123,17 @@
 	}
 }
 
-var errTooLarge = errors.New("too large")
+var errTooLarge = errors.New("body too large")
 
-// readBody takes the caller's whole body, bounded.
-func (s *Server) readBody(w http.ResponseWriter, r *http.Request, h *hold) ([]byte, *failure) {
+// readBody reads the caller's whole body, up to the limit.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request, h *reservation) ([]byte, *failure) {
 	body, err := h.readAll(http.MaxBytesReader(w, r.Body, s.limits.Body), r.ContentLength, s.limits.Body)
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large), errors.Is(err, errTooLarge):
 		return nil, &failure{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: fmt.Sprintf("the body is over %d bytes", s.limits.Body), run: RunNo}
-	case errors.Is(err, errFull):
-		return nil, &failure{status: http.StatusServiceUnavailable, code: "host_full", message: "this host holds too many bytes of requests and answers", run: RunNo, after: comeBack}
+	case errors.Is(err, errMemoryFull):
+		return nil, &failure{status: http.StatusServiceUnavailable, code: "host_full", message: "this host holds too many bytes of requests and answers", run: RunNo, retryAfter: defaultRetryAfter}
 	case err != nil:
 		return nil, &failure{status: http.StatusBadRequest, code: "body_unreadable", message: "the body did not arrive whole", run: RunNo}
 	}
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -21,13 +21,13 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// The benchmarks compare three ways in one run: straight to the engine, through
-// a proxy that only copies bytes, and through the entry.
+// The benchmarks compare three paths to the engine: direct, through a proxy that only
+// copies bytes, and through the entry.
 
 const benchEvents = 500
 
-// benchEngine streams events as fast as it can, or holds streams open. Its
-// third kind of answer is in one piece.
+// benchEngine streams events without delay, or sends a whole answer if no stream is
+// requested. It keeps a stream open if the prompt is "hold".
 func benchEngine(w http.ResponseWriter, r *http.Request) {
 	asked, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("X-Request-Id")
@@ -50,7 +50,7 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// copyProxy passes bytes on as they come.
+// copyProxy forwards bytes as they arrive.
 func copyProxy(engine string) http.HandlerFunc {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -74,11 +74,11 @@
 	}
 }
 
-// ways is the address of each way to the engine.
-func ways(b *testing.B) []struct{ name, url string } {
+// enginePaths returns the address of each path to the engine.
+func enginePaths(b *testing.B) []struct{ name, url string } {
 	engine := httptest.NewServer(http.HandlerFunc(benchEngine))
 	proxy := httptest.NewServer(copyProxy(engine.URL))
-	s := newStand(options{resume: true, silence: time.Minute, limits: func(l *loader.Limits) { l.Calls = 20000 }})
+	s := newFixture(options{resume: true, silence: time.Minute, limits: func(l *loader.Limits) { l.Calls = 20000 }})
 	s.places.workers = []loader.Worker{{Name: "bench", Address: strings.TrimPrefix(engine.URL, "http://"), Slots: 1 << 20}}
 	b.Cleanup(func() {
 		s.close()
@@ -98,12 +98,12 @@
 }
 
 func benchmark(b *testing.B, body string, per int) {
-	for _, way := range ways(b) {
-		b.Run(way.name, func(b *testing.B) {
+	for _, path := range enginePaths(b) {
+		b.Run(path.name, func(b *testing.B) {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 			b.ReportAllocs()
 			for b.Loop() {
-				resp, err := post(context.Background(), client, way.url, body)
+				resp, err := post(context.Background(), client, path.url, body)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -119,18 +119,18 @@
 
 func BenchmarkWhole(b *testing.B) { benchmark(b, completionBody(false), 1) }
 
-// BenchmarkOpen is the memory of an open stream, engine's and caller's side
-// included: the entry's part is what is over "direct".
+// BenchmarkOpen measures the memory of an open stream, including the engine's and the
+// caller's side. The entry's part is the difference to "direct".
 func BenchmarkOpen(b *testing.B) {
 	const streams = 1000
 	body := strings.Replace(completionBody(true), `"trip"`, `"hold"`, 1)
-	for _, way := range ways(b) {
+	for _, way := range enginePaths(b) {
 		b.Run(way.name, func(b *testing.B) {
 			for b.Loop() {
 				client := &http.Client{Transport: &http.Transport{}}
 				ctx, leave := context.WithCancel(context.Background())
 				before := inUse()
-				hold(ctx, client, way.url, body, streams)
+				openStreams(ctx, client, way.url, body, streams)
 				b.ReportMetric(float64(inUse()-before)/streams, "B/stream")
 				leave()
 				client.CloseIdleConnections()
@@ -140,8 +140,9 @@
 	}
 }
 
-// hold opens streams and leaves them open after all their events but the last.
-func hold(ctx context.Context, client *http.Client, url, body string, n int) {
+// openStreams opens streams and reads all their events but the last, so that they stay
+// open.
+func openStreams(ctx context.Context, client *http.Client, url, body string, n int) {
 	var opened sync.WaitGroup
 	for range n {
 		opened.Go(func() {
@@ -167,7 +168,7 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// BenchmarkLine is the log line that each request costs.
+// BenchmarkLine measures the log line that is written for each request.
 func BenchmarkLine(b *testing.B) {
 	log := zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(io.Discard), zapcore.InfoLevel))
 	for b.Loop() {
--- a/server/delivery.go
+++ b/server/delivery.go
@@ -10,8 +10,8 @@
 	"github.com/cicadawood/cicadawood/router"
 )
 
-// passed is the headers of a caller that a backend server gets.
-func passed(h http.Header) http.Header {
+// forwardedHeader returns the caller's headers that are sent to a backend server.
+func forwardedHeader(h http.Header) http.Header {
 	out := router.EndToEndHeader(h)
 	out.Del("Authorization")
 	out.Del(HeaderClass)
@@ -19,41 +19,44 @@
 	return out
 }
 
-// delivery is what a caller has been given, over all tries of its request.
+// delivery is the part of an answer written to the caller so far, across all tries of
+// its request.
 type delivery struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	q       *request
-	stall   time.Duration
-	until   time.Time // write deadline that is set
+	w             http.ResponseWriter
+	control       *http.ResponseController
+	q             *request
+	writeTimeout  time.Duration
+	writeDeadline time.Time // write deadline currently set on the connection
 
-	begun    bool // the head went out
-	first    time.Time
-	stream   bool // the head was an event stream's
-	tokens   int
-	finished bool // the engine told why the answer ends
-	usage    int  // tokens as the engine counts; 0 until told
+	headSent   bool // the response head has been written
+	headSentAt time.Time
+	stream     bool // the answer is an event stream
+	tokens     int
+	finished   bool // the engine has sent a finish reason
+	usage      int  // tokens as counted by the engine; 0 if not stated yet
 }
 
-func newDelivery(w http.ResponseWriter, q *request, stall time.Duration) *delivery {
-	return &delivery{w: w, control: http.NewResponseController(w), q: q, stall: stall}
+func newDelivery(w http.ResponseWriter, q *request, writeTimeout time.Duration) *delivery {
+	return &delivery{w: w, control: http.NewResponseController(w), q: q, writeTimeout: writeTimeout}
 }
 
-// total is the tokens of the answer, as the engine counts where it does.
+// total returns the number of tokens of the answer, as counted by the engine if it
+// states it.
 func (d *delivery) total() int { return max(d.tokens, d.usage) }
 
-// bound gives the caller stall to take the next piece. A caller that takes
-// nothing would otherwise hold its place, and memory, for ever.
-func (d *delivery) bound() {
+// extendDeadline allows the caller writeTimeout to accept the next write. Without a
+// deadline, a caller that stops reading would occupy its place, and memory,
+// indefinitely.
+func (d *delivery) extendDeadline() {
 	now := time.Now()
-	if d.until.Sub(now) < d.stall*3/4 {
-		d.until = now.Add(d.stall)
-		_ = d.control.SetWriteDeadline(d.until)
+	if d.writeDeadline.Sub(now) < d.writeTimeout*3/4 {
+		d.writeDeadline = now.Add(d.writeTimeout)
+		_ = d.control.SetWriteDeadline(d.writeDeadline)
 	}
 }
 
-// head begins the answer with a backend server's head.
-func (d *delivery) head(a *forwarder.Answer, length int64) {
+// writeHead starts the answer with a backend server's head.
+func (d *delivery) writeHead(a *forwarder.Answer, length int64) {
 	h := d.w.Header()
 	for k, v := range router.EndToEndHeader(a.Header) {
 		h[k] = v
@@ -66,34 +69,34 @@
 	}
 	h.Set(HeaderRequest, d.q.id)
 	h.Set(HeaderClass, d.q.class)
-	d.begun, d.first = true, time.Now()
-	d.bound()
+	d.headSent, d.headSentAt = true, time.Now()
+	d.extendDeadline()
 	d.w.WriteHeader(a.Status)
 }
 
-// write gives the caller a piece of the answer.
+// write writes a piece of the body to the caller.
 func (d *delivery) write(p []byte) error {
-	d.bound()
+	d.extendDeadline()
 	if _, err := d.w.Write(p); err != nil {
-		return fmt.Errorf("%w: %v", errCaller, err)
+		return fmt.Errorf("%w: %v", errCallerWrite, err)
 	}
 	return nil
 }
 
 func (d *delivery) flush() error {
 	if err := d.control.Flush(); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		return fmt.Errorf("%w: %v", errCaller, err)
+		return fmt.Errorf("%w: %v", errCallerWrite, err)
 	}
 	return nil
 }
 
-// fail ends the answer with a failure. An event stream that has begun gets it
-// as an event, and no end mark. Any other answer that has begun is aborted: its
-// connection is reset, so that it can't be taken for whole.
+// fail ends the answer with a failure. If an event stream has begun, the failure is sent
+// as an event, without an end marker. Any other answer that has begun must be aborted:
+// its connection is reset, so that the caller can't take it for complete.
 func (d *delivery) fail(f *failure) (abort bool) {
-	d.bound()
+	d.extendDeadline()
 	switch {
-	case !d.begun:
+	case !d.headSent:
 		f.write(d.w, d.q)
 	case d.stream:
 		_ = d.write(f.event(d.q))
--- a/server/drain.go
+++ b/server/drain.go
@@ -2,48 +2,49 @@
 
 import "net/http"
 
-// Drain makes the server unready for good. Requests that still come are served,
-// on a connection that ends with them: the balancer's pool then empties by
-// itself, where closing its idle connections could cut a request on its way.
+// Drain makes the server unready permanently. Further requests are served, but their
+// connections are closed after the answer. This empties the load balancer's connection
+// pool; closing its idle connections instead could cut off a request that is being sent.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Draining says whether Drain was called.
+// Draining reports whether Drain was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// AbortAll ends every request in flight.
+// AbortAll closes all connections, which ends every request in flight.
 func (s *Server) AbortAll() { _ = s.http.Close() }
 
-// closing ends a caller's connection after the answer while the server drains.
-func (s *Server) closing(next http.Handler) http.Handler {
+// closeWhileDraining closes a caller's connection after the answer while the server
+// drains.
+func (s *Server) closeWhileDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.Draining() {
-			w = &lastWriter{ResponseWriter: w}
+			w = &closingWriter{ResponseWriter: w}
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// lastWriter writes the last answer of a connection. It sets the header when the
-// head is written: before, headers of a backend server may replace it.
-type lastWriter struct {
+// closingWriter writes the last answer of a connection. It sets the Connection header
+// only when the head is written, as headers of a backend server may overwrite it before.
+type closingWriter struct {
 	http.ResponseWriter
-	headed bool
+	headWritten bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (l *lastWriter) WriteHeader(status int) {
-	l.headed = true
+func (l *closingWriter) WriteHeader(status int) {
+	l.headWritten = true
 	l.Header().Set("Connection", "close")
 	l.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements io.Writer.
-func (l *lastWriter) Write(p []byte) (int, error) {
-	if !l.headed {
+func (l *closingWriter) Write(p []byte) (int, error) {
+	if !l.headWritten {
 		l.WriteHeader(http.StatusOK)
 	}
 	return l.ResponseWriter.Write(p)
 }
 
-// Unwrap lets http.ResponseController reach the connection.
-func (l *lastWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
+// Unwrap gives http.ResponseController access to the connection.
+func (l *closingWriter) Unwrap() http.ResponseWriter { return l.ResponseWriter }
--- a/server/refusal.go
+++ b/server/failure.go
@@ -13,56 +13,56 @@
 
 // Headers between callers and the system.
 const (
-	HeaderClass    = "Cicadawood-Class"    // chosen by the caller, told on every answer
+	HeaderClass    = "Cicadawood-Class"    // chosen by the caller, sent with every answer
 	HeaderDeadline = "Cicadawood-Deadline" // milliseconds, from the caller
-	HeaderRun      = "Cicadawood-Run"      // on every refusal: no, or unknown
+	HeaderRun      = "Cicadawood-Run"      // on every refusal: no or unknown
 	HeaderRequest  = "X-Request-Id"
 )
 
-// Run says whether a refused request ran.
+// Run states whether a refused request was run.
 type Run string
 
 // Values of Run.
 const (
-	RunNo      Run = "no"      // certainly not run: safe to send again
-	RunUnknown Run = "unknown" // may have run: do not repeat, ask the service
+	RunNo      Run = "no"      // certainly not run; safe to send again
+	RunUnknown Run = "unknown" // may have run; ask the service instead of repeating it
 )
 
-// Codes of failures that are decided in more than one place.
+// Codes of failures that are returned in more than one place.
 const (
-	codeGone     = "caller_gone"
-	codeDeadline = "deadline"
-	codeHeld     = "quarantine"
+	codeCallerGone = "caller_gone"
+	codeDeadline   = "deadline"
+	codeQuarantine = "quarantine"
 )
 
-// statusGone is what a caller that went away would have been told.
+// statusGone is the status for a caller that closed its connection (nginx's 499).
 const statusGone = 499
 
-// failure is the answer to a request that gets no answer from a backend server.
+// failure is the response to a request that gets no answer from a backend server.
 type failure struct {
-	status  int
-	code    string // for programs
-	message string // for people
-	run     Run
-	after   time.Duration
+	status     int
+	code       string // machine-readable
+	message    string // human-readable
+	run        Run
+	retryAfter time.Duration
 }
 
-// write sends the failure in the error form of the OpenAI interface, which
-// client libraries parse.
+// write sends the failure in the error format of the OpenAI API, which client libraries
+// parse.
 func (f failure) write(w http.ResponseWriter, q *request) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(HeaderRun, string(f.run))
 	h.Set(HeaderClass, q.class)
 	h.Set(HeaderRequest, q.id)
-	if f.after > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.after.Seconds()))))
+	if f.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.retryAfter.Seconds()))))
 	}
 	w.WriteHeader(f.status)
 	_ = json.NewEncoder(w).Encode(f.body(q))
 }
 
-// event is the failure as the last event of a stream.
+// event returns the failure as the last event of a stream.
 func (f failure) event(q *request) []byte {
 	body, err := json.Marshal(f.body(q))
 	if err != nil {
@@ -91,20 +91,20 @@
 	}
 	return struct {
 		Error detail `json:"error"`
-	}{detail{Message: f.message, Type: kind, Code: f.code, Class: q.class, Run: f.run, Request: q.id, After: f.after.Milliseconds()}}
+	}{detail{Message: f.message, Type: kind, Code: f.code, Class: q.class, Run: f.run, Request: q.id, After: f.retryAfter.Milliseconds()}}
 }
 
-// refused is the failure of a request that got no place.
-func refused(err error) *failure {
+// refusalFailure returns the failure of a request that got no place.
+func refusalFailure(err error) *failure {
 	var r Refusal
 	if errors.As(err, &r) {
-		return &failure{status: http.StatusServiceUnavailable, code: r.Reason, message: "no backend server took the request: " + r.Reason, run: RunNo, after: r.After}
+		return &failure{status: http.StatusServiceUnavailable, code: r.Reason, message: "no backend server took the request: " + r.Reason, run: RunNo, retryAfter: r.After}
 	}
-	return late()
+	return deadlineFailure()
 }
 
-// heldBack is the failure of a request that is held back; nil of any other.
-func (s *Server) heldBack(q *request) *failure {
+// quarantinedFailure returns the failure of a quarantined request, or nil.
+func (s *Server) quarantinedFailure(q *request) *failure {
 	if s.quarantine == nil {
 		return nil
 	}
@@ -112,17 +112,17 @@
 	if !held {
 		return nil
 	}
-	return &failure{status: http.StatusServiceUnavailable, code: codeHeld, message: "the request ended the backend servers that ran it, and is held back", run: RunNo, after: after}
+	return &failure{status: http.StatusServiceUnavailable, code: codeQuarantine, message: "the request ended the backend servers that ran it, and is held back", run: RunNo, retryAfter: after}
 }
 
-func late() *failure {
-	return &failure{status: http.StatusServiceUnavailable, code: codeDeadline, message: "the deadline passed", run: RunNo, after: comeBack}
+func deadlineFailure() *failure {
+	return &failure{status: http.StatusServiceUnavailable, code: codeDeadline, message: "the deadline passed", run: RunNo, retryAfter: defaultRetryAfter}
 }
 
-// broken is the failure of a request whose last try failed.
-func broken(err error) *failure {
+// tryFailure returns the failure of a request whose last try failed.
+func tryFailure(err error) *failure {
 	if errors.Is(err, forwarder.ErrNotRun) {
-		return &failure{status: http.StatusServiceUnavailable, code: "worker_unreachable", message: "no backend server took the request", run: RunNo, after: comeBack}
+		return &failure{status: http.StatusServiceUnavailable, code: "worker_unreachable", message: "no backend server took the request", run: RunNo, retryAfter: defaultRetryAfter}
 	}
-	return &failure{status: http.StatusBadGateway, code: "answer_lost", message: "the answer was lost or broke off; the request may have run", run: RunUnknown, after: comeBack}
+	return &failure{status: http.StatusBadGateway, code: "answer_lost", message: "the answer was lost or broke off; the request may have run", run: RunUnknown, retryAfter: defaultRetryAfter}
 }
--- a/server/harness_test.go
+++ b/server/fixture_test.go
@@ -28,29 +28,29 @@
 )
 
 const (
-	tokens  = 12                     // of every answer
-	silence = 400 * time.Millisecond // bound on a connection's silence
+	tokens  = 12                     // in every answer
+	silence = 400 * time.Millisecond // maximum silence of a connection
 	key     = "quay"
 )
 
-// places is a server.Allocator over a list of workers, in turn.
+// places is a server.Allocator that hands out a list of workers in turn.
 type places struct {
 	mu       sync.Mutex
 	workers  []loader.Worker
 	next     int
 	asks     []messenger.Ask
 	released []server.Usage
-	preempt  chan struct{} // of the place handed out last
+	preempt  chan struct{} // of the latest place
 	fence    uint64
 
-	hold    chan struct{}         // where not nil, Acquire waits for it
-	refusal func(n int) error     // by number of the ask, from 0
-	granted func(p *server.Place) // sees each place before it is handed out
+	gate    chan struct{}         // if not nil, Acquire waits for it
+	refusal func(n int) error     // by number of the request, from 0
+	granted func(p *server.Place) // called with each place before it is handed out
 }
 
 func (p *places) Acquire(ctx context.Context, _ string, a messenger.Ask) (server.Place, error) {
 	p.mu.Lock()
-	n, hold := len(p.asks), p.hold
+	n, hold := len(p.asks), p.gate
 	p.asks = append(p.asks, a)
 	p.mu.Unlock()
 	if hold != nil {
@@ -95,7 +95,7 @@
 	p.released = append(p.released, u)
 }
 
-// counts is how many places were asked for and given back.
+// counts returns how many places were requested and released.
 func (p *places) counts() (asked, released int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,9 +112,9 @@
 
 func (c configuration) Folder() (*loader.Folder, uint64) { return c.folder, 1 }
 
-// yard is three workers, each behind a link that can fail. Yards are used again
-// and again: a test run would otherwise use up the machine's ports.
-type yard struct {
+// workerSet is three workers, each behind a link that can fail. Sets are reused between
+// tests, which would otherwise exhaust the machine's ports.
+type workerSet struct {
 	faults  *faker.Failures // shared by all workers
 	calls   *faker.Counter
 	links   map[string]*faker.Link
@@ -123,23 +123,23 @@
 }
 
 var (
-	yardsMu sync.Mutex
-	yards   []*yard
+	freeWorkerSetsMu sync.Mutex
+	freeWorkerSets   []*workerSet
 )
 
-func takeYard() *yard {
-	yardsMu.Lock()
-	defer yardsMu.Unlock()
-	if n := len(yards); n > 0 {
-		y := yards[n-1]
-		yards = yards[:n-1]
+func acquireWorkers() *workerSet {
+	freeWorkerSetsMu.Lock()
+	defer freeWorkerSetsMu.Unlock()
+	if n := len(freeWorkerSets); n > 0 {
+		y := freeWorkerSets[n-1]
+		freeWorkerSets = freeWorkerSets[:n-1]
 		return y
 	}
-	return newYard()
+	return newWorkerSet()
 }
 
-// giveYard resets a yard for the next test.
-func giveYard(y *yard) {
+// releaseWorkers resets a set for the next test.
+func releaseWorkers(y *workerSet) {
 	for _, k := range y.links {
 		k.Set(faker.Pass, 0)
 	}
@@ -150,13 +150,13 @@
 	y.faults.Set()
 	y.faults.Plan()
 	y.calls.Reset()
-	yardsMu.Lock()
-	defer yardsMu.Unlock()
-	yards = append(yards, y)
+	freeWorkerSetsMu.Lock()
+	defer freeWorkerSetsMu.Unlock()
+	freeWorkerSets = append(freeWorkerSets, y)
 }
 
-func newYard() *yard {
-	y := &yard{faults: &faker.Failures{}, calls: &faker.Counter{}, links: map[string]*faker.Link{}}
+func newWorkerSet() *workerSet {
+	y := &workerSet{faults: &faker.Failures{}, calls: &faker.Counter{}, links: map[string]*faker.Link{}}
 	for i := range 3 {
 		name := fmt.Sprintf("w%d", i)
 		e := faker.NewEngine(name, faker.Model{Step: time.Millisecond, Slots: 16}, y.calls)
@@ -177,9 +177,9 @@
 	return y
 }
 
-// stand is one entry before a yard.
-type stand struct {
-	*yard
+// fixture is an entry in front of a set of workers.
+type fixture struct {
+	*workerSet
 	places *places
 	server *server.Server
 	url    string
@@ -187,7 +187,7 @@
 	clean  []func()
 }
 
-// options change a stand.
+// options configure a fixture.
 type options struct {
 	resume  bool
 	limits  func(*loader.Limits)
@@ -196,8 +196,8 @@
 	target  time.Duration // for the first byte of class hold; 0 is the default
 }
 
-func newStand(o options) *stand {
-	s := &stand{yard: takeYard(), places: &places{}}
+func newFixture(o options) *fixture {
+	s := &fixture{workerSet: acquireWorkers(), places: &places{}}
 	s.places.workers = s.workers
 	f := s.folder(o)
 	limits := loader.Limits{
@@ -227,14 +227,14 @@
 	return s
 }
 
-// stood is a stand that its spec's end closes.
-func stood(o options) *stand {
-	s := newStand(o)
+// startFixture returns a fixture that is closed at the end of the spec.
+func startFixture(o options) *fixture {
+	s := newFixture(o)
 	DeferCleanup(s.close)
 	return s
 }
 
-func (s *stand) folder(o options) *loader.Folder {
+func (s *fixture) folder(o options) *loader.Folder {
 	f := &loader.Folder{
 		Classes: map[string]loader.Class{
 			"chat": {Tier: 1, First: loader.Duration(100 * time.Millisecond), Whole: loader.Duration(20 * time.Second)},
@@ -250,37 +250,39 @@
 	return f
 }
 
-func (s *stand) close() {
+func (s *fixture) close() {
 	for _, f := range slices.Backward(s.clean) {
 		f()
 	}
-	giveYard(s.yard)
+	releaseWorkers(s.workerSet)
 }
 
-// got is what a caller received.
-type got struct {
+// response is what a caller received.
+type response struct {
 	status int
 	header http.Header
 	id     string
-	tokens []string // text, in order
+	tokens []string // in order
 	done   bool
 	code   string // of the error
 	run    string
 	after  time.Duration
-	broken bool // the connection broke off
+	broken bool // the connection broke
 	body   string
 }
 
-// whole says that the caller has its own whole answer, each token once.
-func (g got) whole() error {
+// whole checks that the caller received the whole answer to its own request, each token
+// once.
+func (g response) whole() error {
 	if !g.done || g.code != "" || g.broken {
 		return fmt.Errorf("status %d, done %t, code %q, broken %t, %d tokens", g.status, g.done, g.code, g.broken, len(g.tokens))
 	}
-	return g.exact(tokens)
+	return g.exactTokens(tokens)
 }
 
-// exact says that the first n tokens are there, in order, once, and none else.
-func (g got) exact(n int) error {
+// exactTokens checks that the caller received exactly the first n tokens, in order, each
+// once.
+func (g response) exactTokens(n int) error {
 	if len(g.tokens) != n {
 		return fmt.Errorf("%d tokens, not %d: %q", len(g.tokens), n, g.tokens)
 	}
@@ -292,21 +294,21 @@
 	return nil
 }
 
-// marked says that what the caller has is a true beginning, and that it was told
-// that the rest is missing.
-func (g got) marked() error {
+// markedBroken checks that the caller received a correct part from the start of its
+// answer, and an indication that the rest is missing.
+func (g response) markedBroken() error {
 	if g.done || (g.code == "" && !g.broken) {
-		return fmt.Errorf("broken, but not marked so: done %t, %d tokens", g.done, len(g.tokens))
+		return fmt.Errorf("broken, but not marked as such: done %t, %d tokens", g.done, len(g.tokens))
 	}
-	return g.exact(len(g.tokens))
+	return g.exactTokens(len(g.tokens))
 }
 
 func completionBody(stream bool) string {
 	return fmt.Sprintf(`{"model":"lm","stream":%t,"max_tokens":%d,"min_tokens":%d,"messages":[{"role":"user","content":"trip"}]}`, stream, tokens, tokens)
 }
 
-// request is a caller's request.
-func (s *stand) request(ctx context.Context, path, body string) *http.Request {
+// request returns a caller's request.
+func (s *fixture) request(ctx context.Context, path, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -315,30 +317,30 @@
 	return r
 }
 
-func (s *stand) stream() got {
+func (s *fixture) stream() response {
 	return s.send(s.request(context.Background(), "/v1/chat/completions", completionBody(true)))
 }
 
-func (s *stand) json() got {
+func (s *fixture) json() response {
 	return s.send(s.request(context.Background(), "/v1/chat/completions", completionBody(false)))
 }
 
-func (s *stand) send(r *http.Request) got {
+func (s *fixture) send(r *http.Request) response {
 	resp, err := s.client.Do(r)
 	if err != nil {
-		return got{broken: true}
+		return response{broken: true}
 	}
 	defer resp.Body.Close()
 	return read(resp)
 }
 
-// read takes an answer in as a client library would.
-func read(resp *http.Response) got {
-	g := got{status: resp.StatusCode, header: resp.Header, id: resp.Header.Get("X-Request-Id")}
+// read reads an answer as a client library would.
+func read(resp *http.Response) response {
+	g := response{status: resp.StatusCode, header: resp.Header, id: resp.Header.Get("X-Request-Id")}
 	if !strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream") {
 		body, err := io.ReadAll(resp.Body)
 		g.broken, g.body = err != nil, string(body)
-		g.take(body)
+		g.parse(body)
 		g.done = err == nil && resp.StatusCode == http.StatusOK
 		return g
 	}
@@ -350,15 +352,15 @@
 		case data == "[DONE]":
 			g.done = true
 		default:
-			g.take([]byte(data))
+			g.parse([]byte(data))
 		}
 	}
 	g.broken = lines.Err() != nil
 	return g
 }
 
-// take reads one event, or the body of an answer that is not streamed.
-func (g *got) take(data []byte) {
+// parse reads one event, or the body of an answer that is not streamed.
+func (g *response) parse(data []byte) {
 	var v struct {
 		Choices []struct {
 			Delta, Message struct{ Content string }
@@ -383,18 +385,18 @@
 	}
 }
 
-// together runs n tasks, at most 64 at once, and joins their errors.
-func together(n int, task func(i int) error) error {
+// inParallel runs n tasks, at most 64 at a time, and joins their errors.
+func inParallel(n int, task func(i int) error) error {
 	var tasks sync.WaitGroup
-	found := make([]error, n)
+	errs := make([]error, n)
 	slots := make(chan struct{}, 64)
 	for i := range n {
 		tasks.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			found[i] = task(i)
+			errs[i] = task(i)
 		})
 	}
 	tasks.Wait()
-	return errors.Join(found...)
+	return errors.Join(errs...)
 }
--- a/server/index.go
+++ b/server/index.go
@@ -10,15 +10,15 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// index is what each request looks up, made once for each configuration.
+// index holds the lookup tables for requests, built once per configuration.
 type index struct {
-	folder *loader.Folder
-	keys   map[[sha256.Size]byte]string // organisation by the hash of an API key
-	models map[string]target
-	lowest int // the least urgent tier
+	folder     *loader.Folder
+	keys       map[[sha256.Size]byte]string // organisation by the hash of an API key
+	models     map[string]target
+	lowestTier int // tier of the least urgent class
 }
 
-// target is where a model is served.
+// target is the service and route of a model.
 type target struct {
 	service string
 	route   loader.Route
@@ -30,7 +30,7 @@
 		x.addModels(name, f.Services[name])
 	}
 	for _, c := range f.Classes {
-		x.lowest = max(x.lowest, c.Tier)
+		x.lowestTier = max(x.lowestTier, c.Tier)
 	}
 	return x
 }
@@ -47,9 +47,8 @@
 	}
 }
 
-// organisation finds the organisation by the request's API key. What is
-// compared is a hash that the caller can't steer, so that the time it takes
-// tells nothing of the keys.
+// organisation returns the organisation of the request's API key. The lookup compares
+// hashes, which the caller can't choose, so its timing reveals nothing about the keys.
 func (x *index) organisation(r *http.Request) (string, bool) {
 	k, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || k == "" {
@@ -59,8 +58,9 @@
 	return name, ok
 }
 
-// look is the index of the configuration in force, nil before the first.
-func (s *Server) look() *index {
+// currentIndex returns the index of the configuration in force, or nil before the first
+// is loaded.
+func (s *Server) currentIndex() *index {
 	f, _ := s.config.Folder()
 	if f == nil {
 		return nil
--- a/server/matrix_test.go
+++ b/server/matrix_test.go
@@ -14,8 +14,8 @@
 	"github.com/cicadawood/cicadawood/server"
 )
 
-// points is where each step of a call lies in a worker's answer.
-var points = []struct {
+// stepPositions gives the position of each step in a worker's answer.
+var stepPositions = []struct {
 	step prover.Step
 	at   int
 }{
@@ -25,13 +25,14 @@
 	{prover.Answered, faker.AtEnd},
 }
 
-// faults is how each fault shows at a worker.
+// faults lists the faults of the matrix.
 var faults = []prover.Fault{
 	prover.Kill, prover.Freeze, prover.CutOne, prover.CutBoth, prover.Silence, prover.Slow, prover.Reorder, prover.Crossed,
 }
 
-// fault makes a fault hit at a point; hit counts that it did.
-func (s *stand) fault(f prover.Fault, at int, hit *atomic.Int32) []faker.Fault {
+// workerFaults returns the faker's faults that make f occur at a position. hit counts
+// the occurrences.
+func (s *fixture) workerFaults(f prover.Fault, at int, hit *atomic.Int32) []faker.Fault {
 	x := faker.Fault{At: at, Kind: faker.Trip, Hook: func(string) { hit.Add(1) }}
 	link := func(m faker.Mode) {
 		x.Hook = func(worker string) {
@@ -42,7 +43,7 @@
 	switch f {
 	case prover.Kill:
 		x.Kind = faker.Crash
-	case prover.Freeze: // and it returns when another has taken over
+	case prover.Freeze: // the worker continues after another has taken over
 		x.Kind, x.Delay = faker.Late, 4*silence
 	case prover.CutOne:
 		link(faker.Forward)
@@ -52,7 +53,7 @@
 		link(faker.SilentOpen)
 	case prover.Slow:
 		x.Kind, x.Delay = faker.Late, silence/5
-	case prover.Reorder: // the answer comes after the next try's has begun
+	case prover.Reorder: // the answer arrives after the next try's answer has begun
 		x.Kind, x.Delay = faker.Late, 3*silence
 	case prover.Crossed:
 		x.Kind = faker.Crossed
@@ -60,35 +61,35 @@
 	return []faker.Fault{x}
 }
 
-// trouble is one cell of the matrix.
-type trouble struct {
+// faultPoint is one cell of the matrix.
+type faultPoint struct {
 	step  prover.Step
 	at    int
 	fault prover.Fault
 }
 
-func troubles() []trouble {
-	var out []trouble
+func faultPoints() []faultPoint {
+	var out []faultPoint
 	for _, f := range faults {
-		for _, p := range points {
-			out = append(out, trouble{p.step, p.at, f})
+		for _, p := range stepPositions {
+			out = append(out, faultPoint{p.step, p.at, f})
 		}
 	}
 	return out
 }
 
-// follows says that a second trouble can hit the same request: in the same try
-// where the first only slows it, else in the next, which after the last token
-// has none in its middle.
-func follows(a, b trouble) bool {
+// canFollow reports whether b can hit the same request after a: in the same try if a
+// only delays it, otherwise in the next try. After the last token, the next try has no
+// middle.
+func canFollow(a, b faultPoint) bool {
 	if a.fault == prover.Slow {
-		return order(b) > order(a)
+		return stepIndex(b) > stepIndex(a)
 	}
 	return a.step != prover.Answered || b.step != prover.Mid
 }
 
-func order(t trouble) int {
-	for i, p := range points {
+func stepIndex(t faultPoint) int {
+	for i, p := range stepPositions {
 		if p.step == t.step {
 			return i
 		}
@@ -96,15 +97,16 @@
 	return -1
 }
 
-// alone has a request meet one trouble, and returns what was wrong with its end.
-func alone(t trouble) error {
-	s := newStand(options{resume: true})
+// runWithFault runs a request with one fault, and returns an error if it doesn't end
+// correctly.
+func runWithFault(t faultPoint) error {
+	s := newFixture(options{resume: true})
 	defer s.close()
 	var hit atomic.Int32
-	s.faults.Plan(s.fault(t.fault, t.at, &hit))
+	s.faults.Plan(s.workerFaults(t.fault, t.at, &hit))
 	err := s.stream().whole()
 	if asked, released := s.places.counts(); err == nil && (hit.Load() != 1 || asked != released) {
-		err = fmt.Errorf("hit %d times, %d places asked for, %d given back", hit.Load(), asked, released)
+		err = fmt.Errorf("hit %d times, %d places requested, %d released", hit.Load(), asked, released)
 	}
 	if err != nil {
 		return fmt.Errorf("%s/%s: %w", t.step, t.fault, err)
@@ -112,15 +114,15 @@
 	return nil
 }
 
-// grantFaults is how each fault shows that hits a worker between its grant and
-// the call.
+// grantFaults maps each fault that hits a worker between its grant and the call to the
+// state of its link.
 var grantFaults = map[prover.Fault]faker.Mode{
 	prover.Kill: faker.Cut, prover.CutBoth: faker.Cut, prover.CutOne: faker.Backward, prover.Silence: faker.Backward, prover.Freeze: faker.Backward,
 }
 
-// atGrants has the first places fail, each by its fault, before their workers are
-// called.
-func (s *stand) atGrants(hit *atomic.Int32, faults ...prover.Fault) {
+// failAtGrants makes the workers of the first places fail before they are called, one
+// fault per place.
+func (s *fixture) failAtGrants(hit *atomic.Int32, faults ...prover.Fault) {
 	s.places.granted = func(p *server.Place) {
 		if n := int(hit.Load()); n < len(faults) {
 			hit.Add(1)
@@ -129,18 +131,18 @@
 	}
 }
 
-// meetGranted has a place's worker fail at its grant by f, then the next try meet
-// b, or its worker the fault at its grant too.
-func meetGranted(f prover.Fault, b trouble) error {
-	s := newStand(options{resume: true})
+// runWithGrantFault runs a request whose first worker fails by f at its grant, and whose
+// next try meets b, which may be a fault at the grant, too.
+func runWithGrantFault(f prover.Fault, b faultPoint) error {
+	s := newFixture(options{resume: true})
 	defer s.close()
 	var hit atomic.Int32
 	if b.step == prover.Granted {
-		s.atGrants(&hit, f, b.fault)
+		s.failAtGrants(&hit, f, b.fault)
 	} else {
-		s.faults.Plan(s.fault(b.fault, b.at, &hit))
+		s.faults.Plan(s.workerFaults(b.fault, b.at, &hit))
 		var first atomic.Int32
-		s.atGrants(&first, f)
+		s.failAtGrants(&first, f)
 	}
 	err := s.stream().whole()
 	want := int32(1)
@@ -156,12 +158,13 @@
 	return nil
 }
 
-// meet has a request meet a, then b, and returns what was wrong with its end.
-func meet(a, b trouble) error {
-	s := newStand(options{resume: true})
+// runWithFaults runs a request with fault a, then b, and returns an error if it doesn't
+// end correctly.
+func runWithFaults(a, b faultPoint) error {
+	s := newFixture(options{resume: true})
 	defer s.close()
 	var first, second atomic.Int32
-	x, y := s.fault(a.fault, a.at, &first), s.fault(b.fault, b.at, &second)
+	x, y := s.workerFaults(a.fault, a.at, &first), s.workerFaults(b.fault, b.at, &second)
 	if a.fault == prover.Slow {
 		s.faults.Plan(append(x, y...))
 	} else {
@@ -177,76 +180,75 @@
 	return nil
 }
 
-// A tour group's plan streams when the engine under it dies, freezes, or is cut
-// off, or a middlebox forgets the connection, or the engine answers with another
-// caller's tokens. The plan must come whole: each token once, in order, its own,
-// and the end mark only then.
+// The engine of a stream fails, freezes or is cut off, a middlebox drops the connection,
+// or the engine answers with another caller's tokens. The answer must arrive complete:
+// each token once, in order, of this request, and the end marker only after them.
 var _ = Describe("a stream that can be resumed", func() {
 	for _, f := range faults {
-		var single []trouble
+		var single []faultPoint
 		var labels []string
-		for _, t := range troubles() {
+		for _, t := range faultPoints() {
 			if t.fault == f {
 				single = append(single, t)
 				labels = append(labels, prover.Cell(t.step, t.fault))
 			}
 		}
 		It(fmt.Sprintf("is whole after %s at any step", f), Label(labels...), func() {
-			Expect(together(len(single), func(i int) error { return alone(single[i]) })).To(Succeed())
+			Expect(inParallel(len(single), func(i int) error { return runWithFault(single[i]) })).To(Succeed())
 		})
 	}
 
 	for _, f := range faults {
-		var pairs [][2]trouble
+		var pairs [][2]faultPoint
 		var labels []string
-		for _, a := range troubles() {
-			for _, b := range troubles() {
-				if a.fault == f && follows(a, b) {
-					pairs = append(pairs, [2]trouble{a, b})
+		for _, a := range faultPoints() {
+			for _, b := range faultPoints() {
+				if a.fault == f && canFollow(a, b) {
+					pairs = append(pairs, [2]faultPoint{a, b})
 					labels = append(labels, prover.Pair(a.step, a.fault, b.step, b.fault))
 				}
 			}
 		}
 		It(fmt.Sprintf("is whole after %s and any second fault", f), Label(labels...), func() {
-			Expect(together(len(pairs), func(i int) error { return meet(pairs[i][0], pairs[i][1]) })).To(Succeed())
+			Expect(inParallel(len(pairs), func(i int) error { return runWithFaults(pairs[i][0], pairs[i][1]) })).To(Succeed())
 		})
 	}
 })
 
-// The worker of a grant is gone before it is called, and then the next one fails
-// as well.
+// The worker of a grant fails before it is called, and then the next try fails, too.
 var _ = Describe("a stream whose first place was lost", func() {
 	for _, f := range slices.Sorted(maps.Keys(grantFaults)) {
-		later := troubles()
+		second := faultPoints()
 		for _, g := range slices.Sorted(maps.Keys(grantFaults)) {
-			later = append(later, trouble{step: prover.Granted, fault: g})
+			second = append(second, faultPoint{step: prover.Granted, fault: g})
 		}
 		var labels []string
-		for _, b := range later {
+		for _, b := range second {
 			labels = append(labels, prover.Pair(prover.Granted, f, b.step, b.fault))
 		}
 		It(fmt.Sprintf("by %s is whole after any second fault", f), Label(labels...), func() {
-			Expect(together(len(later), func(i int) error { return meetGranted(f, later[i]) })).To(Succeed())
+			Expect(inParallel(len(second), func(i int) error { return runWithGrantFault(f, second[i]) })).To(Succeed())
 		})
 	}
 })
 
-// The same faults, with an engine that can't resume, or an answer in one piece:
-// the caller gets its whole answer, or a true beginning marked as broken.
+// The same faults with an engine that can't resume, or an answer that is not streamed:
+// the caller receives the whole answer, or a correct part from its start that is marked
+// as broken.
 var _ = Describe("an answer that can't be resumed", func() {
-	end := func(g got) error {
+	end := func(g response) error {
 		if g.done {
 			return g.whole()
 		}
-		return g.marked()
+		return g.markedBroken()
 	}
-	It("is whole or marked", func() {
-		all := troubles()
-		Expect(together(len(all), func(i int) error {
-			s := newStand(options{})
+	It("is whole or marked as broken", func() {
+		all := faultPoints()
+		Expect(inParallel(len(all), func(i int) error {
+			s := newFixture(options{})
 			defer s.close()
 			var hit atomic.Int32
-			s.faults.Plan(s.fault(all[i].fault, all[i].at, &hit))
+			s.faults.Plan(s.workerFaults(all[i].fault, all[i].at, &hit))
 			if err := end(s.stream()); err != nil {
 				return fmt.Errorf("stream, %s/%s: %w", all[i].step, all[i].fault, err)
 			}
@@ -254,25 +256,25 @@
 		})).To(Succeed())
 	})
 
-	It("comes whole in one piece when a connection breaks", func() {
-		Expect(together(8, func(i int) error {
-			s := newStand(options{})
+	It("is complete if not streamed when a connection breaks", func() {
+		Expect(inParallel(8, func(i int) error {
+			s := newFixture(options{})
 			defer s.close()
 			var hit atomic.Int32
 			f := []prover.Fault{prover.Kill, prover.CutBoth, prover.Crossed, prover.Slow}[i/2]
-			s.faults.Plan(s.fault(f, []int{faker.AtHead, faker.AtEnd}[i%2], &hit))
+			s.faults.Plan(s.workerFaults(f, []int{faker.AtHead, faker.AtEnd}[i%2], &hit))
 			return s.json().whole()
 		})).To(Succeed())
 	})
 
-	It("ends at its deadline where a connection goes silent", func() {
-		s := newStand(options{})
+	It("ends at its deadline if a connection goes silent", func() {
+		s := newFixture(options{})
 		defer s.close()
 		s.faults.Plan([]faker.Fault{{Kind: faker.Silent, At: faker.AtHead}})
 		r := s.request(GinkgoT().Context(), "/v1/chat/completions", completionBody(false))
 		r.Header.Set("Cicadawood-Deadline", fmt.Sprint((2 * silence).Milliseconds()))
 		g := s.send(r)
 		Expect(g.code).To(Equal("deadline"))
-		Expect(g.run).To(Equal("unknown"), "it was sent: it may have run")
+		Expect(g.run).To(Equal("unknown"), "it was sent, so it may have run")
 	})
 })
--- a/server/once_test.go
+++ b/server/once_test.go
@@ -23,7 +23,7 @@
 	"github.com/cicadawood/cicadawood/server"
 )
 
-// onceKeeper stands for all keepers: it gives one verdict.
+// onceKeeper stands in for all keepers and returns a fixed verdict.
 type onceKeeper struct {
 	verdict messenger.OnceVerdict
 	calls   []messenger.Once
@@ -51,7 +51,7 @@
 	header http.Header
 }
 
-// oncePlace is the only worker's place.
+// oncePlace hands out the place of a single worker.
 type oncePlace struct{ address string }
 
 func (p oncePlace) Acquire(_ context.Context, _ string, a messenger.Ask) (server.Place, error) {
@@ -60,7 +60,8 @@
 func (oncePlace) Release(server.Place, server.Usage) {}
 func (oncePlace) Progress(server.Place, int)         {}
 
-// onceServer serves once-calls and returns how to make one.
+// onceServer starts a server for calls that must not be repeated, and returns a function
+// that makes one.
 func onceServer(k *onceKeeper) func(apiKey, body string, h http.Header) (onceAnswer, string) {
 	return onceServerAt(k, "127.0.0.1:1")
 }
@@ -94,9 +95,9 @@
 }
 
 var _ = Describe("A call that must not be repeated", func() {
-	// A caller learns one of three outcomes, always told apart by run: it ran, it
-	// did not and may be sent again, or it may have run and must not be.
-	DescribeTable("tells its outcome",
+	// The caller learns one of three outcomes: it ran, it did not run and may be sent
+	// again, or it may have run and must not be sent again.
+	DescribeTable("reports its outcome",
 		func(v messenger.OnceVerdict, status int, code, run string, again bool) {
 			call := onceServer(&onceKeeper{verdict: v})
 			resp, text := call("dock", "{}", http.Header{server.HeaderKey: {"k1"}})
@@ -108,13 +109,13 @@
 			Expect(e.Error.Code).To(Equal(code))
 			Expect(e.Error.Run).To(Equal(run))
 			Expect(resp.header.Get(server.HeaderRun)).To(Equal(run))
-			_, told := resp.header["Retry-After"]
-			Expect(told).To(Equal(again))
+			_, hasRetryAfter := resp.header["Retry-After"]
+			Expect(hasRetryAfter).To(Equal(again))
 			Expect(resp.header.Get(server.HeaderKey)).To(Equal("k1"))
 		},
 		Entry("not run", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonStore, After: time.Second}, 503, "store_down", "no", true),
-		Entry("not run, no time given", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonFull}, 503, "once_full", "no", true),
-		Entry("key of the future", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonFuture}, 400, "key_in_future", "no", false),
+		Entry("not run, no retry time given", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonFull}, 503, "once_full", "no", true),
+		Entry("key dated in the future", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonFuture}, 400, "key_in_future", "no", false),
 		Entry("unknown", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown)}, 502, "may_have_run", "unknown", false),
 		Entry("unknown at the deadline", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonDeadline}, 504, "deadline", "unknown", false),
 		Entry("unknown until the log can be read", messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonStore, After: time.Second}, 503, "store_down", "unknown", true),
@@ -123,7 +124,7 @@
 		Entry("key of another call", messenger.OnceVerdict{Kind: uint8(keeper.KindReused)}, 422, "key_reused", "no", false),
 	)
 
-	It("gives the answer, and passes the key as sent", func() {
+	It("passes on the answer, and the key unchanged", func() {
 		k := &onceKeeper{verdict: messenger.OnceVerdict{Kind: uint8(keeper.KindRan), Status: 201, Header: map[string][]string{"X-Seat": {"4"}, "X-Request-Id": {"other"}}, Body: []byte("held")}}
 		call := onceServer(k)
 		resp, text := call("dock", "{}", http.Header{server.HeaderKey: {"Boat 4/ä"}})
@@ -135,9 +136,9 @@
 		Expect(k.calls[0].Path).To(Equal("/holds?x=1"))
 	})
 
-	// Two organisations use the same key by chance, and one sends another body
-	// under its own key: neither may get the other's answer.
-	It("scopes keys by organisation and tells bodies apart", func() {
+	// Guards against an organisation receiving the answer of another that uses the same
+	// key, or the answer to a different body under its own key.
+	It("scopes keys by organisation and distinguishes bodies", func() {
 		k := &onceKeeper{verdict: messenger.OnceVerdict{Kind: uint8(keeper.KindRan), Status: 200}}
 		call := onceServer(k)
 		call("dock", "a", http.Header{server.HeaderKey: {"k1"}})
@@ -148,9 +149,9 @@
 		Expect(k.calls[2].Hash).NotTo(Equal(k.calls[0].Hash))
 	})
 
-	// A caller sends no key. The call is sent by this host alone, whatever keepers
-	// say, and the connection breaks after it: it must not be sent again.
-	It("sends a call without a key once, with a key of its own", func() {
+	// Guards against a call without a key being sent again when its connection breaks.
+	// This host alone sends it, without a keeper.
+	It("sends a call without a key once, with a generated key", func() {
 		var mu sync.Mutex
 		var keys []string
 		app := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -171,9 +172,9 @@
 		Expect(keeper.DateOf(keys[0])).To(BeNumerically("~", time.Now().UnixMilli(), 60_000))
 	})
 
-	// A worker that is leaving, or that takes the fencing number for an old one,
-	// says that it did not run the call: it may be sent again.
-	DescribeTable("sends a call without a key again only after a certain not run",
+	// A worker that is leaving, or that rejects an old fencing number, states that it
+	// did not run the call, so it may be sent again.
+	DescribeTable("resends a call without a key only if it certainly was not run",
 		func(run string, status, sent int) {
 			var mu sync.Mutex
 			tries := 0
@@ -197,7 +198,7 @@
 		Entry("failed, may have run", "", 503, 1),
 	)
 
-	DescribeTable("refuses what it can't keep", func(h http.Header, body string, status int) {
+	DescribeTable("refuses calls that can't be recorded", func(h http.Header, body string, status int) {
 		k := &onceKeeper{}
 		resp, _ := onceServer(k)("dock", body, h)
 		Expect(resp.status).To(Equal(status))
--- a/server/port.go
+++ b/server/port.go
@@ -1,5 +1,5 @@
-// Package server is the entry role: it reads callers' requests, checks them,
-// gets them a place on a backend server, and answers.
+// Package server is the entry role: it reads and checks callers' requests, acquires a
+// place on a backend server for each, and answers.
 package server
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/cicadawood/cicadawood/quarantiner"
 )
 
-// ErrCallerGone says that the caller went away while its request waited.
-var ErrCallerGone = errors.New("caller went away")
+// ErrCallerGone means that the caller disconnected while its request waited.
+var ErrCallerGone = errors.New("caller disconnected")
 
-// Refusal is the final answer to a request that got no place: it was not run.
+// Refusal is the error for a request that got no place and was not run.
 type Refusal struct {
 	Reason string
-	After  time.Duration // when to come back
+	After  time.Duration // when the caller may retry
 }
 
 // Error implements error.
 func (r Refusal) Error() string { return "refused: " + r.Reason }
 
-// Place is one place on a worker, held until Release.
+// Place is a slot of a worker, reserved for one request until Release.
 type Place struct {
 	Request string
 	Cell    string
@@ -37,42 +37,45 @@
 // Usage is what a request used of its place.
 type Usage struct {
 	Tokens    int
-	FirstByte time.Duration // to the first byte; 0 where none came
-	Failed    bool          // the worker failed it
+	FirstByte time.Duration // time to the first byte; 0 if none arrived
+	Failed    bool          // the failure is attributed to the worker
 
-	Fingerprint  quarantiner.Fingerprint // of the request; 0 is not known
-	ClosedByPeer bool                    // the worker's end of the connection closed under it
-	Took         time.Duration           // since it was sent; 0 where it was not
+	Fingerprint  quarantiner.Fingerprint // of the request; 0 if unknown
+	ClosedByPeer bool                    // the worker closed or reset the connection during the request
+	Took         time.Duration           // time since the request was sent; 0 if it was not
 }
 
 // Allocator hands out places on workers.
 type Allocator interface {
-	// Acquire waits for a place in one of the service's cells. Its error is a
-	// Refusal, or ErrGone when ctx ends first.
+	// Acquire waits for a place in one of the service's cells. It returns a Refusal, or
+	// ErrCallerGone if ctx ends first.
 	Acquire(ctx context.Context, service string, a messenger.Ask) (Place, error)
-	// Progress tells how many tokens a request has had of its place so far.
+	// Progress reports how many tokens a request has received at its place so far.
 	Progress(p Place, tokens int)
-	// Release gives a place back. Every Place is released once.
+	// Release releases a place. It must be called once for each Place.
 	Release(p Place, u Usage)
 }
 
-// Limiter holds organisations to their limits.
+// Limiter enforces the rate limits of organisations.
 type Limiter interface {
-	// Admit charges one request of about tokens, or says when to come back. What
-	// less urgent tiers used is no reason to refuse one.
+	// Admit charges a request of about tokens, or returns how long the caller should
+	// wait before retrying. Usage by less urgent tiers is no reason to refuse a request.
 	Admit(organisation string, tier, tokens int) (after time.Duration, ok bool)
-	// Settle charges tokens more, or fewer, than Admit was told.
+	// Settle corrects the tokens charged by Admit by the difference to the actual
+	// number, which may be negative.
 	Settle(organisation string, tier, tokens int)
 }
 
-// Quarantine is the requests that are held back as they ended workers.
+// Quarantine holds the requests that are quarantined because the workers that ran them
+// ended.
 type Quarantine interface {
-	// Held says whether a request is held back, and for how long.
+	// Held reports whether a request is quarantined, and for how long.
 	Held(f quarantiner.Fingerprint) (time.Duration, bool)
 }
 
-// Configuration is what the server reads of the settings in force.
+// Configuration is the port to the configuration in force.
 type Configuration interface {
-	// Folder is the configuration in force and its generation; nil before the first.
+	// Folder returns the configuration in force and its generation; nil before the first
+	// is loaded.
 	Folder() (*loader.Folder, uint64)
 }
--- a/server/request.go
+++ b/server/request.go
@@ -21,76 +21,77 @@
 )
 
 const (
-	bytesPerToken = 4    // rough, for prompts
-	prefixLength  = 1024 // bytes of a prompt that decide its prefix hash
-	outputGuess   = 256  // tokens, where the caller names no limit
+	bytesPerToken       = 4    // rough estimate for prompts
+	prefixBytes         = 1024 // of a prompt, used for its prefix hash
+	defaultOutputTokens = 256  // assumed if the caller states no limit
 )
 
-// request is one caller's request, checked.
+// request is one caller's request after it was checked.
 type request struct {
-	id           string
-	organisation string
-	service      string
-	class        string
-	tier         int
-	engine       bool
-	once         bool
-	stream       bool
-	usage        bool // the stream ends with a usage event
-	resumable    bool // the rest of a broken stream can be had
-	excluded     int  // workers that tries may exclude
-	body         []byte
-	started      time.Time
-	first        time.Duration // target
-	deadline     time.Duration
-	prompt       int
-	output       int
-	prefix       uint64
-	fingerprint  quarantiner.Fingerprint
+	id              string
+	organisation    string
+	service         string
+	class           string
+	tier            int
+	engine          bool
+	once            bool
+	stream          bool
+	usage           bool // the stream ends with a usage event
+	resumable       bool // the rest of a broken stream can be requested
+	maxExcluded     int  // maximum number of workers that tries may exclude
+	body            []byte
+	started         time.Time
+	firstByteTarget time.Duration
+	deadline        time.Duration
+	promptTokens    int
+	maxOutput       int
+	prefixHash      uint64
+	fingerprint     quarantiner.Fingerprint
 }
 
-// Fingerprint is the same for calls that are the same to a backend server; see
-// quarantiner.Fingerprint.
+// Fingerprint identifies the content of a call: calls that are the same to a backend
+// server have the same one. See quarantiner.Fingerprint.
 func Fingerprint(organisation, service, method, path string, body []byte) quarantiner.Fingerprint {
 	return quarantiner.Of(organisation, method, service+" "+path, body)
 }
 
-// ask is the request as its dispatcher sees it, for one place after the other.
-// Each has its own name there, so that what is still under way for an earlier
-// one can't be taken for it; made is the tokens that earlier places made.
+// ask returns the request as sent to its dispatcher. Each place is requested under a
+// name of its own, so that late messages about a previous place can't be taken for the
+// current one. made is the number of tokens generated at previous places.
 func (q *request) ask(n, made int, exclude []string) messenger.Ask {
 	name := q.id
 	if n > 0 {
 		name = fmt.Sprintf("%s.%d", q.id, n)
 	}
-	output := q.output
+	output := q.maxOutput
 	if output > 0 {
 		output = max(output-made, 1)
 	}
 	return messenger.Ask{
-		Request: name, Made: made, Class: q.class, Organisation: q.organisation, Prompt: q.prompt, Output: output,
-		Deadline: max(q.deadline-time.Since(q.started), 0), Waited: time.Since(q.started), Prefix: q.prefix,
+		Request: name, Made: made, Class: q.class, Organisation: q.organisation, Prompt: q.promptTokens, Output: output,
+		Deadline: max(q.deadline-time.Since(q.started), 0), Waited: time.Since(q.started), Prefix: q.prefixHash,
 		Exclude: exclude, Fixed: q.once || q.engine && q.stream && !q.resumable,
 	}
 }
 
-// estimate is the tokens a request is charged with before they are known.
-func (q *request) estimate() int {
+// estimatedTokens returns the tokens charged for a request before its actual number is
+// known.
+func (q *request) estimatedTokens() int {
 	if !q.engine {
 		return 0
 	}
-	if q.output == 0 {
-		return q.prompt + outputGuess
+	if q.maxOutput == 0 {
+		return q.promptTokens + defaultOutputTokens
 	}
-	return q.prompt + q.output
+	return q.promptTokens + q.maxOutput
 }
 
-// used is the tokens a request turned out to cost.
-func (q *request) used(d *delivery) int {
+// usedTokens returns the tokens that a request actually used.
+func (q *request) usedTokens(d *delivery) int {
 	if !q.engine || d.total() == 0 {
 		return 0
 	}
-	return q.prompt + d.total()
+	return q.promptTokens + d.total()
 }
 
 func newID() string {
@@ -99,8 +100,8 @@
 	return forwarder.RequestIDPrefix + hex.EncodeToString(b[:])
 }
 
-// chooseClass is the route's class, or the one the header asks for where the
-// organisation may use it.
+// chooseClass sets the class to the one requested in the header if the organisation may
+// use it, or to the route's by default.
 func (q *request) chooseClass(f *loader.Folder, route loader.Route, asked string) *failure {
 	q.class = route.Class
 	if asked == "" {
@@ -111,16 +112,17 @@
 	if !known || !slices.Contains(allowed, asked) {
 		return &failure{status: http.StatusForbidden, code: "class_not_allowed", message: fmt.Sprintf("class %q is not one of this organisation's: %s", asked, strings.Join(allowed, ", ")), run: RunNo}
 	}
-	// A name from a header goes no further until it is known: it labels metrics.
+	// An unknown name from a header must not be used further: it would become a metric
+	// label.
 	q.class = asked
 	q.tier = class.Tier
 	q.once = route.Once
-	q.first, q.deadline = class.First.Std(), class.Whole.Std()
+	q.firstByteTarget, q.deadline = class.First.Std(), class.Whole.Std()
 	return nil
 }
 
-// takeDeadline shortens or lengthens the class's deadline by the header's.
-func (q *request) takeDeadline(header string) *failure {
+// parseDeadline replaces the class's deadline by the one in the header, if any.
+func (q *request) parseDeadline(header string) *failure {
 	if header == "" {
 		return nil
 	}
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// completion is what the router reads of an OpenAI request body.
+// completion holds the fields that are read of an OpenAI request body.
 type completion struct {
 	Model       string          `json:"model"`
 	Stream      bool            `json:"stream"`
@@ -147,8 +149,8 @@
 	} `json:"stream_options"`
 }
 
-// takeCompletion reads an engine request's body and finds its service.
-func (q *request) takeCompletion(x *index, body []byte) (loader.Route, *failure) {
+// parseCompletion parses an engine request's body and finds its service.
+func (q *request) parseCompletion(x *index, body []byte) (loader.Route, *failure) {
 	bad := func(code, message string) (loader.Route, *failure) {
 		return loader.Route{}, &failure{status: http.StatusBadRequest, code: code, message: message, run: RunNo}
 	}
@@ -164,32 +166,34 @@
 	}
 	text := append(slices.Clone(c.Messages), c.Prompt...)
 	q.engine, q.body, q.stream, q.usage = true, body, c.Stream, c.Options.Usage
-	q.prompt = 1 + len(text)/bytesPerToken
-	q.output = max(c.MaxTokens, c.MaxComplete)
-	q.prefix = xxhash.Sum64String(q.organisation + "\x00" + string(text[:min(len(text), prefixLength)]))
+	q.promptTokens = 1 + len(text)/bytesPerToken
+	q.maxOutput = max(c.MaxTokens, c.MaxComplete)
+	q.prefixHash = xxhash.Sum64String(q.organisation + "\x00" + string(text[:min(len(text), prefixBytes)]))
 	t, ok := x.models[c.Model]
 	if !ok {
 		return loader.Route{}, &failure{status: http.StatusNotFound, code: "model_not_found", message: fmt.Sprintf("no model %q", c.Model), run: RunNo}
 	}
-	q.takeService(x.folder, t.service)
-	// Tokens of several choices come mixed: their number is no place to resume at.
+	q.setService(x.folder, t.service)
+	// Tokens of several choices are interleaved, so their number is not a position to
+	// resume at.
 	q.resumable = q.resumable && c.Choices <= 1
 	return t.route, nil
 }
 
-func (q *request) takeService(f *loader.Folder, name string) {
+func (q *request) setService(f *loader.Folder, name string) {
 	s := f.Services[name]
-	q.service, q.excluded, q.resumable = name, excluded(s), s.Resume
+	q.service, q.maxExcluded, q.resumable = name, maxExcluded(s), s.Resume
 }
 
-// resumeAt is a completion request for the rest of its answer, after tokens.
-func resumeAt(body []byte, tokens int) []byte {
+// withResume returns a completion request that asks for the answer after a number of
+// tokens.
+func withResume(body []byte, tokens int) []byte {
 	end := bytes.LastIndexByte(body, '}')
 	return fmt.Appendf(slices.Clone(body[:end]), `,"resume":%d}`, tokens)
 }
 
-// routeOf finds a plain service's route for a method and path.
-func routeOf(s loader.Service, method, path string) (loader.Route, bool) {
+// findRoute returns a plain service's route for a method and path.
+func findRoute(s loader.Service, method, path string) (loader.Route, bool) {
 	for _, r := range s.Routes {
 		if (r.Method == "" || r.Method == method) && strings.HasPrefix(path, r.Path) {
 			return r, true
--- a/server/caller_test.go
+++ b/server/request_test.go
@@ -19,30 +19,30 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-// strict is a server.Limiter that lets n requests in.
-type strict struct {
+// countingLimiter is a server.Limiter that admits a fixed number of requests.
+type countingLimiter struct {
 	mu      sync.Mutex
 	left    int
 	settled []int
 }
 
-func (l *strict) Admit(string, int, int) (time.Duration, bool) {
+func (l *countingLimiter) Admit(string, int, int) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.left--
 	return 10 * time.Second, l.left >= 0
 }
 
-func (l *strict) Settle(_ string, _, tokens int) {
+func (l *countingLimiter) Settle(_ string, _, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settled = append(l.settled, tokens)
 }
 
-var _ = Describe("a request that can't be taken", func() {
-	DescribeTable("is refused with a code, and not run",
+var _ = Describe("a request that is not accepted", func() {
+	DescribeTable("is refused with an error code, and not run",
 		func(change func(r *http.Request), status int, code string) {
-			s := stood(options{resume: true, limits: func(l *loader.Limits) { l.Body = 4096 }})
+			s := startFixture(options{resume: true, limits: func(l *loader.Limits) { l.Body = 4096 }})
 			r := s.request(context.Background(), "/v1/chat/completions", completionBody(true))
 			change(r)
 			g := s.send(r)
@@ -55,18 +55,18 @@
 		},
 		Entry("without a key", func(r *http.Request) { r.Header.Del("Authorization") }, 401, "invalid_api_key"),
 		Entry("with a wrong key", func(r *http.Request) { r.Header.Set("Authorization", "Bearer x") }, 401, "invalid_api_key"),
-		Entry("of a class that is not there", func(r *http.Request) { r.Header.Set("Cicadawood-Class", "vip") }, 403, "class_not_allowed"),
-		Entry("with a bad deadline", func(r *http.Request) { r.Header.Set("Cicadawood-Deadline", "-1") }, 400, "bad_deadline"),
+		Entry("of an unknown class", func(r *http.Request) { r.Header.Set("Cicadawood-Class", "vip") }, 403, "class_not_allowed"),
+		Entry("with an invalid deadline", func(r *http.Request) { r.Header.Set("Cicadawood-Deadline", "-1") }, 400, "bad_deadline"),
 		Entry("that is not JSON", body(`{"model":`), 400, "bad_json"),
 		Entry("without a prompt", body(`{"model":"lm"}`), 400, "no_prompt"),
-		Entry("of a model that is not there", body(`{"model":"x","prompt":"y"}`), 404, "model_not_found"),
-		Entry("that would resume by itself", body(`{"model":"lm","prompt":"y","resume":3}`), 400, "resume"),
+		Entry("of an unknown model", body(`{"model":"x","prompt":"y"}`), 404, "model_not_found"),
+		Entry("with a resume field of the caller's own", body(`{"model":"lm","prompt":"y","resume":3}`), 400, "resume"),
 		Entry("that is too large", body(strings.Repeat(" ", 5000)), 413, "body_too_large"),
 	)
 
-	It("is told when to come back by its limits", func() {
-		l := &strict{left: 1}
-		s := stood(options{limiter: l})
+	It("is refused over its limit, with a time to retry", func() {
+		l := &countingLimiter{left: 1}
+		s := startFixture(options{limiter: l})
 		Expect(s.stream().whole()).To(Succeed())
 		g := s.stream()
 		Expect(g.status).To(Equal(429))
@@ -75,7 +75,7 @@
 		Expect(g.header.Get("Cicadawood-Class")).To(Equal("chat"))
 		Expect(g.after).To(And(BeNumerically(">=", 10*time.Second), BeNumerically("<=", 15*time.Second)))
 		Expect(l.settled).To(HaveLen(1))
-		Expect(l.settled[0]).To(BeZero(), "the limit named by the caller was reached: the estimate was right")
+		Expect(l.settled[0]).To(BeZero(), "the answer reached the caller's maximum, so the estimate was exact")
 	})
 })
 
@@ -85,12 +85,12 @@
 	}
 }
 
-// A ferry arrives and every passenger chats. The host fills; a quote must still
-// get in, and trip plans are the first that don't.
+// Guards against low tiers filling a host: urgent requests must still be admitted, and
+// the lowest tier is refused first.
 var _ = Describe("a host that is nearly full", func() {
-	It("refuses the lowest tier first, and keeps places for the most urgent", func() {
-		s := stood(options{limits: func(l *loader.Limits) { l.Calls = 10 }})
-		s.places.hold = make(chan struct{})
+	It("refuses the lowest tier first, and reserves places for the most urgent", func() {
+		s := startFixture(options{limits: func(l *loader.Limits) { l.Calls = 10 }})
+		s.places.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		var callers sync.WaitGroup
 		begin := func(class string) {
@@ -120,9 +120,9 @@
 		Eventually(s.server.InFlight).Should(BeZero())
 	})
 
-	It("bounds the bytes that it holds", func() {
-		s := stood(options{limits: func(l *loader.Limits) { l.Buffer = 100 << 10 }})
-		s.places.hold = make(chan struct{})
+	It("limits the bytes that it buffers", func() {
+		s := startFixture(options{limits: func(l *loader.Limits) { l.Buffer = 100 << 10 }})
+		s.places.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		big := func() *http.Request { return s.request(ctx, "/services/desk/log", strings.Repeat("x", 60<<10)) }
 		var caller sync.WaitGroup
@@ -132,13 +132,13 @@
 		leave()
 		caller.Wait()
 		Eventually(s.server.InFlight).Should(BeZero())
-		close(s.places.hold)
+		close(s.places.gate)
 		ctx = context.Background()
-		Expect(s.send(big()).status).To(Equal(http.StatusOK), "and gives them back")
+		Expect(s.send(big()).status).To(Equal(http.StatusOK), "the memory was released")
 	})
 
-	It("bounds the connections that it keeps", func() {
-		s := stood(options{limits: func(l *loader.Limits) { l.Calls, l.Read = 4, loader.Duration(time.Minute) }})
+	It("limits the connections of callers", func() {
+		s := startFixture(options{limits: func(l *loader.Limits) { l.Calls, l.Read = 4, loader.Duration(time.Minute) }})
 		address := strings.TrimPrefix(s.url, "http://")
 		var open []net.Conn
 		for range 8 {
@@ -147,7 +147,7 @@
 			defer conn.Close()
 			open = append(open, conn)
 		}
-		for _, c := range open { // accepted in order: each is there before the next
+		for _, c := range open { // connections are accepted in order: each is established before the next
 			fmt.Fprint(c, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 			_, err := c.Read(make([]byte, 1))
 			Expect(err).NotTo(HaveOccurred())
@@ -157,15 +157,15 @@
 		defer last.Close()
 		_ = last.SetReadDeadline(time.Now().Add(20 * time.Second))
 		_, err = last.Read(make([]byte, 1))
-		Expect(err).To(Or(MatchError(io.EOF), MatchError(syscall.ECONNRESET)), "one too many is closed")
+		Expect(err).To(Or(MatchError(io.EOF), MatchError(syscall.ECONNRESET)), "a connection over the limit is closed")
 		_ = open[0].Close()
 		Eventually(func() bool { return s.stream().whole() == nil }).Should(BeTrue())
 	})
 
-	// A caller sends its head and half of its body, and then nothing: cut off, gone
-	// silent, or slow on purpose.
-	It("gives up a caller that does not send its request", Label(prover.Cell(prover.Received, prover.Silence), prover.Cell(prover.Received, prover.Slow), prover.Cell(prover.Received, prover.Freeze), prover.Cell(prover.Received, prover.CutOne)), func() {
-		s := stood(options{limits: func(l *loader.Limits) { l.Read = loader.Duration(silence) }})
+	// A caller sends its head and half of its body, and then nothing: disconnected,
+	// frozen, or slow on purpose.
+	It("gives up a caller that does not finish sending its request", Label(prover.Cell(prover.Received, prover.Silence), prover.Cell(prover.Received, prover.Slow), prover.Cell(prover.Received, prover.Freeze), prover.Cell(prover.Received, prover.CutOne)), func() {
+		s := startFixture(options{limits: func(l *loader.Limits) { l.Read = loader.Duration(silence) }})
 		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
@@ -179,12 +179,12 @@
 	})
 })
 
-var _ = Describe("an answer in one piece", func() {
-	// The application answers part of a fare quote and dies. Half a quote with a
-	// clean end would be taken for a whole one.
-	DescribeTable("that breaks off is tried elsewhere",
+var _ = Describe("an answer that is not streamed", func() {
+	// Guards against passing on part of an answer with a clean end, which a caller would
+	// take for the whole one: the application fails within its answer.
+	DescribeTable("is requested from another worker if it breaks",
 		func(fault faker.Fault) {
-			s := stood(options{})
+			s := startFixture(options{})
 			s.faults.Plan([]faker.Fault{fault})
 			g := s.send(s.request(context.Background(), "/services/desk/quotes", "{}"))
 			Expect(g.status).To(Equal(http.StatusOK))
@@ -193,15 +193,15 @@
 			Expect(s.places.asks).To(HaveLen(2))
 		},
 		Entry("before its head", faker.Fault{Kind: faker.Crash, At: faker.AtHead}),
-		Entry("half way", faker.Fault{Kind: faker.Crash, At: faker.AtEnd}),
+		Entry("inside its body", faker.Fault{Kind: faker.Crash, At: faker.AtEnd}),
 		Entry("short of its length", faker.Fault{Kind: faker.Short, At: faker.AtEnd}),
 		Entry("crossed", faker.Fault{Kind: faker.Crossed, At: faker.AtHead}),
 		Entry("refused", faker.Fault{Kind: faker.Refuse}),
 	)
 
-	DescribeTable("of a call that must not be repeated is told as it is",
+	DescribeTable("of a call that must not be repeated is reported as it ended",
 		func(fault faker.Fault, code, run string, ran, asks int) {
-			s := stood(options{})
+			s := startFixture(options{})
 			s.faults.Plan([]faker.Fault{fault})
 			g := s.send(s.request(context.Background(), "/services/desk/holds", "{}"))
 			Expect(g.code).To(Equal(code))
@@ -212,12 +212,12 @@
 		Entry("lost", faker.Fault{Kind: faker.Crash, At: faker.AtHead}, "answer_lost", "unknown", 1, 1),
 		Entry("cut", faker.Fault{Kind: faker.Crash, At: faker.AtEnd}, "answer_lost", "unknown", 1, 1),
 		Entry("crossed", faker.Fault{Kind: faker.Crossed, At: faker.AtHead}, "answer_lost", "unknown", 1, 1),
-		Entry("refused, so taken to another worker", faker.Fault{Kind: faker.Refuse}, "", "", 1, 2),
+		Entry("refused, so sent to another worker", faker.Fault{Kind: faker.Refuse}, "", "", 1, 2),
 	)
 
-	It("that is too large to hold is passed on, and reset where it breaks", func() {
-		s := stood(options{limits: func(l *loader.Limits) { l.Answer = 64 << 10 }})
-		large := func() got {
+	It("that is too large to buffer is passed on, and reset if it breaks", func() {
+		s := startFixture(options{limits: func(l *loader.Limits) { l.Answer = 64 << 10 }})
+		large := func() response {
 			return s.send(s.request(context.Background(), "/services/desk/log?size=1000000", ""))
 		}
 		g := large()
@@ -225,37 +225,37 @@
 		Expect(len(g.body)).To(BeNumerically(">", 1000000))
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtEnd}})
 		g = large()
-		Expect(g.broken).To(BeTrue(), "never a clean end")
-		Expect(s.places.asks).To(HaveLen(2), "nor a second time from its start")
+		Expect(g.broken).To(BeTrue(), "it must not end cleanly")
+		Expect(s.places.asks).To(HaveLen(2), "it must not be sent again from its start")
 	})
 
-	It("of no told length that is too large to hold is reset where it breaks", func() {
-		s := stood(options{limits: func(l *loader.Limits) { l.Answer = 16 }})
+	It("of unknown length that is too large to buffer is reset if it breaks", func() {
+		s := startFixture(options{limits: func(l *loader.Limits) { l.Answer = 16 }})
 		address, _ := rawWorker("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n64\r\n" + strings.Repeat("x", 100) + "\r\n")
 		s.places.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
 		g := s.send(s.request(context.Background(), "/services/desk/log", ""))
-		Expect(g.broken).To(BeTrue(), "a clean end would make half an answer a whole one")
+		Expect(g.broken).To(BeTrue(), "after a clean end, half an answer would look complete")
 	})
 
-	DescribeTable("by how it is framed",
+	DescribeTable("is checked for its framing",
 		func(method, answer string, status int) {
-			s := stood(options{})
+			s := startFixture(options{})
 			address, heads := rawWorker(answer)
 			s.places.workers = []loader.Worker{{Name: "old", Address: address, Slots: 1}}
 			r := s.request(context.Background(), "/services/desk/holds", "")
 			r.Method = method
 			Expect(s.send(r).status).To(Equal(status))
-			Expect(<-heads).NotTo(ContainSubstring(key), "the key is between the caller and the system")
+			Expect(<-heads).NotTo(ContainSubstring(key), "the caller's API key must not reach the backend server")
 		},
-		Entry("an end that can't be told from a cut is not passed", "POST", "HTTP/1.0 200 OK\r\n\r\n{\"fare\":1", http.StatusBadGateway),
-		Entry("a head without a body is whole", "HEAD", "HTTP/1.1 200 OK\r\n\r\n", http.StatusOK),
-		Entry("no content is whole", "POST", "HTTP/1.1 204 No Content\r\n\r\n", http.StatusNoContent),
-		Entry("chunks that end are whole", "POST", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", http.StatusOK),
-		Entry("chunks that don't end are not", "POST", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", http.StatusBadGateway),
+		Entry("an answer without framing is not passed on", "POST", "HTTP/1.0 200 OK\r\n\r\n{\"fare\":1", http.StatusBadGateway),
+		Entry("a head without a body is complete", "HEAD", "HTTP/1.1 200 OK\r\n\r\n", http.StatusOK),
+		Entry("no content is complete", "POST", "HTTP/1.1 204 No Content\r\n\r\n", http.StatusNoContent),
+		Entry("terminated chunks are complete", "POST", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", http.StatusOK),
+		Entry("unterminated chunks are incomplete", "POST", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n", http.StatusBadGateway),
 	)
 
-	It("of an engine is not asked for in a form that can't be read", func() {
-		s := stood(options{})
+	It("of an engine is not requested in a compressed form", func() {
+		s := startFixture(options{})
 		address, heads := rawWorker("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
 		s.places.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
 		r := s.request(context.Background(), "/v1/chat/completions", completionBody(false))
@@ -265,8 +265,8 @@
 	})
 })
 
-// rawWorker gives every call the same bytes for an answer, and closes. The
-// channel has the heads that it was sent.
+// rawWorker answers every call with the same bytes and closes the connection. The
+// channel receives the request heads.
 func rawWorker(answer string) (string, <-chan string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -289,37 +289,38 @@
 }
 
 var _ = Describe("a stream", func() {
-	It("that lacks only its end mark gets it", Label(prover.Cell(prover.Acked, prover.CutBoth)), func() {
-		s := stood(options{})
+	It("that lacks only its end marker is completed with it", Label(prover.Cell(prover.Acked, prover.CutBoth)), func() {
+		s := startFixture(options{})
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtMark}})
-		Expect(s.stream().whole()).To(Succeed(), "the engine said why it ends: nothing is missing")
+		Expect(s.stream().whole()).To(Succeed(), "the engine sent a finish reason: nothing is missing")
 		Expect(s.places.asks).To(HaveLen(1))
 	})
 
-	It("that ends cleanly before its end is not whole", func() {
-		s := stood(options{})
+	It("that ends cleanly but too early is not whole", func() {
+		s := startFixture(options{})
 		s.faults.Plan([]faker.Fault{{Kind: faker.Short, At: 5}})
 		g := s.stream()
-		Expect(g.marked()).To(Succeed())
-		Expect(g.exact(5)).To(Succeed())
+		Expect(g.markedBroken()).To(Succeed())
+		Expect(g.exactTokens(5)).To(Succeed())
 		Expect(g.code).To(Equal("answer_lost"))
 		Expect(g.run).To(Equal("unknown"))
 	})
 
-	// The settings say that engines resume, but this one begins again.
-	It("of an engine that can't resume is not doubled", func() {
-		s := stood(options{resume: true})
+	// Guards against a caller receiving tokens twice: the engine is configured as able
+	// to resume, but starts its answer from the beginning.
+	It("of an engine that can't resume contains no token twice", func() {
+		s := startFixture(options{resume: true})
 		s.engine[1].SetResume(false)
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: 5}})
 		Expect(s.stream().whole()).To(Succeed())
-		Expect(s.places.released).To(HaveLen(3), "the second engine began again and was left")
+		Expect(s.places.released).To(HaveLen(3), "the second engine started again and was given up")
 		Expect(s.places.released[1].Failed).To(BeTrue())
 	})
 
-	// All engines are down. Each request may be tried a few times, all together
-	// only as often as the budgets say.
+	// Guards against retries multiplying the load when all engines are down: each
+	// request may be tried a few times, but all together only within the retry budgets.
 	It("is not retried beyond the budgets", func() {
-		s := stood(options{resume: true})
+		s := startFixture(options{resume: true})
 		s.faults.Set(faker.Fault{Kind: faker.Refuse})
 		for range 40 {
 			g := s.stream()
@@ -327,6 +328,6 @@
 			Expect(g.run).To(Equal("no"))
 			Expect(g.after).To(BeNumerically(">=", time.Second))
 		}
-		Expect(len(s.places.asks)-40).To(BeNumerically("<=", 30+8+10), "burst, a fifth of the first tries, and the floor")
+		Expect(len(s.places.asks)-40).To(BeNumerically("<=", 30+8+10), "burst, a fifth of the first tries, and the minimum")
 	})
 })
--- a/server/serve.go
+++ b/server/serve.go
@@ -11,74 +11,75 @@
 	"github.com/cicadawood/cicadawood/forwarder"
 )
 
-// run is one request over all its tries.
-type run struct {
+// transaction is one request of a caller across all its tries. A try is one attempt on
+// one place.
+type transaction struct {
 	server   *Server
 	q        *request
 	delivery *delivery
 	call     forwarder.Call
 
-	tries   int  // that ended, preemptions aside
-	asks    int  // places asked for
-	ran     bool // a try may have run
-	exclude []string
-	kept    *keptAnswer
+	tries      int  // finished tries, not counting preempted ones
+	asks       int  // places requested
+	mayHaveRun bool // a try may have run the request
+	exclude    []string
+	stored     *storedAnswer
 }
 
-// keptAnswer is an answer that is passed only where no other try does better.
-type keptAnswer struct {
+// storedAnswer is an answer that is passed on only if no other try gives a better one.
+type storedAnswer struct {
 	answer *forwarder.Answer
 	body   []byte
 }
 
-func (r *run) keep(a *forwarder.Answer, body []byte) { r.kept = &keptAnswer{a, body} }
+func (r *transaction) store(a *forwarder.Answer, body []byte) { r.stored = &storedAnswer{a, body} }
 
-// serve gets the request places, one after the other, until the caller has its
-// whole answer or no further try may be made.
-func (r *run) serve(ctx context.Context) *failure {
+// serve tries the request on one place after another until the caller has its whole
+// answer or no further try is allowed.
+func (r *transaction) serve(ctx context.Context) *failure {
 	caller := ctx
 	ctx, cancel := context.WithTimeout(ctx, r.q.deadline)
 	defer cancel()
 	r.server.budgets.First(time.Now(), r.q.organisation, r.q.service, r.q.tier)
 	for {
-		if fail := r.server.heldBack(r.q); fail != nil {
-			return r.end(caller, ctx, fail)
+		if fail := r.server.quarantinedFailure(r.q); fail != nil {
+			return r.finalFailure(caller, ctx, fail)
 		}
 		ask := r.q.ask(r.asks, r.delivery.tokens, r.exclude)
 		r.asks++
-		place, err := r.server.places.Acquire(ctx, r.q.service, ask)
+		place, err := r.server.allocator.Acquire(ctx, r.q.service, ask)
 		if err != nil {
-			return r.end(caller, ctx, refused(err))
+			return r.finalFailure(caller, ctx, refusalFailure(err))
 		}
-		err = r.onPlace(ctx, place)
+		err = r.tryPlace(ctx, place)
 		if err == nil {
 			return nil
 		}
-		if ctx.Err() != nil || !r.again(err) {
-			return r.end(caller, ctx, broken(err))
+		if ctx.Err() != nil || !r.mayRetry(err) {
+			return r.finalFailure(caller, ctx, tryFailure(err))
 		}
-		if blames(err) && r.q.excluded > 0 {
+		if blamesWorker(err) && r.q.maxExcluded > 0 {
 			r.exclude = append(r.exclude, place.Worker.Name)
-			r.exclude = slices.Delete(r.exclude, 0, max(0, len(r.exclude)-r.q.excluded))
+			r.exclude = slices.Delete(r.exclude, 0, max(0, len(r.exclude)-r.q.maxExcluded))
 		}
 	}
 }
 
-// onPlace tries the request on one place, by a second connection where the
-// first went silent.
-func (r *run) onPlace(ctx context.Context, place Place) (err error) {
-	t := &try{run: r, place: place}
-	defer func() { r.server.places.Release(place, t.use(err)) }()
+// tryPlace tries the request on one place, with a second connection if the first goes
+// silent.
+func (r *transaction) tryPlace(ctx context.Context, place Place) (err error) {
+	t := &try{transaction: r, place: place}
+	defer func() { r.server.allocator.Release(place, t.usage(err)) }()
 	err = t.do(ctx)
-	if err != nil && ctx.Err() == nil && r.facts(err, false).next() == reconnect && r.pay(err) {
+	if err != nil && ctx.Err() == nil && r.facts(err, false).next() == reconnect && r.spendRetry(err) {
 		err = t.do(ctx)
 	}
 	return err
 }
 
-// again says whether another place may be tried after err.
-func (r *run) again(err error) bool {
-	r.server.log.Debug("try failed", zap.String("request", r.q.id), zap.String("cause", cause(err)), zap.Int("tokens", r.delivery.tokens), zap.Error(err))
+// mayRetry reports whether another place may be tried after err.
+func (r *transaction) mayRetry(err error) bool {
+	r.server.log.Debug("try failed", zap.String("request", r.q.id), zap.String("cause", causeLabel(err)), zap.Int("tokens", r.delivery.tokens), zap.Error(err))
 	preempted := errors.Is(err, errPreempted)
 	if !preempted {
 		r.tries++
@@ -87,45 +88,46 @@
 		return false
 	}
 	if preempted {
-		r.server.metrics.retry(r.q, r.delivery, cause(err))
+		r.server.metrics.observeRetry(r.q, r.delivery, causeLabel(err))
 		return true
 	}
-	return r.pay(err)
+	return r.spendRetry(err)
 }
 
-func (r *run) facts(err error, reconnected bool) facts {
-	return facts{once: r.q.once, passed: r.delivery.begun, resumable: r.resumable(), reconnected: reconnected, tries: r.tries, err: err}
+func (r *transaction) facts(err error, reconnected bool) facts {
+	return facts{once: r.q.once, headSent: r.delivery.headSent, resumable: r.resumable(), reconnected: reconnected, tries: r.tries, err: err}
 }
 
-// pay takes a retry out of the budgets.
-func (r *run) pay(err error) bool {
+// spendRetry takes a retry from the retry budgets, and reports whether they allow it.
+func (r *transaction) spendRetry(err error) bool {
 	if !r.server.budgets.Take(time.Now(), r.q.organisation, r.q.service, r.q.tier) {
-		r.server.metrics.denyRetry(r.q.class)
+		r.server.metrics.observeDeniedRetry(r.q.class)
 		return false
 	}
-	r.server.metrics.retry(r.q, r.delivery, cause(err))
+	r.server.metrics.observeRetry(r.q, r.delivery, causeLabel(err))
 	return true
 }
 
-// resumable says whether the rest of what the caller has can be had alone.
-func (r *run) resumable() bool {
-	return r.q.resumable && (!r.delivery.begun || r.delivery.stream)
+// resumable reports whether the answer can be continued after the part that the caller
+// has.
+func (r *transaction) resumable() bool {
+	return r.q.resumable && (!r.delivery.headSent || r.delivery.stream)
 }
 
-// end is the failure that a request ends with. It says that the request was not
-// run only where no try of it may have.
-func (r *run) end(caller, ctx context.Context, f *failure) *failure {
+// finalFailure returns the failure that a request ends with. It states that the request
+// was not run only if no try may have run it.
+func (r *transaction) finalFailure(caller, ctx context.Context, f *failure) *failure {
 	switch {
 	case caller.Err() != nil:
-		f = &failure{status: statusGone, code: codeGone, message: "the caller went away", run: RunUnknown}
+		f = &failure{status: statusGone, code: codeCallerGone, message: "the caller went away", run: RunUnknown}
 	case ctx.Err() != nil:
-		f = late()
+		f = deadlineFailure()
 	}
-	if r.ran {
+	if r.mayHaveRun {
 		f.run = RunUnknown
 	}
-	if k := r.kept; k != nil && !r.delivery.begun && ctx.Err() == nil {
-		if giveWhole(r.delivery, k.answer, k.body) == nil {
+	if k := r.stored; k != nil && !r.delivery.headSent && ctx.Err() == nil {
+		if writeWhole(r.delivery, k.answer, k.body) == nil {
 			return nil
 		}
 	}
--- a/server/stream.go
+++ b/server/stream.go
@@ -9,55 +9,55 @@
 	"github.com/cicadawood/cicadawood/forwarder"
 )
 
-// firstReport is how many tokens a stream brings before the dispatcher is told
-// of it; after that it is told at each doubling, so that a long answer costs
-// few messages.
-const firstReport = 128
+// firstReportTokens is the number of tokens after which a stream's progress is first
+// reported to the dispatcher. Later reports follow each time the number doubles, so that
+// a long answer costs few messages.
+const firstReportTokens = 128
 
 var doneEvent = []byte("data: [DONE]\n\n")
 
-// stream passes a completion on event by event. It returns nil only when the
-// caller has the whole answer: an event stream has no length, so a cut one ends
-// just like a whole one, but for its end mark.
-func (t *try) stream() error {
+// passStream passes a completion on event by event. It returns nil only if the caller
+// has the whole answer: an event stream has no length, so a truncated one differs from a
+// whole one only by its missing end marker.
+func (t *try) passStream() error {
 	d := t.delivery
-	if at := t.answer.Header.Get(forwarder.HeaderResumed); d.begun && at != strconv.Itoa(d.tokens) {
-		// An engine that can't resume would begin again and double what the
-		// caller has.
-		return fmt.Errorf("%w: at %q, not %d", errNoResume, at, d.tokens)
+	if at := t.answer.Header.Get(forwarder.HeaderResumed); d.headSent && at != strconv.Itoa(d.tokens) {
+		// An engine that can't resume starts again, which would repeat the tokens that
+		// the caller has.
+		return fmt.Errorf("%w: at %q, not %d", errNotResumed, at, d.tokens)
 	}
 	events, clean := t.answer.Events()
 	defer clean()
-	resumed := d.begun
+	resumed := d.headSent
 	for {
 		v, err := events.Next()
 		if err != nil {
-			return t.cut(err)
+			return t.finishCutStream(err)
 		}
 		if v.Failed {
-			return errEngine
+			return errEngineFailed
 		}
-		if resumed && t.repeats(v) {
+		if resumed && t.isRepeat(v) {
 			continue
 		}
-		if err := t.pass(v, events.Buffered()); err != nil || v.Done {
+		if err := t.passEvent(v, events.Buffered()); err != nil || v.Done {
 			return err
 		}
 	}
 }
 
-// repeats says that a resumed stream's event tells the caller nothing new: the
-// opening ones, and a second reason for the end.
-func (t *try) repeats(v forwarder.Event) bool {
+// isRepeat reports whether an event of a resumed stream repeats what the caller has: the
+// opening events, or the finish reason.
+func (t *try) isRepeat(v forwarder.Event) bool {
 	if v.Done || v.Tokens > 0 || v.Usage > 0 {
 		return false
 	}
 	return t.tokens == 0 && !v.Finished || t.delivery.finished
 }
 
-// cut is what became of a stream that ended without its end mark. Where only
-// the mark is missing, the answer is whole, and the caller gets the mark.
-func (t *try) cut(err error) error {
+// finishCutStream handles a stream that ended without its end marker. If only the marker
+// is missing, the answer is whole, and the caller is sent the marker.
+func (t *try) finishCutStream(err error) error {
 	d := t.delivery
 	if d.finished && (d.usage > 0 || !t.q.usage) {
 		if err := d.write(doneEvent); err != nil {
@@ -66,33 +66,33 @@
 		return d.flush()
 	}
 	if errors.Is(err, io.EOF) {
-		return errShort
+		return errTruncated
 	}
 	return err
 }
 
-// pass gives the caller one event.
-func (t *try) pass(v forwarder.Event, more bool) error {
+// passEvent writes one event to the caller.
+func (t *try) passEvent(v forwarder.Event, more bool) error {
 	d := t.delivery
-	if !d.begun {
+	if !d.headSent {
 		if err := t.commit(); err != nil {
 			return err
 		}
 		d.stream = true
-		d.head(t.answer, -1)
+		d.writeHead(t.answer, -1)
 	}
 	if err := d.write(v.Raw); err != nil {
 		return err
 	}
-	t.count(v)
+	t.countEvent(v)
 	if more && !v.Done {
-		return nil // the next event is here already: both go in one write
+		return nil // the next event is already buffered: both are sent in one write
 	}
 	return d.flush()
 }
 
-// count takes in what an event that was passed brought.
-func (t *try) count(v forwarder.Event) {
+// countEvent records the content of an event that was passed on.
+func (t *try) countEvent(v forwarder.Event) {
 	d := t.delivery
 	t.tokens += v.Tokens
 	d.tokens += v.Tokens
@@ -100,10 +100,10 @@
 	if v.Usage > 0 {
 		d.usage = v.Usage
 	}
-	if t.tokens > 0 && t.tokens >= t.report {
-		t.report = 2 * max(t.report, firstReport/2)
-		if t.tokens >= firstReport {
-			t.server.places.Progress(t.place, t.tokens)
+	if t.tokens > 0 && t.tokens >= t.nextReport {
+		t.nextReport = 2 * max(t.nextReport, firstReportTokens/2)
+		if t.tokens >= firstReportTokens {
+			t.server.allocator.Progress(t.place, t.tokens)
 		}
 	}
 }
--- a/server/tries.go
+++ b/server/tries.go
@@ -8,62 +8,62 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// triesMost is how often a request is tried, preemptions aside.
-const triesMost = 4
+// maxTries is the maximum number of tries of a request, not counting preempted ones.
+const maxTries = 4
 
-// Errors of a try, beside the forwarder's.
+// Errors of a try, in addition to the forwarder's.
 var (
-	errPreempted = errors.New("preempted")
-	errCaller    = errors.New("caller takes nothing more")
-	errShort     = errors.New("the stream ended before its end mark")
-	errEngine    = errors.New("the engine failed in the stream")
-	errBusy      = errors.New("the backend server answered that it can't")
-	errUnframed  = errors.New("the end of the answer can't be told from a cut")
-	errNoResume  = errors.New("the engine did not resume where it was asked to")
+	errPreempted    = errors.New("preempted")
+	errCallerWrite  = errors.New("writing to the caller failed")
+	errTruncated    = errors.New("the stream ended without its end marker")
+	errEngineFailed = errors.New("the engine reported an error in the stream")
+	errBusy         = errors.New("the backend server answered that it is busy")
+	errUnframed     = errors.New("the answer is unframed: a truncated body can't be detected")
+	errNotResumed   = errors.New("the engine did not resume at the requested token")
 )
 
-// step is what follows a try that failed.
+// step is the action after a failed try.
 type step int
 
 const (
 	giveUp    step = iota
-	reconnect      // the same place by a new connection
-	askAgain       // another place
+	reconnect      // same place, new connection
+	nextPlace
 )
 
-// facts is what a step is decided by.
+// facts are the inputs to the choice of a step.
 type facts struct {
 	once        bool // the call must not be repeated
-	passed      bool // part of the answer has reached the caller
-	resumable   bool // the rest of the answer can be had alone
-	reconnected bool // the place was tried by a new connection already
-	tries       int  // that ended
+	headSent    bool // the caller has part of the answer
+	resumable   bool // the answer can be continued after that part
+	reconnected bool // the place was already tried with a new connection
+	tries       int  // finished tries
 	err         error
 }
 
-// next decides what follows a failed try. A call that must not be repeated is
-// sent again only after a try that certainly did not run. Once part of an answer has reached the caller, only the rest
-// may follow: an answer from its start would double that part.
+// next returns the step after a failed try. A call that must not be repeated is sent
+// again only after a try that certainly did not run. Once the caller has part of an
+// answer, only the remaining part may follow: an answer from the start would repeat that
+// part.
 func (f facts) next() step {
 	switch {
-	case f.once && !errors.Is(f.err, forwarder.ErrNotRun), f.passed && !f.resumable, errors.Is(f.err, errCaller):
+	case f.once && !errors.Is(f.err, forwarder.ErrNotRun), f.headSent && !f.resumable, errors.Is(f.err, errCallerWrite):
 		return giveUp
 	case errors.Is(f.err, errPreempted):
-		return askAgain
-	case f.tries >= triesMost:
+		return nextPlace
+	case f.tries >= maxTries:
 		return giveUp
 	case errors.Is(f.err, forwarder.ErrSilent) && !f.reconnected:
-		// Something between the two ends may have lost track of the connection:
-		// that is no fault of the worker.
+		// A middlebox may have dropped the connection, which is no fault of the worker.
 		return reconnect
 	default:
-		return askAgain
+		return nextPlace
 	}
 }
 
-// blames says whether an error speaks against the worker.
-func blames(err error) bool {
-	for _, x := range []error{errPreempted, errCaller, forwarder.ErrStale, context.Canceled, context.DeadlineExceeded} {
+// blamesWorker reports whether an error is attributed to the worker.
+func blamesWorker(err error) bool {
+	for _, x := range []error{errPreempted, errCallerWrite, forwarder.ErrStale, context.Canceled, context.DeadlineExceeded} {
 		if errors.Is(err, x) {
 			return false
 		}
@@ -71,19 +71,19 @@
 	return err != nil
 }
 
-// cause names an error in metrics and logs.
-func cause(err error) string {
+// causeLabel returns the label of an error in metrics and logs.
+func causeLabel(err error) string {
 	for _, c := range []struct {
 		err  error
 		name string
 	}{
 		{errPreempted, "preempted"},
-		{errCaller, "caller"},
-		{errShort, "short"},
-		{errEngine, "engine"},
+		{errCallerWrite, "caller"},
+		{errTruncated, "short"},
+		{errEngineFailed, "engine"},
 		{errBusy, "busy"},
 		{errUnframed, "unframed"},
-		{errNoResume, "noresume"},
+		{errNotResumed, "noresume"},
 		{forwarder.ErrStale, "stale"},
 		{forwarder.ErrSilent, "silent"},
 		{forwarder.ErrMismatched, "crossed"},
@@ -98,12 +98,12 @@
 	return "cut"
 }
 
-// excluded is how many workers of a service a request may exclude, so that one
-// is left in the smallest of its cells.
-func excluded(s loader.Service) int {
+// maxExcluded returns how many workers of a service a request may exclude, so that at
+// least one is left in its smallest cell.
+func maxExcluded(s loader.Service) int {
 	n := len(s.Workers)
 	if n == 0 {
-		return 1 // the host list names them
+		return 1 // workers come from the host list
 	}
 	if s.Cell > 0 {
 		n /= (n + s.Cell - 1) / s.Cell
--- a/server/try.go
+++ b/server/try.go
@@ -10,60 +10,60 @@
 	"github.com/cicadawood/cicadawood/forwarder"
 )
 
-// patienceFactor is how many times its target for the first byte a try is given
-// before it is taken for silent.
-const patienceFactor = 4
+// firstByteFactor is the multiple of its first-byte target after which a try is
+// considered silent.
+const firstByteFactor = 4
 
-// try is one request on one place.
+// try is one attempt at a request on one place.
 type try struct {
-	*run
+	*transaction
 	place Place
 
-	call   forwarder.Call
-	answer *forwarder.Answer
-	sent   time.Time
-	first  time.Duration // to the answer's head
-	tokens int           // of this place
-	report int           // tokens at which the dispatcher is told next
-	ctx    context.Context
-	cancel context.CancelCauseFunc
+	call       forwarder.Call
+	answer     *forwarder.Answer
+	sent       time.Time
+	timeToHead time.Duration // time to the head of the answer
+	tokens     int           // received at this place
+	nextReport int           // number of tokens at which progress is reported next
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
 
 	mu        sync.Mutex
-	committed bool // preemption comes too late
+	committed bool // the try can no longer be preempted
 }
 
 // do sends the request to the place's worker and passes its answer on.
 func (t *try) do(ctx context.Context) error {
 	t.ctx, t.cancel = context.WithCancelCause(ctx)
 	defer t.cancel(nil)
-	t.watch(t.ctx)
-	t.call = t.run.call
-	t.call.Fence, t.call.FirstByteTimeout = t.place.Fence, t.patience(ctx)
-	if t.delivery.begun {
-		t.call.Body = resumeAt(t.call.Body, t.delivery.tokens)
+	t.watchPreemption(t.ctx)
+	t.call = t.transaction.call
+	t.call.Fence, t.call.FirstByteTimeout = t.place.Fence, t.firstByteTimeout(ctx)
+	if t.delivery.headSent {
+		t.call.Body = withResume(t.call.Body, t.delivery.tokens)
 	}
 	t.sent = time.Now()
 	answer, err := t.server.forwarder.Do(t.ctx, t.place.Worker.Address, t.call)
 	if err != nil {
-		return t.failure(ctx, err)
+		return t.wrapError(ctx, err)
 	}
 	defer answer.Body.Close()
 	t.answer = answer
-	if t.first == 0 {
-		t.first = time.Since(t.sent)
+	if t.timeToHead == 0 {
+		t.timeToHead = time.Since(t.sent)
 	}
-	if err := t.reply(); err != nil {
-		return t.failure(ctx, err)
+	if err := t.passAnswer(); err != nil {
+		return t.wrapError(ctx, err)
 	}
 	answer.Drain()
 	return nil
 }
 
-// failure is an error of this try, told apart from an end that was put to it
-// here. Whatever it is but ErrNotRun, the request may have run.
-func (t *try) failure(ctx context.Context, err error) error {
+// wrapError returns the reason why this host cancelled the try, if it did, or else
+// err. With any error but ErrNotRun, it notes that the request may have run.
+func (t *try) wrapError(ctx context.Context, err error) error {
 	if !errors.Is(err, forwarder.ErrNotRun) {
-		t.ran = true
+		t.mayHaveRun = true
 	}
 	switch {
 	case ctx.Err() != nil:
@@ -74,37 +74,37 @@
 	return err
 }
 
-// use is what the try used of its place. A worker that let the deadline pass
-// without a sign is blamed.
-func (t *try) use(err error) Usage {
+// usage returns what the try used of its place. A worker that sent nothing before the
+// deadline is considered failed.
+func (t *try) usage(err error) Usage {
 	u := Usage{
-		Tokens: t.tokens, FirstByte: t.first, Failed: blames(err),
+		Tokens: t.tokens, FirstByte: t.timeToHead, Failed: blamesWorker(err),
 		Fingerprint: t.q.fingerprint, ClosedByPeer: errors.Is(err, forwarder.ErrClosedByPeer), Took: time.Since(t.sent),
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		u.Failed = t.first == 0
+		u.Failed = t.timeToHead == 0
 	}
 	return u
 }
 
-// patience bounds the time to the first byte: by the class's target, and by
-// half of what is left, so that another try can follow. A call that is not
-// tried again, and an answer that comes only when all of it is there, have the
-// whole time.
-func (t *try) patience(ctx context.Context) time.Duration {
+// firstByteTimeout returns the maximum time to the first byte: a multiple of the class's
+// target, and at most half of the remaining time, to leave time for another try. Calls
+// that are not tried again, and engine answers that are not streamed, may use the whole
+// time; for them it returns 0.
+func (t *try) firstByteTimeout(ctx context.Context) time.Duration {
 	until, ok := ctx.Deadline()
 	if !ok || t.q.once || (t.q.engine && !t.q.stream) {
 		return 0
 	}
 	bound := time.Until(until) / 2
-	if t.q.first > 0 {
-		bound = min(bound, patienceFactor*t.q.first)
+	if t.q.firstByteTarget > 0 {
+		bound = min(bound, firstByteFactor*t.q.firstByteTarget)
 	}
 	return max(bound, time.Millisecond)
 }
 
-// watch cancels the try when its place is preempted.
-func (t *try) watch(ctx context.Context) {
+// watchPreemption cancels the try when its place is preempted.
+func (t *try) watchPreemption(ctx context.Context) {
 	if t.place.Preempted == nil || t.q.once {
 		return
 	}
@@ -121,11 +121,11 @@
 	}()
 }
 
-// commit comes before the first byte of an answer is passed. From there on a
-// request that can't be resumed is no longer preempted: cancelling it would
-// leave the caller with part of an answer.
+// commit is called before the first byte of an answer is passed on. Afterwards, a
+// request that can't be resumed is no longer preempted: cancelling it would leave the
+// caller with part of an answer.
 func (t *try) commit() error {
-	if t.resumable() && isEvents(t.answer) {
+	if t.resumable() && isEventStream(t.answer) {
 		return nil
 	}
 	t.mu.Lock()
--- a/server/whole.go
+++ b/server/whole.go
@@ -11,85 +11,86 @@
 	"github.com/cicadawood/cicadawood/forwarder"
 )
 
-const copyBuffer = 32 << 10
+const copyBufferBytes = 32 << 10
 
-var copyBuffers = sync.Pool{New: func() any { return new([copyBuffer]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// isEvents says that an answer is an event stream.
-func isEvents(a *forwarder.Answer) bool {
+// isEventStream reports whether an answer is an event stream.
+func isEventStream(a *forwarder.Answer) bool {
 	return strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// reply passes the answer to the caller. It returns nil only when the caller
-// has it whole.
-func (t *try) reply() error {
+// passAnswer passes the answer on. It returns nil only if the caller has the whole
+// answer.
+func (t *try) passAnswer() error {
 	switch {
-	case isEvents(t.answer) && t.q.engine:
-		return t.stream()
-	case t.delivery.begun:
-		return errNoResume
-	case isEvents(t.answer):
-		return t.through(nil)
+	case isEventStream(t.answer) && t.q.engine:
+		return t.passStream()
+	case t.delivery.headSent:
+		return errNotResumed
+	case isEventStream(t.answer):
+		return t.passThrough(nil)
 	default:
-		return t.whole()
+		return t.passWhole()
 	}
 }
 
-// whole reads an answer to its end before it passes any of it, so that a broken
-// one never reaches the caller as if it were whole, and can be tried again. An
-// answer too large to be held is passed on as it comes.
-func (t *try) whole() error {
+// passWhole reads an answer to its end before passing any of it on, so that the caller
+// never receives a truncated answer as if it were complete, and the request can be tried
+// again. An answer too large to buffer is passed on as it arrives.
+func (t *try) passWhole() error {
 	if !t.answer.Framed {
 		return fmt.Errorf("%w: %w", forwarder.ErrUnknown, errUnframed)
 	}
-	h := hold{memory: &t.server.memory}
+	h := reservation{memory: &t.server.memory}
 	defer h.release()
 	length := t.answer.Length
 	if t.call.Method == http.MethodHead {
 		length = 0
 	}
 	body, err := h.readAll(t.answer.Body, length, t.server.limits.Answer)
-	if errors.Is(err, errTooLarge) || errors.Is(err, errFull) {
-		return t.through(body)
+	if errors.Is(err, errTooLarge) || errors.Is(err, errMemoryFull) {
+		return t.passThrough(body)
 	}
 	if err == nil {
-		err = t.check(body)
+		err = t.checkCompletion(body)
 	}
 	if err != nil {
 		return err
 	}
 	if isBusy(t.answer.Status) && !t.q.once {
-		t.keep(t.answer, body)
+		t.store(t.answer, body)
 		return errBusy
 	}
-	return t.give(t.answer, body)
+	return t.commitWhole(t.answer, body)
 }
 
-// give passes an answer that is whole.
-func (t *try) give(a *forwarder.Answer, body []byte) error {
+// commitWhole commits the try and passes a complete answer on.
+func (t *try) commitWhole(a *forwarder.Answer, body []byte) error {
 	if err := t.commit(); err != nil {
 		return err
 	}
-	return giveWhole(t.delivery, a, body)
+	return writeWhole(t.delivery, a, body)
 }
 
-func giveWhole(d *delivery, a *forwarder.Answer, body []byte) error {
+func writeWhole(d *delivery, a *forwarder.Answer, body []byte) error {
 	length := int64(len(body))
 	switch {
 	case a.Status == http.StatusNoContent || a.Status == http.StatusNotModified:
 		length = -1
 	case length == 0:
-		length = a.Length // of a HEAD
+		length = a.Length // of a HEAD request
 	}
-	d.head(a, length)
+	d.writeHead(a, length)
 	if len(body) == 0 {
 		return nil
 	}
 	return d.write(body)
 }
 
-// check looks whether an engine's answer is one, and of this request.
-func (t *try) check(body []byte) error {
+// checkCompletion checks that an engine's answer is a completion, and belongs to this
+// request.
+func (t *try) checkCompletion(body []byte) error {
 	if !t.q.engine || t.answer.Status != http.StatusOK {
 		return nil
 	}
@@ -98,8 +99,8 @@
 	return err
 }
 
-// isBusy says that a backend server's status speaks of itself rather than of
-// the request: another may do better.
+// isBusy reports whether a status describes the state of the backend server rather than
+// the request: another server may succeed.
 func isBusy(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -108,18 +109,18 @@
 	return false
 }
 
-// through passes an answer on as it comes, after the part that was read. One
-// that breaks is aborted by its caller: see delivery.fail.
-func (t *try) through(read []byte) error {
+// passThrough passes an answer on as it arrives, after the part already read. If it
+// breaks, delivery.fail has it aborted.
+func (t *try) passThrough(read []byte) error {
 	if err := t.commit(); err != nil {
 		return err
 	}
 	d := t.delivery
-	d.head(t.answer, t.answer.Length)
+	d.writeHead(t.answer, t.answer.Length)
 	if err := d.write(read); err != nil {
 		return err
 	}
-	buf := copyBuffers.Get().(*[copyBuffer]byte)
+	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buf)
 	for {
 		n, err := t.answer.Body.Read(buf[:])
