--- a/cmd/oncebench/takeover.go
+++ b/cmd/oncebench/takeover.go
@@ -58,20 +58,20 @@
 func fullLog() (keeper.Head, [][]byte, error) {
 	h := keeper.Head{Epoch: 1}
 	var stored [][]byte
-	var entries []*keeper.Entry
+	var entries []*keeper.Record
 	for i := range recordsKept {
 		var id keeper.ID
 		binary.BigEndian.PutUint64(id[:], uint64(i)*0x9e3779b97f4a7c15)
 		answer := &keeper.Answer{Status: 200, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: make([]byte, answerSize)}
-		entries = append(entries, &keeper.Entry{ID: id, At: int64(i + 1), State: keeper.Ran, Answer: answer})
+		entries = append(entries, &keeper.Record{ID: id, At: int64(i + 1), State: keeper.Ran, Answer: answer})
 		if len(entries) < segmentLength {
 			continue
 		}
-		value, err := keeper.EncodeEntries(entries)
+		value, err := keeper.EncodeRecords(entries)
 		if err != nil {
 			return h, nil, err
 		}
-		h.Segments = append(h.Segments, keeper.Segment{Epoch: 1, Sequence: uint64(len(stored) + 1), Newest: int64(i + 1), Size: len(value), Level: 9})
+		h.Segments = append(h.Segments, keeper.Segment{Epoch: 1, Sequence: uint64(len(stored) + 1), NewestAt: int64(i + 1), Size: len(value), Level: 9})
 		stored, entries = append(stored, value), nil
 	}
 	return h, stored, nil
@@ -80,18 +80,18 @@
 // open gives a new keeper the log, as its adapter does.
 func open(h keeper.Head, stored [][]byte) (*keeper.Keeper, error) {
 	k, now := keeper.New("host", 2, keeper.Settings{}), time.Unix(1_800_000_000, 0)
-	k.Handle(now, keeper.Asked{Call: keeper.Call{Request: "first", Deadline: now.Add(time.Second)}})
+	k.Handle(now, keeper.CallReceived{Call: keeper.Call{Request: "first", Deadline: now.Add(time.Second)}})
 	var seal keeper.Output
 	for _, o := range k.Handle(now, keeper.HeadRead{Head: h, Version: 1, Result: keeper.Done}) {
 		seal = o
 	}
-	k.Handle(now, keeper.Wrote{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
+	k.Handle(now, keeper.HeadWritten{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
 	for i, s := range h.Segments {
-		entries, err := keeper.DecodeEntries(stored[i])
+		entries, err := keeper.DecodeRecords(stored[i])
 		if err != nil {
 			return nil, err
 		}
-		k.Handle(now, keeper.SegmentRead{Segment: s, Entries: entries, Result: keeper.Done})
+		k.Handle(now, keeper.SegmentRead{Segment: s, Records: entries, Result: keeper.Done})
 	}
 	if s := k.Summary(); !s.Ready || s.Records != recordsKept {
 		return nil, fmt.Errorf("not open: %+v", s)
--- a/placer/load_test.go
+++ b/placer/load_test.go
@@ -147,7 +147,7 @@
 			return all, read
 		}
 		with, read := served("counted", func(*placer.View) {})
-		without, more := served("not counted", (*placer.View).EvictFreely)
+		without, more := served("not counted", (*placer.View).IgnoreEvictions)
 		Expect(read).To(BeNumerically("<", more))
 		Expect(with.inTime).To(BeNumerically(">", without.inTime))
 		Expect(with.refused).To(BeNumerically("<", without.refused))
@@ -178,7 +178,7 @@
 }
 
 func small(name string) placer.Worker {
-	return placer.Worker{Name: name, Service: "lm", Zone: "z", Slots: 24, Memory: 261_920, Event: 5}
+	return placer.Worker{Name: name, Service: "lm", Zone: "z", Slots: 24, CacheTokens: 261_920, EventTokens: 5}
 }
 
 // Many hosts place at once, and each sees what the others sent only after a while.
--- a/router/port.go
+++ b/router/port.go
@@ -110,7 +110,7 @@
 type Placer interface {
 	// Place chooses a worker. It returns a Refused, or the error of ctx. again reports
 	// whether the request was already sent to a worker.
-	Place(ctx context.Context, a placer.Ask, again bool) (Placement, error)
+	Place(ctx context.Context, a placer.Request, again bool) (Placement, error)
 	// Started reports that the first event of a stream, or a whole answer, was received,
 	// and how long after the request was sent.
 	Started(p Placement, took time.Duration)
--- a/router/router.go
+++ b/router/router.go
@@ -74,7 +74,7 @@
 	header       http.Header
 	body         []byte
 	fingerprint  quarantiner.Fingerprint // identifies the content of the request, independent of its ID
-	ask          placer.Ask
+	ask          placer.Request
 }
 
 // ServeHTTP implements http.Handler.
@@ -199,7 +199,7 @@
 	if f := r.readBody(q, w, req); f != nil {
 		return f
 	}
-	q.fingerprint = quarantiner.Of(q.organisation, q.method, q.uri, q.body)
+	q.fingerprint = quarantiner.FingerprintOf(q.organisation, q.method, q.uri, q.body)
 	q.service = q.target.pickService(rand.Float64())
 	q.ask = r.ask(q)
 	return nil
@@ -276,8 +276,8 @@
 }
 
 // ask returns the request as seen by the placer.
-func (r *Router) ask(q *request) placer.Ask {
-	a := placer.Ask{
+func (r *Router) ask(q *request) placer.Request {
+	a := placer.Request{
 		Service: q.service, Prompt: q.Prompt, Output: q.MaxOutput, Rank: q.rank, Tier: q.Tier,
 		Target: q.First.Std(), Fingerprint: q.fingerprint,
 	}
@@ -288,7 +288,7 @@
 		a.Expected = a.Output // the remaining length of a resumed stream is unknown
 	}
 	if q.Stream {
-		a.Patience, a.Gap = patience(q.target), q.Gap.Std()
+		a.FirstEventTimeout, a.Gap = patience(q.target), q.Gap.Std()
 	}
 	h := xxhash.New()
 	_, _ = h.WriteString(q.Model) // never fails
--- a/router/trip.go
+++ b/router/trip.go
@@ -80,7 +80,7 @@
 			return t.notPlaced(caller, err)
 		}
 		if !sleep(ctx, place.Delay) {
-			t.router.Placer.Ended(place, placer.Dropped)
+			t.router.Placer.Ended(place, placer.Canceled)
 			return t.timedOut(caller)
 		}
 		t.sends++
@@ -204,15 +204,15 @@
 	case err == nil:
 		return placer.Answered
 	case caller.Err() != nil, errors.Is(err, errCallerWrite):
-		return placer.Dropped
+		return placer.Canceled
 	case errors.Is(err, errOtherWorker):
-		return placer.Misled
+		return placer.WrongWorker
 	case errors.Is(err, errNotRun):
 		return placer.Refused
 	case errors.Is(err, errWorkerFailed):
 		return placer.Errored
 	case errors.Is(err, connector.ErrClosedByPeer):
-		return placer.Ended
+		return placer.Disconnected
 	}
 	return placer.Broken
 }
@@ -253,7 +253,7 @@
 	header := t.q.header.Clone()
 	t.router.Dialect.WriteRequest(header, WorkerHead{
 		Worker: p.Worker.Name, TimeLeft: t.q.timeLeft(time.Now()), Organisation: t.q.organisation,
-		Engine: p.Worker.Memory > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), LastEventID: t.lastEventID, Source: p.Source,
+		Engine: p.Worker.CacheTokens > 0, Rank: t.q.rank, Ranks: t.q.index.ranks(), LastEventID: t.lastEventID, Source: p.Source,
 	})
 	answer, err := t.router.Pool.Do(ctx, p.Worker.Address, connector.Call{
 		Method: t.q.method, Target: t.q.uri, Host: t.q.host, Header: header, Body: t.q.body,
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -83,8 +83,8 @@
 
 func (k *keeping) settings() keeper.Settings {
 	return keeper.Settings{
-		Writes: k.limits.Writes, Operations: k.limits.Operations, Records: k.limits.Records,
-		Answers: k.limits.Answers, Answer: k.limits.Answer, Retention: k.limits.Retention.Std(), Laid: k.layout.Era,
+		WritesPerSecond: k.limits.Writes, MaxOperations: k.limits.Operations, MaxRecords: k.limits.Records,
+		AnswerCacheBytes: k.limits.Answers, MaxAnswerBytes: k.limits.Answer, Retention: k.limits.Retention.Std(), LayoutEra: k.layout.Era,
 	}
 }
 
@@ -122,9 +122,9 @@
 	switch m := m.(type) {
 	case messenger.Once:
 		k.asked(now, from, m)
-	case messenger.OnceGo:
+	case messenger.OnceReadyReply:
 		if p := k.keepers[m.Partition]; p != nil && len(m.ID) == len(keeper.ID{}) {
-			k.handle(now, p, keeper.Went{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
+			k.handle(now, p, keeper.ReadyAnswered{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
 		}
 	case messenger.OnceReady:
 		k.ready(now, from, m)
@@ -143,8 +143,8 @@
 	p := k.keeperOf(m.Partition)
 	deadline := now.Add(m.Ask.Deadline)
 	p.payloads[m.Request] = payload{message: m, until: deadline}
-	k.handle(now, p, keeper.Asked{Call: keeper.Call{
-		ID: keeper.ID(m.ID), Hash: [16]byte(m.Hash), Dated: m.Dated, Request: m.Request, From: from, Deadline: deadline,
+	k.handle(now, p, keeper.CallReceived{Call: keeper.Call{
+		ID: keeper.ID(m.ID), Hash: [16]byte(m.Hash), KeyTime: m.Dated, Request: m.Request, From: from, Deadline: deadline,
 	}})
 }
 
@@ -167,7 +167,7 @@
 		return true
 	}
 	p := k.keepers[m.Partition]
-	return p != nil && len(m.ID) == len(keeper.ID{}) && p.keeper.Holds(keeper.ID(m.ID))
+	return p != nil && len(m.ID) == len(keeper.ID{}) && p.keeper.InFlight(keeper.ID(m.ID))
 }
 
 // handle gives a keeper an input and does what it wants done, in order: an input
@@ -197,7 +197,7 @@
 	case keeper.Release:
 		k.release(now, p, o)
 	case keeper.Ready:
-		k.control.send(now, o.To, messenger.OnceReady{Request: o.Request, Partition: p.partition, ID: o.ID[:], Order: o.Epoch})
+		k.control.send(now, o.To, messenger.OnceReady{Request: o.Request, Partition: p.partition, ID: o.ID[:], Order: o.Order})
 	case keeper.Send:
 		k.send(now, p, o)
 	case keeper.Reply:
@@ -213,8 +213,8 @@
 	delete(p.payloads, o.Request)
 	k.metrics.verdict(v.Kind)
 	k.log.Info("once", zap.String("request", o.Request), zap.String("entry", o.To), zap.Int("partition", p.partition),
-		zap.String("verdict", v.Kind.String()), zap.String("reason", v.Reason), zap.Uint64("order", v.Epoch))
-	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, After: v.After, Order: v.Epoch}
+		zap.String("verdict", v.Kind.String()), zap.String("reason", v.Reason), zap.Uint64("order", v.Order))
+	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, After: v.RetryAfter, Order: v.Order}
 	if v.Answer != nil {
 		m.Status, m.Header, m.Body = v.Answer.Status, v.Answer.Header, v.Answer.Body
 	}
@@ -278,7 +278,7 @@
 	}
 	for _, p := range k.keepers {
 		s := p.keeper.Summary()
-		n += s.Operations + s.Doubts
+		n += s.Operations + s.Unconfirmed
 	}
 	return n
 }
--- a/server/request.go
+++ b/server/request.go
@@ -52,7 +52,7 @@
 // Fingerprint identifies the content of a call: calls that are the same to a backend
 // server have the same one. See quarantiner.Fingerprint.
 func Fingerprint(organisation, service, method, path string, body []byte) quarantiner.Fingerprint {
-	return quarantiner.Of(organisation, method, service+" "+path, body)
+	return quarantiner.FingerprintOf(organisation, method, service+" "+path, body)
 }
 
 // ask returns the request as sent to its dispatcher. Each place is requested under a
@@ -70,7 +70,7 @@
 	return messenger.Ask{
 		Request: name, Made: made, Class: q.class, Organisation: q.organisation, Prompt: q.promptTokens, Output: output,
 		Deadline: max(q.deadline-time.Since(q.started), 0), Waited: time.Since(q.started), Prefix: q.prefixHash,
-		Exclude: exclude, Fixed: q.once || q.engine && q.stream && !q.resumable,
+		Exclude: exclude, NonPreemptible: q.once || q.engine && q.stream && !q.resumable,
 	}
 }
 
