--- a/router/router.go
+++ b/router/router.go
@@ -74,7 +74,7 @@
 	header       http.Header
 	body         []byte
 	fingerprint  quarantiner.Fingerprint // identifies the content of the request, independent of its ID
-	ask          placer.Request
+	placement          placer.Request
 }
 
 // ServeHTTP implements http.Handler.
@@ -201,7 +201,7 @@
 	}
 	q.fingerprint = quarantiner.FingerprintOf(q.organisation, q.method, q.uri, q.body)
 	q.service = q.target.pickService(rand.Float64())
-	q.ask = r.ask(q)
+	q.placement = r.placementRequest(q)
 	return nil
 }
 
@@ -275,8 +275,8 @@
 	return nil
 }
 
-// ask returns the request as seen by the placer.
-func (r *Router) ask(q *request) placer.Request {
+// placementRequest returns the request as seen by the placer.
+func (r *Router) placementRequest(q *request) placer.Request {
 	a := placer.Request{
 		Service: q.service, Prompt: q.Prompt, Output: q.MaxOutput, Rank: q.rank, Tier: q.Tier,
 		Target: q.First.Std(), Fingerprint: q.fingerprint,
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -60,14 +60,14 @@
 	workers  []placer.Worker
 	pause    time.Duration
 	budget   int // maximum number of repeats
-	asks     []placer.Request
+	requests     []placer.Request
 	outcomes []placer.Outcome
 }
 
 func (p *listPlacer) Place(_ context.Context, a placer.Request, again bool) (router.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.asks = append(p.asks, a)
+	p.requests = append(p.requests, a)
 	if again {
 		if p.budget--; p.budget < 0 {
 			return router.Placement{}, router.Refused{Reason: "retry_budget", After: time.Second}
@@ -192,13 +192,13 @@
 			code, _, err := call(bg, path, "s")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(code).To(Equal(http.StatusOK))
-			Expect(place.asks[len(place.asks)-1].Service).To(Equal(service))
+			Expect(place.requests[len(place.requests)-1].Service).To(Equal(service))
 		}
 		count := map[string]int{}
 		for range 400 {
 			_, _, err := call(bg, "/split/x", "s")
 			Expect(err).NotTo(HaveOccurred())
-			count[place.asks[len(place.asks)-1].Service]++
+			count[place.requests[len(place.requests)-1].Service]++
 		}
 		Expect(count["x"]).To(BeNumerically("~", 360, 35))
 		Expect(count).NotTo(HaveKey("z"))
@@ -331,12 +331,12 @@
 		worker("w", events)
 		worker("w-2", events)
 		expected := func(header ...string) []int {
-			place.asks = nil
+			place.requests = nil
 			code, _, err := call(bg, "/flow/x", "s", header...)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(code).To(Equal(http.StatusOK))
 			var out []int
-			for _, a := range place.asks {
+			for _, a := range place.requests {
 				out = append(out, a.Expected)
 			}
 			return out
--- a/router/trip.go
+++ b/router/trip.go
@@ -71,11 +71,11 @@
 	ctx, cancel := t.q.withTimeout(caller)
 	defer cancel()
 	for {
-		t.q.ask.Left = t.q.timeLeft(time.Now())
+		t.q.placement.Left = t.q.timeLeft(time.Now())
 		if t.lastEventID != "" {
-			t.q.ask.Expected = 0 // the remaining length is unknown
+			t.q.placement.Expected = 0 // the remaining length is unknown
 		}
-		place, err := t.router.Placer.Place(ctx, t.q.ask, t.transmitted > 0)
+		place, err := t.router.Placer.Place(ctx, t.q.placement, t.transmitted > 0)
 		if err != nil {
 			return t.notPlaced(caller, err)
 		}
@@ -101,7 +101,7 @@
 		if final {
 			return f
 		}
-		t.q.ask.Exclude = append(t.q.ask.Exclude, place.Worker.Name)
+		t.q.placement.Exclude = append(t.q.placement.Exclude, place.Worker.Name)
 	}
 }
 
