--- a/server/once.go
+++ b/server/once.go
@@ -53,7 +53,7 @@
 	id := keeper.NewID(q.organisation, q.service, key)
 	hash := keeper.Hash([]byte(c.Method), []byte(c.Path), c.Body)
 	v, err := s.onceRunner.RunOnce(ctx, messenger.Once{
-		Request: q.id, ID: id[:], Hash: hash[:], Dated: keeper.KeyTimeOf(key), Service: q.service, Ask: q.ask(0, 0, nil), Tier: q.tier,
+		Request: q.id, ID: id[:], Hash: hash[:], KeyTime: keeper.KeyTimeOf(key), Service: q.service, Ask: q.ask(0, 0, nil), Tier: q.tier,
 		Method: c.Method, Path: c.Path, Header: c.Header, Body: c.Body,
 	})
 	if err != nil { // the caller disconnected; its call continues
@@ -108,7 +108,7 @@
 		f.status, f.code, f.run = http.StatusUnprocessableEntity, "key_reused", RunNo
 		f.message = "the key belongs to another call; this one was not run"
 	case keeper.KindNotRun, keeper.KindMoved:
-		f.status, f.run, f.retryAfter = http.StatusServiceUnavailable, RunNo, max(v.After, time.Millisecond)
+		f.status, f.run, f.retryAfter = http.StatusServiceUnavailable, RunNo, max(v.RetryAfter, time.Millisecond)
 		f.message = "the request was not run: " + v.Reason
 		if v.Reason == keeper.ReasonFuture {
 			f.status, f.retryAfter = http.StatusBadRequest, 0
@@ -121,8 +121,8 @@
 			f.status = http.StatusGatewayTimeout
 		}
 		f.message = "the call may have run: ask the service, do not repeat it"
-		if v.After > 0 { // the keeper can't read its log now, but will be able to later
-			f.status, f.retryAfter = http.StatusServiceUnavailable, v.After
+		if v.RetryAfter > 0 { // the keeper can't read its log now, but will be able to later
+			f.status, f.retryAfter = http.StatusServiceUnavailable, v.RetryAfter
 			f.message = "the call may have run before: ask again with the same key"
 		}
 	}
