--- a/router/port.go
+++ b/router/port.go
@@ -97,10 +97,10 @@
 
 // Refused is the error for a request that is placed on no worker for now.
 type Refused struct {
-	Reason    string
-	After     time.Duration
-	RefusedBy string       // host that refused the request; "" is this host
-	Basis     placer.Basis // figures that the decision was based on
+	Reason     string
+	RetryAfter time.Duration
+	RefusedBy  string       // host that refused the request; "" is this host
+	Basis      placer.Basis // figures that the decision was based on
 }
 
 // Error implements error.
--- a/router/router.go
+++ b/router/router.go
@@ -74,7 +74,7 @@
 	header       http.Header
 	body         []byte
 	fingerprint  quarantiner.Fingerprint // identifies the content of the request, independent of its ID
-	placement          placer.Request
+	placement    placer.Request
 }
 
 // ServeHTTP implements http.Handler.
@@ -288,7 +288,7 @@
 		a.Expected = a.Output // the remaining length of a resumed stream is unknown
 	}
 	if q.Stream {
-		a.FirstEventTimeout, a.Gap = patience(q.target), q.Gap.Std()
+		a.FirstEventTimeout, a.Gap = eventTimeout(q.target), q.Gap.Std()
 	}
 	h := xxhash.New()
 	_, _ = h.WriteString(q.Model) // never fails
@@ -300,18 +300,18 @@
 }
 
 const (
-	// A caller closes a stream without new events after the longest of minPatience,
-	// patienceFirstTargets times the route's target for the first event, and
-	// patienceGapTargets times its target for the gap between events. These values
+	// A caller closes a stream without new events after the longest of minEventTimeout,
+	// eventTimeoutFirstTargets times the route's target for the first event, and
+	// eventTimeoutGapTargets times its target for the gap between events. These values
 	// follow the behaviour of the users' callers.
-	minPatience          = 2 * time.Second
-	patienceFirstTargets = 4
-	patienceGapTargets   = 8
+	minEventTimeout          = 2 * time.Second
+	eventTimeoutFirstTargets = 4
+	eventTimeoutGapTargets   = 8
 )
 
-// patience returns how long a caller waits for a stream's next event.
-func patience(t target) time.Duration {
-	return max(minPatience, patienceFirstTargets*t.First.Std(), patienceGapTargets*t.Gap.Std())
+// eventTimeout returns how long a caller waits for a stream's next event.
+func eventTimeout(t target) time.Duration {
+	return max(minEventTimeout, eventTimeoutFirstTargets*t.First.Std(), eventTimeoutGapTargets*t.Gap.Std())
 }
 
 // timeLeft returns the time until the request's deadline.
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -60,7 +60,7 @@
 	workers  []placer.Worker
 	pause    time.Duration
 	budget   int // maximum number of repeats
-	requests     []placer.Request
+	requests []placer.Request
 	outcomes []placer.Outcome
 }
 
@@ -70,7 +70,7 @@
 	p.requests = append(p.requests, a)
 	if again {
 		if p.budget--; p.budget < 0 {
-			return router.Placement{}, router.Refused{Reason: "retry_budget", After: time.Second}
+			return router.Placement{}, router.Refused{Reason: "retry_budget", RetryAfter: time.Second}
 		}
 	}
 	for _, w := range p.workers {
@@ -78,7 +78,7 @@
 			return router.Placement{Worker: w, Delay: p.pause}, nil
 		}
 	}
-	return router.Placement{}, router.Refused{Reason: "no_workers", After: time.Second}
+	return router.Placement{}, router.Refused{Reason: "no_workers", RetryAfter: time.Second}
 }
 
 func (p *listPlacer) Started(router.Placement, time.Duration) {}
--- a/router/trip.go
+++ b/router/trip.go
@@ -147,7 +147,7 @@
 	if t.mayHaveRun {
 		return unanswered(true, codeAnswerLost, 0)
 	}
-	return unanswered(false, refused.Reason, refused.After)
+	return unanswered(false, refused.Reason, refused.RetryAfter)
 }
 
 // timedOut returns the response to a request whose caller has disconnected or whose
--- a/runner/allocator.go
+++ b/runner/allocator.go
@@ -38,7 +38,7 @@
 
 // stopping refuses what comes after the control goroutine has ended.
 func stopping() server.Refusal {
-	return server.Refusal{Reason: "host_stopping", After: time.Second}
+	return server.Refusal{Reason: "host_stopping", RetryAfter: time.Second}
 }
 
 // post gives the control goroutine an event; false where it has ended. Without
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -25,7 +25,7 @@
 func (c *control) ask(now time.Time, e placeAsked) {
 	cells := c.byService[e.service]
 	if len(cells) == 0 {
-		e.reply <- placeReply{refusal: &server.Refusal{Reason: "no_workers", After: time.Second}}
+		e.reply <- placeReply{refusal: &server.Refusal{Reason: "no_workers", RetryAfter: time.Second}}
 		return
 	}
 	e.ask.Cell = c.chooser.Choose(now, cells, e.ask.Class, rand.Uint64())
@@ -96,7 +96,7 @@
 		return
 	}
 	delete(c.calls, m.Request)
-	k.reply <- placeReply{refusal: &server.Refusal{Reason: m.Reason, After: m.RetryAfter}}
+	k.reply <- placeReply{refusal: &server.Refusal{Reason: m.Reason, RetryAfter: m.RetryAfter}}
 }
 
 func (c *control) preempted(m messenger.Preempt) {
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -193,7 +193,7 @@
 		return nil
 	}
 	if !w.Take(now, p.repeat, p.hosts) {
-		return &router.Refused{Reason: "retry_budget", After: time.Second}
+		return &router.Refused{Reason: "retry_budget", RetryAfter: time.Second}
 	}
 	return nil
 }
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -14,7 +14,7 @@
 func (p *choosing) Place(ctx context.Context, a placer.Request, again bool) (router.Placement, error) {
 	reply := make(chan workerReply, 1)
 	if !p.post(workerAsked{ask: a, again: again, reply: reply}) {
-		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
+		return router.Placement{}, router.Refused{Reason: "host_stopping", RetryAfter: time.Second}
 	}
 	select {
 	case r := <-reply:
@@ -27,7 +27,7 @@
 		go p.giveBack(reply)
 		return router.Placement{}, ctx.Err()
 	case <-p.ended:
-		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
+		return router.Placement{}, router.Refused{Reason: "host_stopping", RetryAfter: time.Second}
 	}
 }
 
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -242,7 +242,7 @@
 // refusedBy is the reply to a request that a view refused. Callers that were refused
 // together must not come back together.
 func refusedBy(host string, r placer.Refusal, b placer.Basis) workerReply {
-	return workerReply{refused: &router.Refused{Reason: r.Reason, After: retrier.Jitter(r.RetryAfter, rand.Float64()), RefusedBy: host, Basis: b}}
+	return workerReply{refused: &router.Refused{Reason: r.Reason, RetryAfter: retrier.Jitter(r.RetryAfter, rand.Float64()), RefusedBy: host, Basis: b}}
 }
 
 // basisOf is what another host refused a request by; one of an older version does not say.
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -62,7 +62,7 @@
 		u := keeper.Unplaced{ID: o.ID, Attempt: o.Attempt, Reason: keeper.ReasonCaller}
 		var r server.Refusal
 		if errors.As(err, &r) {
-			u.Reason, u.RetryAfter = r.Reason, r.After
+			u.Reason, u.RetryAfter = r.Reason, r.RetryAfter
 		}
 		k.later(p, u)
 	}()
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -105,8 +105,8 @@
 	q.held.Store(&held)
 }
 
-// Held implements server.Quarantine.
-func (q *quarantining) Held(f quarantiner.Fingerprint) (time.Duration, bool) {
+// Quarantined implements server.Quarantine.
+func (q *quarantining) Quarantined(f quarantiner.Fingerprint) (time.Duration, bool) {
 	held := q.held.Load()
 	if held == nil {
 		return 0, false
--- a/server/failure.go
+++ b/server/failure.go
@@ -98,7 +98,7 @@
 func refusalFailure(err error) *failure {
 	var r Refusal
 	if errors.As(err, &r) {
-		return &failure{status: http.StatusServiceUnavailable, code: r.Reason, message: "no backend server took the request: " + r.Reason, run: RunNo, retryAfter: r.After}
+		return &failure{status: http.StatusServiceUnavailable, code: r.Reason, message: "no backend server took the request: " + r.Reason, run: RunNo, retryAfter: r.RetryAfter}
 	}
 	return deadlineFailure()
 }
@@ -108,8 +108,8 @@
 	if s.quarantine == nil {
 		return nil
 	}
-	after, held := s.quarantine.Held(q.fingerprint)
-	if !held {
+	after, quarantined := s.quarantine.Quarantined(q.fingerprint)
+	if !quarantined {
 		return nil
 	}
 	return &failure{status: http.StatusServiceUnavailable, code: codeQuarantine, message: "the request ended the backend servers that ran it, and is held back", run: RunNo, retryAfter: after}
--- a/server/port.go
+++ b/server/port.go
@@ -17,8 +17,8 @@
 
 // Refusal is the error for a request that got no place and was not run.
 type Refusal struct {
-	Reason string
-	After  time.Duration // when the caller may retry
+	Reason     string
+	RetryAfter time.Duration // when the caller may retry
 }
 
 // Error implements error.
@@ -69,8 +69,8 @@
 // Quarantine holds the requests that are quarantined because the workers that ran them
 // ended.
 type Quarantine interface {
-	// Held reports whether a request is quarantined, and for how long.
-	Held(f quarantiner.Fingerprint) (time.Duration, bool)
+	// Quarantined reports whether a request is quarantined, and for how long.
+	Quarantined(f quarantiner.Fingerprint) (time.Duration, bool)
 }
 
 // Configuration is the port to the configuration in force.
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -115,7 +115,7 @@
 		if n == 0 {
 			return nil
 		}
-		return server.Refusal{Reason: "queue", After: 3 * time.Second}
+		return server.Refusal{Reason: "queue", RetryAfter: 3 * time.Second}
 	}
 	DescribeTable("is reported with a refusal",
 		func(plan []faker.Fault, refusal func(int) error, code, run string) {
@@ -129,7 +129,7 @@
 			Expect(g.after).To(BeNumerically(">=", 3*time.Second), "not before the stated time")
 			Expect(g.after).To(BeNumerically("<=", 4500*time.Millisecond), "plus jitter of up to half of it")
 		},
-		Entry("before any try", Label(prover.Cell(prover.Queued, prover.Slow)), nil, func(int) error { return server.Refusal{Reason: "queue", After: 3 * time.Second} }, "queue", "no"),
+		Entry("before any try", Label(prover.Cell(prover.Queued, prover.Slow)), nil, func(int) error { return server.Refusal{Reason: "queue", RetryAfter: 3 * time.Second} }, "queue", "no"),
 		Entry("after a try that was refused", []faker.Fault{{Kind: faker.Refuse}}, full, "queue", "no"),
 		Entry("after a try that crashed", []faker.Fault{{Kind: faker.Crash, At: faker.AtHead}}, full, "queue", "unknown"),
 		Entry("after part of the answer was passed on", []faker.Fault{{Kind: faker.Crash, At: 3}}, full, "queue", "unknown"),
