--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -12,189 +12,190 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// inputBacklog is how many inputs wait for the registrar; what comes on top is
-// dropped, as heartbeats and news are repeated.
-const inputBacklog = 1024
+// maxQueuedInputs is the capacity of the input queue. Messages that arrive while it is full
+// are dropped, because heartbeats and roster updates are repeated.
+const maxQueuedInputs = 1024
 
-// seekEvery is how often a host that knows nobody asks its settings' peers.
-const seekEvery = 2 * time.Second
+// askPeersInterval is how often a host that knows no other host asks its configured peers.
+const askPeersInterval = 2 * time.Second
 
-// Transport is the port to other hosts.
+// Transport sends messages to other hosts.
 type Transport interface {
 	Send(address string, m messenger.Message) error
-	// Renew makes the next Send to address use a new connection.
-	Renew(address string)
+	// Reconnect makes the next Send to address use a new connection.
+	Reconnect(address string)
 }
 
-// Config is what a Registrar is made with.
+// Config configures a Registrar.
 type Config struct {
-	Self      Record
-	Beat      time.Duration // between heartbeats
-	Lease     time.Duration // of this host's lease in the Object API
-	Store     storer.Store
-	Transport Transport
-	Log       *zap.Logger
-	// Peers is control addresses of other hosts: whom to ask for the roster while
-	// this host knows nobody, as when it starts while the platform is down.
+	Self              Record
+	HeartbeatInterval time.Duration
+	LeaseDuration     time.Duration // of this host's lease in the Object API
+	Store             storer.Store
+	Transport         Transport
+	Log               *zap.Logger
+	// Peers are the control addresses of other hosts, which are asked for the roster while
+	// this host knows no other host, such as when it starts while the store is down.
 	Peers []string
-	// Turn says whether this host is to watch the records: those that do pass on what
-	// they learn with their facts. Nil is always.
-	Turn func() bool
+	// ShouldWatch reports whether this host is to watch the records. Hosts that watch send
+	// what they learn to the others as roster updates. Nil means always.
+	ShouldWatch func() bool
 	// Notify is called with each new roster. It must not block for long.
 	Notify func(Roster)
 }
 
-// Counts is what a Registrar has seen so far.
+// Counts are a Registrar's statistics: hosts on the roster now, and events since the start.
 type Counts struct {
-	Alive      int    `json:"alive"`
-	Parted     int    `json:"parted"`
-	Suspicions uint64 `json:"suspicions"`
-	Deaths     uint64 `json:"deaths"` // concluded by this host
-	Rejoins    uint64 `json:"rejoins"`
+	Alive       int    `json:"alive"` // hosts on the roster, unreachable ones included
+	Unreachable int    `json:"parted"`
+	Suspicions  uint64 `json:"suspicions"`
+	Deaths      uint64 `json:"deaths"` // hosts that this host declared dead
+	Rejoins     uint64 `json:"rejoins"`
 }
 
-// Registrar runs Members: one goroutine owns them, others do the calls of the
-// Object API, so that a slow store never delays a heartbeat.
+// Registrar runs Members. One goroutine owns them; others call the Object API, so that a
+// slow store never delays a heartbeat.
 type Registrar struct {
 	config   Config
 	members  *Members
 	inputs   chan func(now time.Time) []Output
 	recorder *recorder
 	tasks    sync.WaitGroup
-	ended    chan struct{}
+	done     chan struct{}
 
-	mu       sync.Mutex
-	roster   Roster
-	doubting map[string]bool // by host
+	mu          sync.Mutex
+	roster      Roster
+	leaseChecks map[string]bool // lease checks in progress, by host
 
-	sought time.Time // when the peers of the settings were last asked
+	peersAsked time.Time // when the configured peers were last asked
 
 	suspicions, deaths, rejoins atomic.Uint64
 }
 
-// New returns a registrar that does nothing yet.
+// New returns a Registrar; Run starts it.
 func New(c Config) *Registrar {
 	r := &Registrar{
-		config: c, members: NewMembers(time.Now(), c.Self, c.Beat), inputs: make(chan func(time.Time) []Output, inputBacklog),
-		ended: make(chan struct{}), doubting: map[string]bool{},
+		config: c, members: NewMembers(time.Now(), c.Self, c.HeartbeatInterval), inputs: make(chan func(time.Time) []Output, maxQueuedInputs),
+		done: make(chan struct{}), leaseChecks: map[string]bool{},
 	}
-	r.recorder = newRecorder(c.Store, c.Self, c.Lease, c.Log)
+	r.recorder = newRecorder(c.Store, c.Self, c.LeaseDuration, c.Log)
 	return r
 }
 
-// Run keeps the roster until ctx ends, then takes this host off it.
+// Run maintains the roster until ctx ends, then removes this host from it.
 func (r *Registrar) Run(ctx context.Context) {
-	defer close(r.ended)
+	defer close(r.done)
 	inner, stop := context.WithCancel(ctx)
 	defer stop()
 	r.tasks.Go(func() { r.follow(inner) })
 	r.tasks.Go(func() { r.recorder.run(inner) })
-	r.act(inner, []Output{Changed{Roster: r.members.Roster()}})
-	ticker := time.NewTicker(r.config.Beat / TicksPerBeat)
+	r.execute(inner, []Output{RosterChanged{Roster: r.members.Roster()}})
+	ticker := time.NewTicker(r.config.HeartbeatInterval / TicksPerHeartbeat)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
-			r.seek()
-			r.act(inner, r.members.Tick(time.Now()))
+			r.askPeers()
+			r.execute(inner, r.members.Tick(time.Now()))
 		case in := <-r.inputs:
-			r.act(inner, in(time.Now()))
+			r.execute(inner, in(time.Now()))
 		}
 	}
-	r.act(inner, r.members.Left(time.Now()))
+	r.execute(inner, r.members.Shutdown(time.Now()))
 	stop()
 	r.tasks.Wait()
-	r.recorder.remove()
+	r.recorder.removeSelf()
 }
 
-// seek asks the peers of the settings while this host knows nobody else. The
-// fact goes first, so that the peer knows whom to answer.
-func (r *Registrar) seek() {
-	if len(r.Roster().hosts) > 1 || time.Since(r.sought) < seekEvery {
+// askPeers asks the configured peers for the roster while this host knows no other host.
+// Its own fact is sent first, so that the peer knows where to send the answer.
+func (r *Registrar) askPeers() {
+	if len(r.Roster().hosts) > 1 || time.Since(r.peersAsked) < askPeersInterval {
 		return
 	}
-	r.sought = time.Now()
+	r.peersAsked = time.Now()
 	for _, p := range r.config.Peers {
-		_ = r.config.Transport.Send(p, messenger.News{Facts: []messenger.Fact{factOf(r.members.Self())}})
+		_ = r.config.Transport.Send(p, messenger.RosterUpdate{Facts: []messenger.Fact{factOf(r.members.Self())}})
 		_ = r.config.Transport.Send(p, messenger.Sync{})
 	}
 }
 
 // Leave marks this host as leaving: it takes no new roles.
-func (r *Registrar) Leave() { r.post(r.membersLeave) }
+func (r *Registrar) Leave() { r.post(r.leave) }
 
-func (r *Registrar) membersLeave(now time.Time) []Output {
+func (r *Registrar) leave(now time.Time) []Output {
 	out := r.members.Leave(now)
-	r.recorder.write(r.members.Self())
+	r.recorder.setRecord(r.members.Self())
 	return out
 }
 
-// Restored takes that the store came back from an older copy of itself: this host's record
-// and lease are looked at soon, and written where they are lost.
-func (r *Registrar) Restored() { r.recorder.restore() }
+// StoreRestored reports that the store was restored from an older snapshot. This host's
+// record and lease are checked within restoreWindow and written again if they are lost.
+func (r *Registrar) StoreRestored() { r.recorder.scheduleRestore() }
 
-// Hear takes a message of another host. It says whether the message is one of
-// membership. It does not block.
-func (r *Registrar) Hear(from string, m messenger.Message) bool {
+// Receive handles a message of another host and reports whether it is one of membership.
+// It does not block.
+func (r *Registrar) Receive(from string, m messenger.Message) bool {
 	switch m.(type) {
-	case messenger.Beat, messenger.Probe, messenger.Suspect, messenger.Vouch, messenger.News, messenger.Sync:
+	case messenger.Heartbeat, messenger.Probe, messenger.Suspect, messenger.Refute, messenger.RosterUpdate, messenger.Sync:
 	default:
 		return false
 	}
 	select {
-	case r.inputs <- func(now time.Time) []Output { return r.members.Hear(now, from, m) }:
+	case r.inputs <- func(now time.Time) []Output { return r.members.Receive(now, from, m) }:
 	default:
 	}
 	return true
 }
 
-// Reach takes the messenger's outcome for an address. It waits for the
-// registrar, so that outcomes keep their order.
-func (r *Registrar) Reach(address string, reachable bool) {
+// SetReachable reports whether the messenger could reach an address. It blocks until the
+// registrar accepts the input, so that successive results stay in order.
+func (r *Registrar) SetReachable(address string, reachable bool) {
 	for _, h := range r.Roster().hosts {
 		if h.Control == address {
-			r.post(func(now time.Time) []Output { return r.members.Reach(now, h.Name, reachable) })
+			r.post(func(now time.Time) []Output { return r.members.SetReachable(now, h.Name, reachable) })
 		}
 	}
 }
 
-// Roster is the present roster.
+// Roster returns the current roster.
 func (r *Registrar) Roster() Roster {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.roster
 }
 
-// Counts is what the registrar has seen so far.
+// Counts returns the current statistics.
 func (r *Registrar) Counts() Counts {
 	c := Counts{Suspicions: r.suspicions.Load(), Deaths: r.deaths.Load(), Rejoins: r.rejoins.Load()}
 	for _, h := range r.Roster().hosts {
 		c.Alive++
-		if h.Parted {
-			c.Parted++
+		if h.Unreachable {
+			c.Unreachable++
 		}
 	}
 	return c
 }
 
+// post queues an input. It blocks while the queue is full, unless Run has returned.
 func (r *Registrar) post(in func(time.Time) []Output) {
 	select {
 	case r.inputs <- in:
-	case <-r.ended:
+	case <-r.done:
 	}
 }
 
-// act does what was decided.
-func (r *Registrar) act(ctx context.Context, out []Output) {
+// execute carries out the outputs of the members.
+func (r *Registrar) execute(ctx context.Context, out []Output) {
 	for _, o := range out {
 		switch o := o.(type) {
 		case Send:
-			if o.Fresh {
-				r.config.Transport.Renew(o.To.Control)
+			if o.NewConnection {
+				r.config.Transport.Reconnect(o.To.Control)
 			}
-			_ = r.config.Transport.Send(o.To.Control, o.Message) // a full queue is counted there
-		case Changed:
+			_ = r.config.Transport.Send(o.To.Control, o.Message) // a message dropped because of a full queue is counted by the transport
+		case RosterChanged:
 			r.mu.Lock()
 			r.roster = o.Roster
 			r.mu.Unlock()
@@ -202,44 +203,45 @@
 		case Suspected:
 			r.suspicions.Add(1)
 			r.config.Log.Info("suspect", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-		case Doubted:
-			r.doubted(ctx, o.Host)
-		case Died:
+		case CheckLease:
+			r.checkLease(ctx, o.Host)
+		case DeclaredDead:
 			r.deaths.Add(1)
 			r.config.Log.Warn("dead", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-			r.recorder.bury(o.Host)
-		case Succeeded:
+			r.recorder.queueDead(o.Host)
+		case PredecessorFound:
 			r.config.Log.Info("succeeded", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-			r.recorder.succeed(o.Host.Name)
-		case Returned:
+			r.recorder.queuePredecessor(o.Host.Name)
+		case StaleRecord:
 			r.config.Log.Info("record of a host that is gone is back", zap.String("peer", o.Host.Name), zap.Uint64("incarnation", o.Host.Incarnation))
-			r.recorder.bury(o.Host)
+			r.recorder.queueDead(o.Host)
 		case Rejoined:
 			r.rejoins.Add(1)
 			r.config.Log.Warn("rejoined", zap.Uint64("incarnation", o.Self.Incarnation))
-			r.recorder.write(o.Self)
+			r.recorder.setRecord(o.Self)
 		case Superseded:
 			r.config.Log.Error("superseded", zap.Uint64("incarnation", o.Self.Incarnation))
-			r.recorder.write(Record{})
+			r.recorder.setRecord(Record{})
 		}
 	}
 }
 
-// doubted checks a suspect's lease, once at a time.
-func (r *Registrar) doubted(ctx context.Context, h Record) {
+// checkLease checks the lease of a suspected host, with at most one check per host at a
+// time.
+func (r *Registrar) checkLease(ctx context.Context, h Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.doubting[h.Name] {
+	if r.leaseChecks[h.Name] {
 		return
 	}
-	r.doubting[h.Name] = true
+	r.leaseChecks[h.Name] = true
 	r.tasks.Go(func() {
-		lapsed := r.recorder.lapsed(ctx, h.Name)
+		expired := r.recorder.leaseExpired(ctx, h.Name)
 		r.mu.Lock()
-		delete(r.doubting, h.Name)
+		delete(r.leaseChecks, h.Name)
 		r.mu.Unlock()
-		if lapsed {
-			r.post(func(now time.Time) []Output { return r.members.Lapsed(now, h.Name, h.Incarnation) })
+		if expired {
+			r.post(func(now time.Time) []Output { return r.members.LeaseExpired(now, h.Name, h.Incarnation) })
 		}
 	})
 }
--- a/registrar/succeeding.go
+++ b/registrar/succeeding.go
@@ -4,61 +4,62 @@
 	"time"
 )
 
-// settle takes that a host's fact is new: one that is not gone holds its address. Failure:
-// a fleet loses its power and comes back under new names. Those that ran before stand in
-// the store, count as alive until they are found silent, and are asked for what they would
-// have to decide. An address has one process, so that of two the older one is no more.
-// Which is older is told by the incarnation; a host that finds one at its own address that
-// looks newer, as a clock was set back, goes above it.
-func (m *Members) settle(now time.Time, x *member) {
+// assignAddress updates the holder of an address after a host's fact changed. An address
+// has one process: of two hosts with the same address, the one with the lower incarnation
+// is gone. This matters when all hosts of a fleet lose power and restart under new names.
+// The records of the previous processes are still in the store, and would count as alive,
+// and be asked for decisions, until their heartbeats are found missing. If a host finds
+// one at its own address with a higher incarnation, as its clock was set back, it takes an
+// even higher one.
+func (m *Members) assignAddress(now time.Time, x *member) {
 	if x.fact.Status == gone {
-		m.release(x)
+		m.releaseAddress(x)
 		return
 	}
-	y := m.holders[x.fact.Control]
+	y := m.byControl[x.fact.Control]
 	switch {
 	case x.fact.Control == "" || y == x:
 	case y == nil:
-		m.hold(x)
-	case y == m.self && (m.ended || m.replaced):
+		m.holdAddress(x)
+	case y == m.self && (m.stopped || m.superseded):
 	case y == m.self:
-		m.succeed(now, x)
+		m.endPredecessor(now, x)
 	case y.fact.Incarnation < x.fact.Incarnation:
-		m.end(now, y)
-		m.spread(y.fact.Name, "")
-		m.hold(x)
+		m.markGone(now, y)
+		m.queueFact(y.fact.Name, "")
+		m.holdAddress(x)
 	default:
-		m.end(now, x)
+		m.markGone(now, x)
 	}
 }
 
-// succeed takes that a process before this one ran at its address.
-func (m *Members) succeed(now time.Time, x *member) {
-	before := x.record()
-	m.end(now, x)
-	m.out = append(m.out, Succeeded{Host: before})
-	if m.self.fact.Incarnation > before.Incarnation {
+// endPredecessor marks an earlier process at this host's address as gone.
+func (m *Members) endPredecessor(now time.Time, x *member) {
+	predecessor := x.record()
+	m.markGone(now, x)
+	m.outputs = append(m.outputs, PredecessorFound{Host: predecessor})
+	if m.self.fact.Incarnation > predecessor.Incarnation {
 		return
 	}
-	m.self.fact.Incarnation, m.self.since = before.Incarnation+1, now
-	m.spread(m.self.fact.Name, "")
-	m.out = append(m.out, Rejoined{Self: m.self.record()})
+	m.self.fact.Incarnation, m.self.factSince = predecessor.Incarnation+1, now
+	m.queueFact(m.self.fact.Name, "")
+	m.outputs = append(m.outputs, Rejoined{Self: m.self.record()})
 }
 
-// end takes that a host is gone.
-func (m *Members) end(now time.Time, x *member) {
-	x.fact.Status, x.since = gone, now
-	m.release(x)
+// markGone marks a host as gone and releases its address.
+func (m *Members) markGone(now time.Time, x *member) {
+	x.fact.Status, x.factSince = gone, now
+	m.releaseAddress(x)
 }
 
-func (m *Members) hold(x *member) {
+func (m *Members) holdAddress(x *member) {
 	if x.fact.Control != "" {
-		m.holders[x.fact.Control] = x
+		m.byControl[x.fact.Control] = x
 	}
 }
 
-func (m *Members) release(x *member) {
-	if m.holders[x.fact.Control] == x {
-		delete(m.holders, x.fact.Control)
+func (m *Members) releaseAddress(x *member) {
+	if m.byControl[x.fact.Control] == x {
+		delete(m.byControl, x.fact.Control)
 	}
 }
--- a/registrar/ticking.go
+++ b/registrar/ticking.go
@@ -8,167 +8,169 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// TicksPerBeat is how often Tick is called in a heartbeat interval: a host that
-// is not heard is found out sooner than its observers' heartbeats are due.
-const TicksPerBeat = 4
+// TicksPerHeartbeat is the number of calls of Tick per heartbeat interval. With more than
+// one, a missing heartbeat is detected before the next one is due.
+const TicksPerHeartbeat = 4
 
-// Tick sends heartbeats that are due and judges those that did not come.
+// Tick sends the heartbeats that are due and checks the observed hosts for missing ones.
 func (m *Members) Tick(now time.Time) []Output {
-	if m.ended || m.replaced {
+	if m.stopped || m.superseded {
 		return nil
 	}
-	m.resume(now)
-	m.ticked = now
+	m.detectPause(now)
+	m.lastTick = now
 	if m.rosterStale {
 		m.rebuild(now)
 	}
 	m.rebuilds = 0
-	m.connect(now)
-	m.pass(now)
-	if !m.doubt.IsZero() && now.Sub(m.doubt) > m.after(doubtBeats) {
-		m.confirmed(now) // nobody contradicts
-	}
-	if !now.Before(m.due) {
-		if m.due = m.due.Add(m.beat); m.due.Before(now) {
-			m.due = now.Add(m.beat)
+	m.rebuildRing(now)
+	m.spreadPending(now)
+	if !m.unconfirmedSince.IsZero() && now.Sub(m.unconfirmedSince) > m.intervals(unconfirmedBeats) {
+		m.confirmAlive(now) // no peer has contradicted
+	}
+	if !now.Before(m.nextBeat) {
+		if m.nextBeat = m.nextBeat.Add(m.heartbeatInterval); m.nextBeat.Before(now) {
+			m.nextBeat = now.Add(m.heartbeatInterval)
 		}
-		m.sendBeats(now)
+		m.sendHeartbeats(now)
 	}
-	if m.outcast {
+	if m.declaredDead {
 		m.rejoin(now, "")
 	}
 	for _, host := range m.ring.observed {
 		if x := m.members[host]; x != nil && x.fact.Status != gone {
-			m.judge(now, x)
+			m.checkMember(now, x)
 		}
 	}
-	return m.flush()
+	return m.takeOutputs()
 }
 
-func (m *Members) sendBeats(now time.Time) {
-	m.turn++
+// sendHeartbeats sends a heartbeat to this host's observers and, every remoteBeats, the
+// messages to other hosts.
+func (m *Members) sendHeartbeats(now time.Time) {
+	m.beatsSent++
 	for _, o := range m.ring.observers[m.self.fact.Name] {
-		m.send(o, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
+		m.send(o, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
 	}
-	if m.turn%remoteEvery == 0 {
-		m.beatAbroad()
-		m.probeUnreached()
-		m.tellGone(now)
+	if m.beatsSent%remoteBeats == 0 {
+		m.sendRemoteHeartbeats()
+		m.probeDisconnected()
+		m.notifyGone(now)
 	}
 }
 
-// tellGone tells one host that is gone that it is, in turn. Failure: hosts lost
-// each other in two groups, each of which declared the other dead. When the
-// connections work again nobody would speak to the other side; this way both
-// rejoin, also without the store. Where another process has the address since, there is
-// nobody to tell.
-func (m *Members) tellGone(now time.Time) {
-	var dead []*member
+// notifyGone notifies hosts that are gone, one at a time in turn. If a network partition
+// splits the hosts into two groups, each group declares the other dead, and nobody sends
+// anything to the other side after the connections are restored. The notification makes
+// both sides rejoin, even without the store. Hosts whose address now belongs to another
+// process are left out.
+func (m *Members) notifyGone(now time.Time) {
+	var goneMembers []*member
 	for _, x := range m.sortedMembers() {
-		if x != m.self && x.fact.Status == gone && m.holders[x.fact.Control] == nil && x.fact.Control != "" && now.Sub(x.since) < tellAge {
-			dead = append(dead, x)
+		if x != m.self && x.fact.Status == gone && m.byControl[x.fact.Control] == nil && x.fact.Control != "" && now.Sub(x.factSince) < goneNoticeAge {
+			goneMembers = append(goneMembers, x)
 		}
 	}
-	if len(dead) > 0 {
-		x := dead[(m.turn/remoteEvery)%len(dead)]
-		m.send(x.fact.Name, messenger.News{Facts: []messenger.Fact{x.fact}})
+	if len(goneMembers) > 0 {
+		x := goneMembers[(m.beatsSent/remoteBeats)%len(goneMembers)]
+		m.send(x.fact.Name, messenger.RosterUpdate{Facts: []messenger.Fact{x.fact}})
 	}
 }
 
-// resume finds out that this host itself stood still. Failure: the process was
-// frozen; on return every other host looks dead to it, and it may have been
-// declared dead itself. So what it did not hear counts for nothing, and it takes
-// no role until a peer says that it still counts.
-func (m *Members) resume(now time.Time) {
-	pause := now.Sub(m.ticked) - m.beat/TicksPerBeat
-	if pause < m.beat {
+// detectPause detects that this process itself was paused. Afterwards every other host
+// looks dead to it, and it may have been declared dead itself. So heartbeats missed during
+// the pause count against nobody. After a pause of suspectBeats or more this host takes no
+// role until a peer confirms that it is alive, or none contradicts for unconfirmedBeats.
+func (m *Members) detectPause(now time.Time) {
+	pause := now.Sub(m.lastTick) - m.heartbeatInterval/TicksPerHeartbeat
+	if pause < m.heartbeatInterval {
 		return
 	}
 	for _, x := range m.members {
-		x.heard = x.heard.Add(pause)
-		x.direct = time.Time{}
-		if !x.suspected.IsZero() {
-			x.suspected, x.votes = time.Time{}, nil
+		x.lastSeen = x.lastSeen.Add(pause)
+		x.lastDirect = time.Time{}
+		if !x.suspectedAt.IsZero() {
+			x.suspectedAt, x.votes = time.Time{}, nil
 		}
 	}
-	if pause < m.after(suspectBeats) || m.alone() {
+	if pause < m.intervals(suspectBeats) || m.alone() {
 		return
 	}
-	m.doubt = now
+	m.unconfirmedSince = now
 	m.rebuild(now)
 	for _, o := range m.ring.observers[m.self.fact.Name] {
 		m.send(o, m.probe())
 	}
 }
 
-// judge suspects an observed host that is not heard, and concludes when a second
-// voter agrees and a try on a new connection brought no answer.
-func (m *Members) judge(now time.Time, x *member) {
+// checkMember suspects an observed host whose heartbeats are missing. It declares the host
+// dead if a second voter agrees and a probe on a new connection was not answered.
+func (m *Members) checkMember(now time.Time, x *member) {
 	switch {
-	case now.Sub(x.heard) < m.after(suspectBeats):
-	case x.suspected.IsZero():
+	case now.Sub(x.lastSeen) < m.intervals(suspectBeats):
+	case x.suspectedAt.IsZero():
 		m.suspect(now, x)
-	case now.Sub(x.suspected) < m.after(confirmBeats):
-	case m.agreed(now, x):
-		m.conclude(now, x)
-	case now.Sub(x.suspected) >= m.after(2*confirmBeats):
-		m.out = append(m.out, Doubted{Host: x.record()})
-		m.accuse(x)
-		x.suspected = now
+	case now.Sub(x.suspectedAt) < m.intervals(confirmBeats):
+	case m.hasSecondVote(now, x):
+		m.declareDead(now, x)
+	case now.Sub(x.suspectedAt) >= m.intervals(2*confirmBeats):
+		m.outputs = append(m.outputs, CheckLease{Host: x.record()})
+		m.verifySuspect(x)
+		x.suspectedAt = now
 	}
 }
 
 func (m *Members) suspect(now time.Time, x *member) {
-	x.suspected = now
-	m.out = append(m.out, Suspected{Host: x.record()})
-	m.accuse(x)
+	x.suspectedAt = now
+	m.outputs = append(m.outputs, Suspected{Host: x.record()})
+	m.verifySuspect(x)
 }
 
-// accuse asks the other observers, and the host itself on a new connection: an
-// open one may have gone silent while new ones work.
-func (m *Members) accuse(x *member) {
+// verifySuspect asks the other observers about a host, and probes the host on a new
+// connection, because an open one may have failed silently while new ones work.
+func (m *Members) verifySuspect(x *member) {
 	for _, o := range m.ring.observers[x.fact.Name] {
 		m.send(o, messenger.Suspect{Host: x.fact.Name, Incarnation: x.fact.Incarnation})
 	}
-	m.out = append(m.out, Send{To: x.record(), Fresh: true, Message: m.probe()})
+	m.outputs = append(m.outputs, Send{To: x.record(), NewConnection: true, Message: m.probe()})
 }
 
-// agreed says whether anyone besides this host hears the suspect no more:
-// another observer, or its lease. One host that lost its own connections must
-// never empty the roster.
-func (m *Members) agreed(now time.Time, x *member) bool {
+// hasSecondVote reports whether another observer or the host's expired lease confirms the
+// suspicion. A single host that has lost its own connections must never empty the roster.
+func (m *Members) hasSecondVote(now time.Time, x *member) bool {
 	for by, at := range x.votes {
 		observer := by == leaseVoter || slices.Contains(m.ring.observers[x.fact.Name], by)
-		if observer && now.Sub(at) < m.after(voteBeats) {
+		if observer && now.Sub(at) < m.intervals(voteValidBeats) {
 			return true
 		}
 	}
 	return false
 }
 
-func (m *Members) conclude(now time.Time, x *member) {
-	dead := x.record()
-	m.end(now, x)
-	m.out = append(m.out, Died{Host: dead})
-	m.spread(x.fact.Name, x.fact.Name)
-	m.pass(now)
+func (m *Members) declareDead(now time.Time, x *member) {
+	host := x.record()
+	m.markGone(now, x)
+	m.outputs = append(m.outputs, DeclaredDead{Host: host})
+	m.queueFact(x.fact.Name, x.fact.Name)
+	m.spreadPending(now)
 	m.rebuild(now)
 }
 
-// beatAbroad sends a heartbeat to one host of each other region, in pairs by
-// rank, so that rosters of regions converge without the Object API.
-func (m *Members) beatAbroad() {
-	regions, mine := m.ranks()
+// sendRemoteHeartbeats sends a heartbeat to one host of each other region, chosen by the
+// rank of this host in its own, so that the rosters of regions converge without the Object
+// API.
+func (m *Members) sendRemoteHeartbeats() {
+	regions, ownRank := m.regionRanks()
 	for _, name := range slices.Sorted(maps.Keys(regions)) {
 		hosts := regions[name]
-		to := hosts[(mine+m.turn/partnerTurns)%len(hosts)]
-		m.send(to, messenger.Beat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
+		to := hosts[(ownRank+m.beatsSent/partnerBeats)%len(hosts)]
+		m.send(to, messenger.Heartbeat{Incarnation: m.self.fact.Incarnation, Digest: m.digest})
 	}
 }
 
-// ranks is the hosts of each other region in name order, and this host's place
-// in its own.
-func (m *Members) ranks() (regions map[string][]string, mine int) {
+// regionRanks returns the hosts of each other region sorted by name, and this host's rank
+// by name in its own region.
+func (m *Members) regionRanks() (regions map[string][]string, ownRank int) {
 	regions = map[string][]string{}
 	for _, x := range m.sortedMembers() {
 		switch {
@@ -176,51 +178,51 @@
 		case x.fact.Region != m.self.fact.Region:
 			regions[x.fact.Region] = append(regions[x.fact.Region], x.fact.Name)
 		case x.fact.Name < m.self.fact.Name:
-			mine++
+			ownRank++
 		}
 	}
-	return regions, mine
+	return regions, ownRank
 }
 
 func (m *Members) probe() messenger.Probe {
 	return messenger.Probe{Self: m.self.fact, Digest: m.digest}
 }
 
-// probeUnreached tries one of the hosts that can't be reached, in turn.
-func (m *Members) probeUnreached() {
-	var lost []*member
+// probeDisconnected probes the hosts without a connection, one at a time in turn.
+func (m *Members) probeDisconnected() {
+	var disconnected []*member
 	for _, x := range m.sortedMembers() {
-		if x.unreached && x.fact.Status != gone {
-			lost = append(lost, x)
+		if x.noConnection && x.fact.Status != gone {
+			disconnected = append(disconnected, x)
 		}
 	}
-	if len(lost) > 0 {
-		x := lost[(m.turn/remoteEvery)%len(lost)]
+	if len(disconnected) > 0 {
+		x := disconnected[(m.beatsSent/remoteBeats)%len(disconnected)]
 		m.send(x.fact.Name, m.probe())
 	}
 }
 
-// part decides which hosts count as out of reach: those without a connection;
-// and all hosts of a region, or all hosts, once the ones that this host tried
-// there all failed. Else an entry that lost a region would try its hosts one by
-// one, each for a dial's timeout.
-func (m *Members) part(now time.Time) {
+// updateReachability marks as unreachable the hosts without a connection, and all hosts of
+// a region if this host failed to connect to more than one there and to every one that it
+// recently tried. Otherwise an entry host that lost a region would try its hosts one by
+// one, each until the dial times out.
+func (m *Members) updateReachability(now time.Time) {
 	tried, failed := map[string]int{}, map[string]int{}
 	for _, x := range m.members {
 		if x == m.self || x.fact.Status == gone {
 			continue
 		}
-		if recent := now.Sub(x.direct) < m.after(voteBeats); recent || x.unreached {
+		if recent := now.Sub(x.lastDirect) < m.intervals(voteValidBeats); recent || x.noConnection {
 			tried[x.fact.Region]++
 		}
-		if x.unreached {
+		if x.noConnection {
 			failed[x.fact.Region]++
 		}
 	}
 	for _, x := range m.members {
 		region := x.fact.Region
-		whole := failed[region] > 1 && failed[region] == tried[region]
-		x.parted = x != m.self && (x.unreached || whole)
+		allFailed := failed[region] > 1 && failed[region] == tried[region]
+		x.unreachable = x != m.self && (x.noConnection || allFailed)
 	}
 	m.rebuild(now)
 }
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -53,7 +53,7 @@
 	hosts      int // the most that the roster had
 	deciding   deciding
 	windows    map[string]*retrier.Window
-	shared     messenger.Shared
+	shared     messenger.FlightUpdate
 	quarantine *quarantining
 	share      *time.Timer
 	shareAt    time.Time // when the timer is due; zero where it is not set
@@ -67,7 +67,7 @@
 }
 
 type workerReply struct {
-	place   router.Place
+	place   router.Placement
 	refused *router.Refused
 }
 
@@ -189,11 +189,11 @@
 		p.windows[e.ask.Service] = w
 	}
 	if !e.again {
-		w.First(now, p.repeat)
+		w.RecordFirst(now, p.repeat)
 		return nil
 	}
 	if !w.Take(now, p.repeat, p.hosts) {
-		return &router.Refused{Why: "retry_budget", After: time.Second}
+		return &router.Refused{Reason: "retry_budget", RetryAfter: time.Second}
 	}
 	return nil
 }
@@ -206,8 +206,8 @@
 		return refusedBy("", *refusal, choice.Basis)
 	}
 	p.tellSent(now, p.self, choice.Flight)
-	return workerReply{place: router.Place{
-		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, Wait: choice.Wait, Pause: choice.Delay, Source: choice.Source, Read: choice.Flight.Prefill, Filling: choice.Filling, Age: now.Sub(p.listed), Limit: p.view.RateLimit(choice.Worker.Name),
+	return workerReply{place: router.Placement{
+		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, ExpectedWait: choice.Wait, Delay: choice.Delay, Source: choice.Source, PromptTokens: choice.Flight.Prefill, HalfFull: choice.Filling, ListAge: now.Sub(p.listed), RateLimit: p.view.RateLimit(choice.Worker.Name),
 	}}
 }
 
@@ -220,7 +220,7 @@
 	}
 	before, listened := p.roster, p.deciding.listeners
 	p.roster = r
-	p.relay.Enroll(r)
+	p.relay.SetHosts(r)
 	p.deciding.enroll(r)
 	p.catchUp(now, before, listened)
 	p.quarantine.enroll(now, r)
@@ -231,9 +231,9 @@
 // setWorkers gives the view the workers that may get requests.
 func (p *choosing) setWorkers(now time.Time) {
 	var workers []placer.Worker
-	for _, e := range p.directory.Present() {
+	for _, e := range p.directory.Available() {
 		w := placer.Worker{
-			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, WarmUp: e.Cold, Incarnation: e.Born,
+			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, WarmUp: e.WarmUp, Incarnation: e.Incarnation,
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
--- a/runner/keeping_store.go
+++ b/runner/keeping_store.go
@@ -51,12 +51,12 @@
 	case keeper.ReadHead:
 		k.later(p, k.readHead(ctx, p))
 	case keeper.WriteSegment:
-		value, err := keeper.EncodeEntries(o.Entries)
+		value, err := keeper.EncodeRecords(o.Records)
 		if err == nil {
 			_, err = k.store.Put(ctx, o.Segment.Key(p.partition), value, storer.Condition{})
 		}
 		k.warn("write segment", p, err)
-		k.later(p, keeper.SegmentWrote{Segment: o.Segment, Result: result(err)})
+		k.later(p, keeper.SegmentWritten{Segment: o.Segment, Result: result(err)})
 	case keeper.ReadSegment:
 		k.later(p, k.readSegment(ctx, p, o.Segment))
 	case keeper.DropSegment:
@@ -74,12 +74,12 @@
 	value, err := o.Head.Encode()
 	if err != nil {
 		k.warn("write head", p, err)
-		return keeper.Wrote{Stamp: o.Head.Stamp, Result: keeper.Down}
+		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Down}
 	}
 	k.metrics.bytes(len(value))
 	version, err := k.store.Put(ctx, keeper.HeadKey(p.partition), value, storer.Condition{Match: o.Match, Absent: o.Match == 0})
 	k.warn("write head", p, err)
-	return keeper.Wrote{Stamp: o.Head.Stamp, Version: version, Result: result(err)}
+	return keeper.HeadWritten{Stamp: o.Head.Stamp, Version: version, Result: result(err)}
 }
 
 func (k *keeping) readHead(ctx context.Context, p *kept) keeper.Input {
@@ -100,9 +100,9 @@
 
 func (k *keeping) readSegment(ctx context.Context, p *kept, s keeper.Segment) keeper.Input {
 	object, err := k.store.Get(ctx, s.Key(p.partition))
-	var entries []*keeper.Entry
+	var entries []*keeper.Record
 	if err == nil {
-		entries, err = keeper.DecodeEntries(object.Value)
+		entries, err = keeper.DecodeRecords(object.Value)
 	}
 	if err != nil {
 		k.warn("read segment", p, err)
@@ -111,7 +111,7 @@
 		}
 		return keeper.SegmentRead{Segment: s, Result: keeper.Down}
 	}
-	return keeper.SegmentRead{Segment: s, Entries: entries, Result: keeper.Done}
+	return keeper.SegmentRead{Segment: s, Records: entries, Result: keeper.Done}
 }
 
 // layout is how keys fall into partitions. It is written once and never again:
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -36,7 +36,7 @@
 	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.choosing.post(e) }, next: g.choosing.next}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.choosing, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
-		Answer: s.Limits.Answer, Stall: s.Limits.Stall.Std(), Buffer: s.Limits.Buffer,
+		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
 	})
 	return g
 }
@@ -47,17 +47,17 @@
 		return false
 	}
 	switch m := m.(type) {
-	case messenger.Shared:
+	case messenger.FlightUpdate:
 		g.choosing.post(sharedHeard{from: from, shared: m})
-	case messenger.Seek:
+	case messenger.PlacementRequest:
 		g.choosing.post(seekHeard{from: from, seek: m})
-	case messenger.Sought:
+	case messenger.PlacementReply:
 		g.choosing.post(soughtHeard{from: from, sought: m})
 	case messenger.Quarantine:
 		g.choosing.post(quarantineHeard{from: from, held: heldOf(m)})
-	case messenger.Word:
+	case messenger.ListUpdate:
 		g.choosing.post(wordHeard{from: from, word: m})
-	case messenger.Entries:
+	case messenger.ListSnapshot:
 		g.choosing.post(entriesHeard{from: from, entries: m})
 	default:
 		return false
@@ -124,7 +124,7 @@
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			g.pool.Sweep(now)
+			g.pool.CloseExpired(now)
 		}
 	}
 }
