--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -106,7 +106,7 @@
 
 // Explain returns the timeline of a request. It has no lines if the logs have none of it.
 func Explain(request string, logs []Log) Timeline {
-	s := Timeline{Request: request}
+	t := Timeline{Request: request}
 	var own, all []Line
 	unparsed, dropped := 0, 0
 	for _, l := range logs {
@@ -119,14 +119,14 @@
 		}
 	}
 	if len(own) == 0 {
-		return s
+		return t
 	}
 	byTime := func(a, b Line) int { return a.At.Compare(b.At) }
 	slices.SortStableFunc(own, byTime)
-	s.Lines = slices.Concat(own, contextLines(own, all))
-	slices.SortStableFunc(s.Lines, byTime)
-	s.Unknown = gaps(own, unparsed, dropped)
-	return s
+	t.Lines = slices.Concat(own, contextLines(own, all))
+	slices.SortStableFunc(t.Lines, byTime)
+	t.Unknown = gaps(own, unparsed, dropped)
+	return t
 }
 
 // contextLines returns the lines of the request's hosts that belong to no request, from
@@ -171,15 +171,15 @@
 
 // String formats the timeline as text, one line per event, with times relative to the
 // first event.
-func (s Timeline) String() string {
+func (t Timeline) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "request %s\n", s.Request)
-	start := s.Lines[0].At
+	fmt.Fprintf(&b, "request %s\n", t.Request)
+	start := t.Lines[0].At
 	hosts := 0
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		hosts = max(hosts, len(l.Host))
 	}
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		fmt.Fprintf(&b, "%9.3fs  %-*s  %s", l.At.Sub(start).Seconds(), hosts, l.Host, l.Event)
 		for _, f := range l.fields {
 			if f.name != "request" && f.value != "" {
@@ -188,7 +188,7 @@
 		}
 		b.WriteString("\n")
 	}
-	for _, u := range s.Unknown {
+	for _, u := range t.Unknown {
 		fmt.Fprintf(&b, "not known: %s\n", u)
 	}
 	return b.String()
--- a/logger/logger.go
+++ b/logger/logger.go
@@ -41,7 +41,7 @@
 	config.EncodeTime = zapcore.ISO8601TimeEncoder
 	config.EncodeDuration = zapcore.StringDurationEncoder
 	core := zapcore.NewCore(zaplogfmt.NewEncoder(config), q, level)
-	core = zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerKind, sampleInterval, zapcore.SamplerHook(q.countSampled))
+	core = zapcore.NewSamplerWithOptions(core, time.Second, maxLinesPerKind, sampleInterval, zapcore.SamplerHook(q.countDropped))
 	return &Logger{Logger: zap.New(core), queue: q}, q.close
 }
 
@@ -75,8 +75,8 @@
 // reader.
 func (q *queue) Sync() error { return nil }
 
-// countSampled counts the lines that the sampler drops.
-func (q *queue) countSampled(_ zapcore.Entry, d zapcore.SamplingDecision) {
+// countDropped counts the lines that the sampler drops.
+func (q *queue) countDropped(_ zapcore.Entry, d zapcore.SamplingDecision) {
 	if d&zapcore.LogDropped > 0 {
 		q.dropped.Add(1)
 	}
--- a/publisher/fleet_test.go
+++ b/publisher/fleet_test.go
@@ -44,7 +44,7 @@
 	history       []uint64 // generations that were put in force, in order
 	ready         bool
 	unreadyCount  int // number of changes to unready
-	dead          bool
+	down          bool
 	frozen        bool
 	noStore       bool // can't reach the platform
 	noPeers       bool // can't reach other hosts
@@ -92,7 +92,7 @@
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.now = f.now.Add(step)
 		for _, h := range f.hosts {
-			if h.dead || h.frozen {
+			if h.down || h.frozen {
 				continue
 			}
 			f.watch(h)
@@ -110,7 +110,7 @@
 	for _, d := range due {
 		if d.at.After(f.now) || d.to.frozen {
 			f.queue = append(f.queue, d)
-		} else if !d.to.dead {
+		} else if !d.to.down {
 			f.handle(d.to, d.input)
 		}
 	}
@@ -189,7 +189,7 @@
 func (f *fleet) requestHead(h *host, a publisher.RequestHead) {
 	for _, o := range f.hosts {
 		requested := a.Peer == "" || a.Peer == o.name
-		if !requested || o == h || o.dead || o.frozen || o.noReceive || o.noPeers || h.noPeers {
+		if !requested || o == h || o.down || o.frozen || o.noReceive || o.noPeers || h.noPeers {
 			continue
 		}
 		answer := publisher.HeadReceived{Peer: o.name}
@@ -204,7 +204,7 @@
 // it in force.
 func (f *fleet) check() {
 	for _, h := range f.hosts {
-		if h.dead || h.frozen || !f.connected(h) {
+		if h.down || h.frozen || !f.connected(h) {
 			h.lastIsolated = f.now
 			continue
 		}
@@ -228,7 +228,7 @@
 	}
 	for _, o := range f.hosts {
 		current := len(f.accepted) == 0 || o.active.Generation >= f.accepted[len(f.accepted)-1].generation
-		if o != h && current && !o.dead && !o.frozen && !o.noReceive && !o.noPeers && !h.noPeers && !h.noReceive {
+		if o != h && current && !o.down && !o.frozen && !o.noReceive && !o.noPeers && !h.noPeers && !h.noReceive {
 			return true
 		}
 	}
--- a/publisher/head.go
+++ b/publisher/head.go
@@ -135,9 +135,9 @@
 
 // generationOf returns the generation of the push with the given ID, if it is listed.
 func (h Head) generationOf(id string) (uint64, bool) {
-	for _, l := range h.pushes {
-		if l.ID == id {
-			return l.Generation, true
+	for _, r := range h.pushes {
+		if r.ID == id {
+			return r.Generation, true
 		}
 	}
 	return 0, false
@@ -149,7 +149,7 @@
 	if len(h.pushes) < maxPushRecords || h.Generation == generation {
 		return true
 	}
-	return slices.ContainsFunc(h.pushes, func(l pushRecord) bool { return l.Generation <= generation })
+	return slices.ContainsFunc(h.pushes, func(r pushRecord) bool { return r.Generation <= generation })
 }
 
 // Read returns the stored head, or the zero Head if nothing was pushed yet.
--- a/publisher/push_test.go
+++ b/publisher/push_test.go
@@ -89,7 +89,7 @@
 		},
 		Entry("that landed", Label(prover.Cell(prover.Pushed, prover.LostReply)), lost),
 		Entry("that never landed", Label(prover.Cell(prover.Pushed, prover.LostReply)), dropped),
-		Entry("that arrives after the second try", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Pushed, prover.StoreSlow)), late),
+		Entry("that takes effect after the second attempt", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Pushed, prover.StoreSlow)), late),
 	)
 
 	// As above, but another push changes the same file before the head is read back.
@@ -112,7 +112,7 @@
 		func(result outcome) {
 			store.outcomes = []outcome{result}
 			down := &racingStore{fakeStore: store, race: func() { store.down = true }}
-			p := publisher.Pusher{Store: down, Sleep: ann.pause}
+			p := publisher.Pusher{Store: down, Sleep: ann.sleep}
 			change := publisher.Change{Files: ann.edit("quote", 0).files, Base: ann.base}
 			_, err := p.Push(context.Background(), change)
 			Expect(err).To(MatchError(publisher.ErrOutcomeUnknown))
--- a/publisher/rebase.go
+++ b/publisher/rebase.go
@@ -75,14 +75,14 @@
 
 // rebase applies the changes of f relative to its base to the head's files. A file that
 // was changed in the same way on both sides is not a conflict.
-func rebase(b Base, f loader.Files, head Head) (loader.Files, error) {
+func rebase(base Base, f loader.Files, head Head) (loader.Files, error) {
 	merged := maps.Clone(head.Files)
 	if merged == nil {
 		merged = loader.Files{}
 	}
-	theirs := b.ChangedFiles(head.Files)
+	theirs := base.ChangedFiles(head.Files)
 	var conflicts []string
-	for _, name := range b.ChangedFiles(f) {
+	for _, name := range base.ChangedFiles(f) {
 		text, here := f[name]
 		other, there := head.Files[name]
 		if slices.Contains(theirs, name) && (here != there || text != other) {
--- a/publisher/store_test.go
+++ b/publisher/store_test.go
@@ -148,7 +148,7 @@
 	p := publisher.Pusher{
 		Store: o.store,
 		Now:   func() time.Time { return time.Unix(seconds, 0) },
-		Sleep: o.pause,
+		Sleep: o.sleep,
 	}
 	r, err := p.Push(context.Background(), publisher.Change{Files: maps.Clone(o.files), Base: o.base})
 	if err == nil {
@@ -157,7 +157,7 @@
 	return r, err
 }
 
-func (*operator) pause(context.Context, time.Duration) {}
+func (*operator) sleep(context.Context, time.Duration) {}
 
 // racingStore is a store that calls race after its first write, or before each write if
 // always is set.
--- a/publisher/tracker_test.go
+++ b/publisher/tracker_test.go
@@ -32,7 +32,7 @@
 // faultCases are the faults that can occur on the way of a configuration from an operator
 // through the platform to the hosts.
 var faultCases = []faultCase{
-	{prover.Kill, allSteps, func(_ *fleet, h *host) { h.dead = true }, func(f *fleet, h *host) { f.boot(h) }},
+	{prover.Kill, allSteps, func(_ *fleet, h *host) { h.down = true }, func(f *fleet, h *host) { f.boot(h) }},
 	{prover.Freeze, allSteps, func(_ *fleet, h *host) { h.frozen = true }, func(_ *fleet, h *host) { h.frozen = false }},
 	{prover.CutBoth, allSteps, func(_ *fleet, h *host) { h.noPeers, h.noStore = true, true }, func(_ *fleet, h *host) { h.noPeers, h.noStore = false, false }},
 	{prover.CutOne, allSteps, func(_ *fleet, h *host) { h.noReceive = true }, func(_ *fleet, h *host) { h.noReceive = false }},
