--- a/bencher/bencher_test.go
+++ b/bencher/bencher_test.go
@@ -30,14 +30,14 @@
 
 	DescribeTable("keeps what is promised to the top tier, and lets each class go on",
 		func(w bencher.Workload) {
-			ours, bound := results(w, bencher.Well, "ours"), results(w, bencher.Well, "bound")
+			ours, bound := results(w, bencher.NoFault, "ours"), results(w, bencher.NoFault, "bound")
 			for i, r := range ours {
 				for name, t := range r.Classes {
 					if slices.Contains(top, name) {
-						Expect(t.Passed).To(BeZero(), "%s of %s was refused after a lower tier's grant", name, r.Service)
+						Expect(t.PassedOver).To(BeZero(), "%s of %s was refused after a lower tier's grant", name, r.Service)
 						Expect(t.Met).To(BeNumerically(">=", 99*bound[i].Classes[name].Met/100), "%s of %s", name, r.Service)
 					}
-					Expect(t.Gap).To(BeNumerically("<", 60), "%s of %s", name, r.Service)
+					Expect(t.MaxGap).To(BeNumerically("<", 60), "%s of %s", name, r.Service)
 				}
 			}
 		},
@@ -45,6 +45,6 @@
 	)
 
 	It("has the same figures each run", func() {
-		Expect(results(bencher.Wodnik(), bencher.Crash, "cell-6")).To(Equal(results(bencher.Wodnik(), bencher.Crash, "cell-6")))
+		Expect(results(bencher.Wodnik(), bencher.WorkerCrash, "cell-6")).To(Equal(results(bencher.Wodnik(), bencher.WorkerCrash, "cell-6")))
 	})
 })
--- a/bencher/grid.go
+++ b/bencher/grid.go
@@ -51,20 +51,20 @@
 
 // Result is the figures of a Point's service, summed over its seeds.
 type Result struct {
-	Workload  string            `json:"workload"`
-	Service   string            `json:"service"`
-	Demand    float64           `json:"demand"`
-	Condition Condition         `json:"condition"`
-	Row       string            `json:"row"`
-	Seeds     int               `json:"seeds"`
-	Classes   map[string]*tally `json:"classes"`
-	Goodput   float64           `json:"goodput_tokens_s"` // of requests that met their targets
-	Made      int               `json:"made_tokens"`
-	Wasted    map[string]int    `json:"wasted_tokens"` // by cause
-	Long      int               `json:"wasted_long"`   // of those, on answers of 1,500 tokens and more
-	Preempted int               `json:"preempted"`
-	Fairness  float64           `json:"fairness"` // median of the seeds; 0 where no two organisations kept waiting
-	Control   float64           `json:"control_bytes_request"`
+	Workload     string            `json:"workload"`
+	Service      string            `json:"service"`
+	Demand       float64           `json:"demand"`
+	Condition    Condition         `json:"condition"`
+	Row          string            `json:"row"`
+	Seeds        int               `json:"seeds"`
+	Classes      map[string]*tally `json:"classes"`
+	Goodput      float64           `json:"goodput_tokens_s"` // of requests that met their targets
+	MadeTokens   int               `json:"made_tokens"`
+	WastedTokens map[string]int    `json:"wasted_tokens"` // by cause
+	WastedLong   int               `json:"wasted_long"`   // of those, on answers of 1,500 tokens and more
+	Preempted    int               `json:"preempted"`
+	Fairness     float64           `json:"fairness"` // median of the seeds; 0 where no two organisations kept waiting
+	ControlBytes float64           `json:"control_bytes_request"`
 }
 
 // Run measures a point over seeds from first to last, one result a service.
@@ -73,7 +73,7 @@
 	for _, s := range p.Workload.services {
 		r := Result{
 			Workload: p.Workload.Name, Service: s.name, Demand: p.Demand, Condition: p.Condition, Row: p.Row.Name,
-			Classes: map[string]*tally{}, Wasted: map[string]int{},
+			Classes: map[string]*tally{}, WastedTokens: map[string]int{},
 		}
 		requests := 0
 		var fairness []float64
@@ -81,11 +81,11 @@
 			sim, calls := p.play(s, seed)
 			r.add(sim.measure)
 			fairness = append(fairness, sim.measure.fairness())
-			r.Control += float64(sim.router.control())
+			r.ControlBytes += float64(sim.router.control())
 			requests += len(calls)
 		}
 		r.Goodput /= float64(r.Seeds) * (arrivalsEnd - warmEnd).Seconds()
-		r.Control /= float64(requests)
+		r.ControlBytes /= float64(requests)
 		slices.Sort(fairness)
 		r.Fairness = fairness[len(fairness)/2]
 		all = append(all, r)
@@ -97,7 +97,7 @@
 func (p Point) play(s service, seed uint64) (*simulator, []*call) {
 	sim := newSimulator(p.Workload, s, p.Condition)
 	lag := 500 * time.Millisecond
-	if p.Condition == Late {
+	if p.Condition == LateReports {
 		lag = 5 * time.Second
 	}
 	if p.Row.direct {
@@ -113,11 +113,11 @@
 func (r *Result) add(m *measure) {
 	r.Seeds++
 	r.Goodput += float64(m.goodput)
-	r.Made += m.made
-	r.Long += m.long
+	r.MadeTokens += m.made
+	r.WastedLong += m.long
 	r.Preempted += m.preempted
 	for cause, n := range m.wasted {
-		r.Wasted[cause] += n
+		r.WastedTokens[cause] += n
 	}
 	for class, t := range m.classes {
 		sum := r.Classes[class]
@@ -127,11 +127,11 @@
 		}
 		sum.Requests += t.Requests
 		sum.Met += t.Met
-		sum.Whole += t.Whole
+		sum.Completed += t.Completed
 		sum.Refused += t.Refused
-		sum.Passed += t.Passed
-		sum.Worst = max(sum.Worst, t.Worst)
-		sum.Gap = max(sum.Gap, m.gaps[class].longest.Seconds())
+		sum.PassedOver += t.PassedOver
+		sum.MaxWait = max(sum.MaxWait, t.MaxWait)
+		sum.MaxGap = max(sum.MaxGap, m.gaps[class].longest.Seconds())
 	}
 }
 
@@ -165,4 +165,6 @@
 	return out
 }
 
-func order(k Condition) int { return slices.Index([]Condition{Well, Slow, Crash, Late}, k) }
+func order(k Condition) int {
+	return slices.Index([]Condition{NoFault, SlowWorker, WorkerCrash, LateReports}, k)
+}
--- a/bencher/measure.go
+++ b/bencher/measure.go
@@ -13,13 +13,13 @@
 
 // tally is what became of one class.
 type tally struct {
-	Requests int     `json:"requests"`
-	Met      int     `json:"met"`     // their targets for first and whole
-	Whole    int     `json:"whole"`   // answered whole, in time or late
-	Refused  int     `json:"refused"` // answered at once
-	Passed   int     `json:"passed"`  // of the top tier: refused after a lower one was granted while they waited
-	Worst    float64 `json:"worst_s"` // longest wait for a place
-	Gap      float64 `json:"gap_s"`   // longest that the class waited while none of it began
+	Requests   int     `json:"requests"`
+	Met        int     `json:"met"`     // their targets for first and whole
+	Completed  int     `json:"whole"`   // answered whole, in time or late
+	Refused    int     `json:"refused"` // answered at once
+	PassedOver int     `json:"passed"`  // of the top tier: refused after a lower one was granted while they waited
+	MaxWait    float64 `json:"worst_s"` // longest wait for a place
+	MaxGap     float64 `json:"gap_s"`   // longest that the class waited while none of it began
 }
 
 // measure collects one run's figures, of requests that arrived after the warm-up.
@@ -112,13 +112,13 @@
 	met := c.finished && c.first-c.arrived <= target.First.Std() && c.ended-c.arrived <= target.Whole.Std()
 	t.Requests++
 	if c.finished {
-		t.Whole++
+		t.Completed++
 	}
 	if c.refused {
 		t.Refused++
 	}
 	if c.passed {
-		t.Passed++
+		t.PassedOver++
 	}
 	if c.lost > 0 && c.length >= longTokens {
 		m.long += c.lost
@@ -127,7 +127,7 @@
 		t.Met++
 		m.goodput += c.length
 	}
-	t.Worst = max(t.Worst, c.waited.Seconds())
+	t.MaxWait = max(t.MaxWait, c.waited.Seconds())
 }
 
 // fairness is the largest over the smallest served tokens among organisations
--- a/bencher/plot.go
+++ b/bencher/plot.go
@@ -31,7 +31,7 @@
 	for i, row := range plotted[:len(plotted)-1] {
 		values := make(plotter.Values, len(groups))
 		for _, r := range results {
-			if g := slices.Index(groups, groupOf(r)); g >= 0 && r.Row == row && r.Condition == Well {
+			if g := slices.Index(groups, groupOf(r)); g >= 0 && r.Row == row && r.Condition == NoFault {
 				values[g] = r.Goodput / bound[groups[g]]
 			}
 		}
@@ -61,7 +61,7 @@
 	var groups []string
 	bound := map[string]float64{}
 	for _, r := range results {
-		if r.Row == "bound" && r.Condition == Well {
+		if r.Row == "bound" && r.Condition == NoFault {
 			groups = append(groups, groupOf(r))
 			bound[groupOf(r)] = r.Goodput
 		}
--- a/bencher/simulator.go
+++ b/bencher/simulator.go
@@ -22,10 +22,10 @@
 
 // Conditions.
 const (
-	Well  Condition = "well"
-	Slow  Condition = "slow"  // one worker at a third of its speed; its report says it is idle
-	Crash Condition = "crash" // one worker dies in the burst
-	Late  Condition = "late"  // load reports are 5 s old
+	NoFault     Condition = "well"
+	SlowWorker  Condition = "slow"  // one worker at a third of its speed; its report says it is idle
+	WorkerCrash Condition = "crash" // one worker dies in the burst
+	LateReports Condition = "late"  // load reports are 5 s old
 )
 
 // router is the decisions of one row.
@@ -85,9 +85,9 @@
 		m.workers = append(m.workers, b)
 	}
 	switch k {
-	case Slow:
+	case SlowWorker:
 		m.workers[0].slow, m.workers[0].lies = slowBy, true
-	case Crash:
+	case WorkerCrash:
 		m.at(crashAt, func(now time.Duration) { m.crash(now, m.workers[0]) })
 	}
 	return m
--- a/bencher/table.go
+++ b/bencher/table.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// WriteLines writes the results as JSON lines.
-func WriteLines(w io.Writer, results []Result) error {
+// WriteJSONLines writes the results as JSON lines.
+func WriteJSONLines(w io.Writer, results []Result) error {
 	enc := json.NewEncoder(w)
 	for _, r := range results {
 		if err := enc.Encode(r); err != nil {
@@ -50,11 +50,11 @@
 	passed := 0
 	for _, c := range classes {
 		t := r.Classes[c]
-		fmt.Fprintf(&b, " %.2f | %.1f | %.2f | %.2f |", t.attained(), percent(t.Refused, t.Requests), t.Worst, t.Gap)
-		passed += t.Passed
+		fmt.Fprintf(&b, " %.2f | %.1f | %.2f | %.2f |", t.attained(), percent(t.Refused, t.Requests), t.MaxWait, t.MaxGap)
+		passed += t.PassedOver
 	}
 	fmt.Fprintf(&b, " %.0f | %.2f | %d | %d | %d | %.2f | %d | %d | %.1f | %.0f |", r.Goodput, r.wasted(),
-		r.Wasted["deadline"], r.Wasted["crash"], r.Wasted["preempt"], percent(r.Long, r.Made), r.Preempted, passed, r.Fairness, r.Control)
+		r.WastedTokens["deadline"], r.WastedTokens["crash"], r.WastedTokens["preempt"], percent(r.WastedLong, r.MadeTokens), r.Preempted, passed, r.Fairness, r.ControlBytes)
 	return b.String()
 }
 
@@ -64,10 +64,10 @@
 // wasted is the tokens thrown away as a part of those made, in percent.
 func (r Result) wasted() float64 {
 	n := 0
-	for _, v := range r.Wasted {
+	for _, v := range r.WastedTokens {
 		n += v
 	}
-	return percent(n, r.Made)
+	return percent(n, r.MadeTokens)
 }
 
 func percent(part, whole int) float64 {
--- a/cmd/bencher/main.go
+++ b/cmd/bencher/main.go
@@ -73,7 +73,7 @@
 		bencher.WriteTables(w, results)
 		return nil
 	}
-	if err := o.write("policy.jsonl", func(f io.Writer) error { return bencher.WriteLines(f, results) }); err != nil {
+	if err := o.write("policy.jsonl", func(f io.Writer) error { return bencher.WriteJSONLines(f, results) }); err != nil {
 		return err
 	}
 	err := o.write("policy.md", func(f io.Writer) error {
--- a/cmd/matrix/main.go
+++ b/cmd/matrix/main.go
@@ -204,7 +204,7 @@
 		fmt.Printf("%-10s", s)
 		for _, f := range prover.Faults() {
 			cell := "-"
-			if prover.Impossible(s, f) == "" {
+			if prover.ImpossibleReason(s, f) == "" {
 				cell = fmt.Sprint(m.proved[prover.Cell(s, f)])
 			}
 			fmt.Printf("%10s", cell)
@@ -214,7 +214,7 @@
 	fmt.Println("cells marked - can't occur:")
 	for _, f := range prover.Faults() {
 		for _, s := range prover.Steps() {
-			if why := prover.Impossible(s, f); why != "" {
+			if why := prover.ImpossibleReason(s, f); why != "" {
 				fmt.Printf("  %s: %s\n", f, why)
 				break
 			}
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -69,7 +69,7 @@
 	})
 
 	// Both change the same file; the second is told which, and loses nothing.
-	It("are told the files that clash", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+	It("are told the files that clash", Label(prover.Cell(prover.Pushed, prover.PushRace)), func() {
 		write(ann, "10.json", `{"classes": {"hold": {"tier": 1, "whole": "1s"}}}`)
 		write(ben, "10.json", `{"classes": {"hold": {"tier": 2, "whole": "1s"}}}`)
 		_, _, code := run("", "push", ann)
--- a/dispatcher/fault_test.go
+++ b/dispatcher/fault_test.go
@@ -33,7 +33,7 @@
 	// with its call still running and claims it: the place must not be granted
 	// twice.
 	It("keeps a place that its host claims again within the grace period",
-		Label(prover.Cell(prover.Granted, prover.Freeze), prover.Cell(prover.Granted, prover.CutBoth)), func() {
+		Label(prover.Cell(prover.Granted, prover.Freeze), prover.Cell(prover.Granted, prover.CutBothWays)), func() {
 			d := started(1, 1)
 			g := only[messenger.Grant](d.Handle(ready, "a", ask("one", "summary")))[0]
 			d.Handle(ready, "b", ask("two", "summary"))
@@ -48,7 +48,7 @@
 	// A Done is lost with its connection; its host lives on. The entry cut the
 	// call off at its deadline, so the place is free after that.
 	It("reclaims a place whose deadline has passed without a Done",
-		Label(prover.Cell(prover.Granted, prover.Silence), prover.Cell(prover.Sent, prover.Silence)), func() {
+		Label(prover.Cell(prover.Granted, prover.Blackhole), prover.Cell(prover.Sent, prover.Blackhole)), func() {
 			d := started(1, 1)
 			d.Handle(ready, "a", ask("one", "check"))
 			Expect(d.Tick(ready.Add(3900 * time.Millisecond))).To(BeEmpty())
@@ -74,7 +74,7 @@
 			messenger.Cancel{Request: "one", Attempt: 1}, ask("one", "check")),
 		Entry("Ask twice, Done twice", Label(prover.Cell(prover.Granted, prover.Reorder)),
 			ask("one", "check"), ask("one", "check"), messenger.Done{Request: "one", Attempt: 1}, messenger.Done{Request: "one", Attempt: 1}),
-		Entry("Done before Claim", Label(prover.Cell(prover.Taken, prover.Reorder)),
+		Entry("Done before Claim", Label(prover.Cell(prover.RoleTaken, prover.Reorder)),
 			messenger.Done{Request: "one", Attempt: 1}, messenger.Claim{Ask: ask("one", "check"), Worker: "w0"}),
 		Entry("Ask after Done", Label(prover.Cell(prover.Sent, prover.Reorder)),
 			ask("one", "check"), messenger.Done{Request: "one", Attempt: 1}, ask("one", "check")),
@@ -83,7 +83,7 @@
 	// The Grant is lost on its way and the entry asks again with a newer
 	// attempt. A second place for the request would stay in use indefinitely.
 	It("repeats a lost grant on the same place",
-		Label(prover.Cell(prover.Granted, prover.CutOne)), func() {
+		Label(prover.Cell(prover.Granted, prover.CutOneWay)), func() {
 			d := started(2, 1)
 			first := only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))[0]
 			again := ask("one", "check")
@@ -102,7 +102,7 @@
 	// doesn't know the grants in use: granting immediately, it would give every
 	// worker twice what it can take.
 	It("grants nothing until the claims have arrived, and then only free places",
-		Label(prover.Cell(prover.Taken, prover.Kill), prover.Pair(prover.Taken, prover.Kill, prover.Queued, prover.Kill)), func() {
+		Label(prover.Cell(prover.RoleTaken, prover.Kill), prover.Pair(prover.RoleTaken, prover.Kill, prover.Queued, prover.Kill)), func() {
 			d := dispatcher.New(cellOf(1, 2), 1, classes(), dispatcher.Options{})
 			Expect(d.Handle(epochStart, "a", ask("one", "check"))).To(BeEmpty())
 			d.Handle(epochStart.Add(100*time.Millisecond), "b", messenger.Claim{Ask: ask("two", "summary"), Worker: "w0"})
@@ -116,7 +116,7 @@
 	// the previous one returns. Entries refuse the older epoch, so the
 	// successor's must be higher even if its clock is behind.
 	It("raises its epoch, and with it the order of its grants, above any that an entry has seen",
-		Label(prover.Cell(prover.Taken, prover.Freeze)), func() {
+		Label(prover.Cell(prover.RoleTaken, prover.Freeze)), func() {
 			d := started(1, 4)
 			before := only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))[0]
 			seen := ask("two", "check")
--- a/keeper/fault_test.go
+++ b/keeper/fault_test.go
@@ -15,25 +15,25 @@
 	received = prover.Received
 	asked    = prover.Asked
 	granted  = prover.Granted
-	intent   = prover.Intent
+	intent   = prover.IntentRecorded
 	sent     = prover.Sent
 	answered = prover.Answered
-	outcome  = prover.Outcome
+	outcome  = prover.OutcomeRecorded
 	acked    = prover.Acked
-	taken    = prover.Taken
-	handed   = prover.HandedOver
+	taken    = prover.RoleTaken
+	handed   = prover.RoleHandedOver
 
 	kill      = prover.Kill
 	freeze    = prover.Freeze
-	cutOne    = prover.CutOne
-	cutBoth   = prover.CutBoth
-	silence   = prover.Silence
+	cutOne    = prover.CutOneWay
+	cutBoth   = prover.CutBothWays
+	silence   = prover.Blackhole
 	slow      = prover.Slow
 	lostReply = prover.LostReply
 	storeDown = prover.StoreDown
 	storeSlow = prover.StoreSlow
 	reorder   = prover.Reorder
-	crossed   = prover.Crossed
+	crossed   = prover.MismatchedAnswer
 )
 
 // injection is one fault, injected when a step is reached for the nth time.
--- a/keeper/matrix_test.go
+++ b/keeper/matrix_test.go
@@ -35,7 +35,7 @@
 
 // possible reports whether the prover package's matrix has the cell. The others are run as
 // well: they must do no harm.
-func (c cell) possible() bool { return prover.Impossible(c.step, c.fault) == "" }
+func (c cell) possible() bool { return prover.ImpossibleReason(c.step, c.fault) == "" }
 
 func (c cell) labels() Labels {
 	if !c.possible() {
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -222,7 +222,7 @@
 			Expect(float64(w.total()-before) / 10 / 90).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
 		},
 		Entry("and another takes over", Label(prover.Cell(prover.Received, prover.Kill)), false, 0.9, 1.2),
-		Entry("and none can be reached", Label(prover.Cell(prover.Received, prover.CutBoth)), true, 0.9, 1.2),
+		Entry("and none can be reached", Label(prover.Cell(prover.Received, prover.CutBothWays)), true, 0.9, 1.2),
 	)
 
 	It("admit traffic that moves to another host immediately", func() {
@@ -238,7 +238,7 @@
 
 	// The answer that reduced an entry's loan is lost: the entry goes on using
 	// the larger loan until that expires.
-	It("count a previous loan that an entry may still use", Label(prover.Cell(prover.Received, prover.CutOne)), func() {
+	It("count a previous loan that an entry may still use", Label(prover.Cell(prover.Received, prover.CutOneWay)), func() {
 		var l limiter.Lender
 		now, since, limit := time.Unix(10000, 0), time.Time{}, limiter.Rates{Requests: 90}
 		lend := func(host string, demand float64) float64 {
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -110,13 +110,13 @@
 			sendAll(sender, link.Address(), numbered(sent, sent+1))
 			Eventually(got.all).Should(Equal(numbered(0, sent+1)))
 		},
-		Entry("cut both ways", Label(prover.Cell(prover.Asked, prover.CutBoth), prover.Cell(prover.Granted, prover.CutBoth)), faker.Cut),
-		Entry("silent open connections", Label(prover.Cell(prover.Asked, prover.Silence), prover.Cell(prover.Granted, prover.Silence)), faker.SilentOpen),
-		Entry("one way: acknowledgements lost", Label(prover.Cell(prover.Asked, prover.CutOne)), faker.Forward),
-		Entry("other way: frames lost", Label(prover.Cell(prover.Granted, prover.CutOne)), faker.Backward),
-		Entry("silent, then cut", Label(prover.Pair(prover.Asked, prover.Silence, prover.Asked, prover.CutBoth)), faker.SilentOpen, faker.Cut),
-		Entry("silent twice", Label(prover.Pair(prover.Asked, prover.Silence, prover.Asked, prover.Silence)), faker.SilentOpen, faker.SilentOpen),
-		Entry("cut, then one way", Label(prover.Pair(prover.Asked, prover.CutBoth, prover.Asked, prover.CutOne)), faker.Cut, faker.Forward),
+		Entry("cut both ways", Label(prover.Cell(prover.Asked, prover.CutBothWays), prover.Cell(prover.Granted, prover.CutBothWays)), faker.Cut),
+		Entry("silent open connections", Label(prover.Cell(prover.Asked, prover.Blackhole), prover.Cell(prover.Granted, prover.Blackhole)), faker.SilentOpen),
+		Entry("one way: acknowledgements lost", Label(prover.Cell(prover.Asked, prover.CutOneWay)), faker.Forward),
+		Entry("other way: frames lost", Label(prover.Cell(prover.Granted, prover.CutOneWay)), faker.Backward),
+		Entry("silent, then cut", Label(prover.Pair(prover.Asked, prover.Blackhole, prover.Asked, prover.CutBothWays)), faker.SilentOpen, faker.Cut),
+		Entry("silent twice", Label(prover.Pair(prover.Asked, prover.Blackhole, prover.Asked, prover.Blackhole)), faker.SilentOpen, faker.SilentOpen),
+		Entry("cut, then one way", Label(prover.Pair(prover.Asked, prover.CutBothWays, prover.Asked, prover.CutOneWay)), faker.Cut, faker.Forward),
 	)
 
 	It("sends one message to many peers and reports those that it could not", func() {
--- a/observer/observer_test.go
+++ b/observer/observer_test.go
@@ -85,7 +85,7 @@
 		Entry("a refusal says leaving", 2.0, "b fixed", event{0, "list", "a b"}, event{1, "refuse", "a"}),
 		Entry("a refusal alone expires", 6.0, "a b fixed", event{0, "list", "a b"}, event{1, "refuse", "a"}),
 		Entry("a report that is older than the refusal changes nothing", 2.0, "b fixed", event{0, "list", "a b"}, event{1, "refuse", "a"}, event{1.5, "report", "a"}),
-		Entry("a late list does not revoke what the report says", Label(prover.Cell(prover.Granted, prover.LateList), prover.Cell(prover.Sent, prover.LateList), prover.Cell(prover.Draining, prover.LateList)),
+		Entry("a late list does not revoke what the report says", Label(prover.Cell(prover.Granted, prover.LateHostList), prover.Cell(prover.Sent, prover.LateHostList), prover.Cell(prover.Draining, prover.LateHostList)),
 			3.0, "b fixed", event{0, "list", "a b"}, event{1, "report", "a!"}, event{2, "list", "a b"}),
 		Entry("a report does not revoke what the list says", 3.0, "b fixed", event{0, "list", "a! b"}, event{2, "report", "a"}),
 		Entry("a restarted worker is available again when its report says so", 3.0, "a b fixed", event{0, "list", "a b"}, event{1, "report", "a!"}, event{2, "report", "a"}),
--- a/prover/cells.go
+++ b/prover/cells.go
@@ -13,25 +13,25 @@
 	requestSteps = Steps()[:11]
 	configSteps  = Steps()[11:15]
 	hostSteps    = Steps()[15:]
-	storeSteps   = []Step{Intent, Outcome, Pushed, Written, Watched, InForce, Renewed, Taken, HandedOver, Draining}
+	storeSteps   = []Step{IntentRecorded, OutcomeRecorded, Pushed, Written, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}
 )
 
 // reaches is the whole table, one line a fault.
 var reaches = []reach{
 	{Kill, Steps(), ""},
 	{Freeze, Steps(), ""},
-	{CutOne, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
-	{CutBoth, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
-	{Silence, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
+	{CutOneWay, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
+	{CutBothWays, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
+	{Blackhole, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
 	{Slow, slices.Concat(requestSteps, hostSteps), "a slow push or watch is the store's slowness: see storeslow"},
-	{LostReply, []Step{Intent, Outcome, Pushed, Renewed, Taken, HandedOver, Draining}, "the step writes nothing to the store"},
+	{LostReply, []Step{IntentRecorded, OutcomeRecorded, Pushed, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}, "the step writes nothing to the store"},
 	{StoreDown, storeSteps, "the step does not use the store"},
 	{StoreSlow, storeSteps, "the step does not use the store"},
-	{WatchGap, []Step{Watched, InForce, Renewed, Taken, HandedOver, Draining}, "the step follows from no watch"},
-	{LateList, []Step{Granted, Sent, Draining}, "the host list decides only which worker gets a new request, and which is leaving"},
-	{Reorder, []Step{Received, Queued, Asked, Granted, Intent, Sent, First, Mid, Answered, Outcome, Acked, Watched, InForce, Renewed, Taken, HandedOver, Draining}, "the step is reached by no frame, answer or reply that could come twice or late"},
-	{Crossed, []Step{Sent, First, Mid, Answered, Acked}, "only what answers a call that was sent can belong to another request"},
-	{Race, configSteps, "operators race each other in pushes only"},
+	{WatchGap, []Step{Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}, "the step follows from no watch"},
+	{LateHostList, []Step{Granted, Sent, Draining}, "the host list decides only which worker gets a new request, and which is leaving"},
+	{Reorder, []Step{Received, Queued, Asked, Granted, IntentRecorded, Sent, FirstToken, MidStream, Answered, OutcomeRecorded, Acked, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}, "the step is reached by no frame, answer or reply that could come twice or late"},
+	{MismatchedAnswer, []Step{Sent, FirstToken, MidStream, Answered, Acked}, "only what answers a call that was sent can belong to another request"},
+	{PushRace, configSteps, "operators race each other in pushes only"},
 }
 
 // Cells is every step and fault that can meet, as Cell labels in order.
@@ -47,8 +47,8 @@
 	return out
 }
 
-// Impossible is why a fault can't occur at a step; "" where it can.
-func Impossible(s Step, f Fault) string {
+// ImpossibleReason is why a fault can't occur at a step; "" where it can.
+func ImpossibleReason(s Step, f Fault) string {
 	for _, r := range reaches {
 		if r.fault == f && !slices.Contains(r.steps, s) {
 			return r.reason
--- a/prover/prover.go
+++ b/prover/prover.go
@@ -14,17 +14,17 @@
 
 // Steps of a request.
 const (
-	Received Step = "received"
-	Queued   Step = "queued"
-	Asked    Step = "asked"
-	Granted  Step = "granted"
-	Intent   Step = "intent" // recorded
-	Sent     Step = "sent"
-	First    Step = "first" // token
-	Mid      Step = "mid"   // stream
-	Answered Step = "answered"
-	Outcome  Step = "outcome" // recorded
-	Acked    Step = "acked"
+	Received        Step = "received"
+	Queued          Step = "queued"
+	Asked           Step = "asked"
+	Granted         Step = "granted"
+	IntentRecorded  Step = "intent" // recorded
+	Sent            Step = "sent"
+	FirstToken      Step = "first" // token
+	MidStream       Step = "mid"   // stream
+	Answered        Step = "answered"
+	OutcomeRecorded Step = "outcome" // recorded
+	Acked           Step = "acked"
 )
 
 // Steps of a configuration.
@@ -37,11 +37,11 @@
 
 // Steps of a host.
 const (
-	Renewed    Step = "renewed" // its lease
-	Taken      Step = "taken"   // a role
-	HandedOver Step = "handed"  // a role
-	Draining   Step = "draining"
-	Drained    Step = "drained"
+	LeaseRenewed   Step = "renewed" // its lease
+	RoleTaken      Step = "taken"   // a role
+	RoleHandedOver Step = "handed"  // a role
+	Draining       Step = "draining"
+	Drained        Step = "drained"
 )
 
 // Fault is something that goes wrong.
@@ -49,33 +49,33 @@
 
 // Faults.
 const (
-	Kill      Fault = "kill"   // SIGKILL
-	Freeze    Fault = "freeze" // beyond the lease, and return
-	CutOne    Fault = "cut1"   // one way
-	CutBoth   Fault = "cut2"   // both ways
-	Silence   Fault = "silence"
-	Slow      Fault = "slow"
-	LostReply Fault = "lostreply" // after the write took effect
-	StoreDown Fault = "down"
-	StoreSlow Fault = "storeslow"
-	WatchGap  Fault = "gap"
-	LateList  Fault = "latelist" // host list late
-	Reorder   Fault = "reorder"  // duplicate or reordered frame
-	Crossed   Fault = "crossed"  // answer of another request
-	Race      Fault = "race"     // operators
+	Kill             Fault = "kill"   // SIGKILL
+	Freeze           Fault = "freeze" // beyond the lease, and return
+	CutOneWay        Fault = "cut1"   // one way
+	CutBothWays      Fault = "cut2"   // both ways
+	Blackhole        Fault = "silence"
+	Slow             Fault = "slow"
+	LostReply        Fault = "lostreply" // after the write took effect
+	StoreDown        Fault = "down"
+	StoreSlow        Fault = "storeslow"
+	WatchGap         Fault = "gap"
+	LateHostList     Fault = "latelist" // host list late
+	Reorder          Fault = "reorder"  // duplicate or reordered frame
+	MismatchedAnswer Fault = "crossed"  // answer of another request
+	PushRace         Fault = "race"     // operators
 )
 
 // Steps is every step, in order.
 func Steps() []Step {
 	return []Step{
-		Received, Queued, Asked, Granted, Intent, Sent, First, Mid, Answered, Outcome, Acked,
-		Pushed, Written, Watched, InForce, Renewed, Taken, HandedOver, Draining, Drained,
+		Received, Queued, Asked, Granted, IntentRecorded, Sent, FirstToken, MidStream, Answered, OutcomeRecorded, Acked,
+		Pushed, Written, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining, Drained,
 	}
 }
 
 // Faults is every fault.
 func Faults() []Fault {
-	return []Fault{Kill, Freeze, CutOne, CutBoth, Silence, Slow, LostReply, StoreDown, StoreSlow, WatchGap, LateList, Reorder, Crossed, Race}
+	return []Fault{Kill, Freeze, CutOneWay, CutBothWays, Blackhole, Slow, LostReply, StoreDown, StoreSlow, WatchGap, LateHostList, Reorder, MismatchedAnswer, PushRace}
 }
 
 const (
--- a/prover/prover_suite_test.go
+++ b/prover/prover_suite_test.go
@@ -19,7 +19,7 @@
 		possible := prover.Cells()
 		for _, s := range prover.Steps() {
 			for _, f := range prover.Faults() {
-				if prover.Impossible(s, f) == "" {
+				if prover.ImpossibleReason(s, f) == "" {
 					Expect(possible).To(ContainElement(prover.Cell(s, f)))
 				} else {
 					Expect(possible).NotTo(ContainElement(prover.Cell(s, f)))
--- a/publisher/checkout_test.go
+++ b/publisher/checkout_test.go
@@ -46,7 +46,7 @@
 
 	// Guards against a push that removes another operator's file: after a rebased push the
 	// folder would have the new base, but not the files that the push was rebased onto.
-	It("gets the other changes in the head after a rebased push", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+	It("gets the other changes in the head after a rebased push", Label(prover.Cell(prover.Pushed, prover.PushRace)), func() {
 		write(ben, "30.json", class("plan", 2))
 		Expect(os.Remove(filepath.Join(ben, "20.json"))).To(Succeed())
 		Expect(push(ben)).To(Succeed())
--- a/publisher/follower_test.go
+++ b/publisher/follower_test.go
@@ -131,7 +131,7 @@
 
 	// Guards against a host that keeps an old configuration forever: a device between host
 	// and platform drops the watch's connection, which stays open without events.
-	It("puts each push in force through its poll while the watch is stalled", Label(prover.Cell(prover.Watched, prover.Silence)), func() {
+	It("puts each push in force through its poll while the watch is stalled", Label(prover.Cell(prover.Watched, prover.Blackhole)), func() {
 		m := runFollower(stalledStore{store}, fastTiming)
 		for _, name := range []string{"a", "b"} {
 			g := push(name)
--- a/publisher/push_test.go
+++ b/publisher/push_test.go
@@ -34,7 +34,7 @@
 
 	// Guards against a push that silently reverts an accepted one: Ben's write takes effect
 	// between Ann's read and her write, and an unconditional write would replace it.
-	It("lands both of two racing pushes that change different files", Label(prover.Cell(prover.Pushed, prover.Race), prover.Cell(prover.Written, prover.Race)), func() {
+	It("lands both of two racing pushes that change different files", Label(prover.Cell(prover.Pushed, prover.PushRace), prover.Cell(prover.Written, prover.PushRace)), func() {
 		store.beforeWrite = func() {
 			_, err := ben.edit("plan", 2).push(101)
 			Expect(err).NotTo(HaveOccurred())
@@ -47,7 +47,7 @@
 		Expect(ann.files).To(HaveKey("plan.json"), "Ann's next push must not remove Ben's file")
 	})
 
-	It("rejects a push whose file was changed meanwhile, and names the file", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+	It("rejects a push whose file was changed meanwhile, and names the file", Label(prover.Cell(prover.Pushed, prover.PushRace)), func() {
 		store.beforeWrite = func() {
 			_, err := ben.edit("hold", 2).push(101)
 			Expect(err).NotTo(HaveOccurred())
@@ -93,7 +93,7 @@
 	)
 
 	// As above, but another push changes the same file before the head is read back.
-	It("finds its own write below a later push of the same file", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.Race)), func() {
+	It("finds its own write below a later push of the same file", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.PushRace)), func() {
 		raced := &racingStore{fakeStore: store, race: func() {
 			_, err := newOperator(store).edit("quote", 2).push(102)
 			Expect(err).NotTo(HaveOccurred())
@@ -130,7 +130,7 @@
 
 	// Guards against a guessed result: after a lost reply, so many other pushes land before
 	// the head is read back that it would no longer list the write if it had landed.
-	It("reports an unknown outcome if the head no longer lists the write", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.Race)), func() {
+	It("reports an unknown outcome if the head no longer lists the write", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.PushRace)), func() {
 		store.outcomes = []outcome{lost}
 		busy := &racingStore{fakeStore: store, race: func() {
 			for i := range 64 {
@@ -156,7 +156,7 @@
 	// Guards against a push that conflicts with itself or reverts a later one: its process
 	// is killed after the write, before the folder's base is updated, and another operator
 	// changes the same file. Then the push is run again.
-	It("lands once if its process was killed after the write", Label(prover.Cell(prover.Written, prover.Kill), prover.Pair(prover.Written, prover.Kill, prover.Pushed, prover.Race)), func() {
+	It("lands once if its process was killed after the write", Label(prover.Cell(prover.Written, prover.Kill), prover.Pair(prover.Written, prover.Kill, prover.Pushed, prover.PushRace)), func() {
 		base, files := ann.base, maps.Clone(ann.edit("hold", 3).files)
 		_, err := ann.push(101)
 		Expect(err).NotTo(HaveOccurred())
--- a/publisher/tracker_test.go
+++ b/publisher/tracker_test.go
@@ -34,15 +34,15 @@
 var faultCases = []faultCase{
 	{prover.Kill, allSteps, func(_ *fleet, h *host) { h.down = true }, func(f *fleet, h *host) { f.boot(h) }},
 	{prover.Freeze, allSteps, func(_ *fleet, h *host) { h.frozen = true }, func(_ *fleet, h *host) { h.frozen = false }},
-	{prover.CutBoth, allSteps, func(_ *fleet, h *host) { h.noPeers, h.noStore = true, true }, func(_ *fleet, h *host) { h.noPeers, h.noStore = false, false }},
-	{prover.CutOne, allSteps, func(_ *fleet, h *host) { h.noReceive = true }, func(_ *fleet, h *host) { h.noReceive = false }},
-	{prover.Silence, allSteps, func(f *fleet, h *host) { h.watchStalled, f.store.outcomes = true, []outcome{dropped} }, func(_ *fleet, h *host) { h.watchStalled = false }},
+	{prover.CutBothWays, allSteps, func(_ *fleet, h *host) { h.noPeers, h.noStore = true, true }, func(_ *fleet, h *host) { h.noPeers, h.noStore = false, false }},
+	{prover.CutOneWay, allSteps, func(_ *fleet, h *host) { h.noReceive = true }, func(_ *fleet, h *host) { h.noReceive = false }},
+	{prover.Blackhole, allSteps, func(f *fleet, h *host) { h.watchStalled, f.store.outcomes = true, []outcome{dropped} }, func(_ *fleet, h *host) { h.watchStalled = false }},
 	{prover.StoreDown, allSteps, func(f *fleet, _ *host) { f.store.down = true }, func(f *fleet, _ *host) { f.store.down = false }},
 	{prover.StoreSlow, allSteps, func(f *fleet, _ *host) { f.storeDelay = 2 * time.Second }, func(f *fleet, _ *host) { f.storeDelay = 0 }},
 	{prover.WatchGap, afterWrite, func(f *fleet, _ *host) { f.skipEvents() }, func(*fleet, *host) {}},
 	{prover.Reorder, afterWrite, func(f *fleet, _ *host) { f.duplicate = true }, func(f *fleet, _ *host) { f.duplicate = false }},
 	{prover.LostReply, atPush, func(f *fleet, _ *host) { f.store.outcomes = []outcome{lost} }, func(*fleet, *host) {}},
-	{prover.Race, allSteps, func(f *fleet, _ *host) { _ = f.push(newOperator(f.store), "race") }, func(*fleet, *host) {}},
+	{prover.PushRace, allSteps, func(f *fleet, _ *host) { _ = f.push(newOperator(f.store), "race") }, func(*fleet, *host) {}},
 }
 
 // skipEvents makes every watch miss its next event.
@@ -165,7 +165,7 @@
 
 	// Guards against a host that stays ready with a configuration that was replaced, while it
 	// is disconnected from the platform and all other hosts.
-	It("becomes unready when nobody confirms its generation, and ready again", Label(prover.Cell(prover.InForce, prover.CutBoth)), func() {
+	It("becomes unready when nobody confirms its generation, and ready again", Label(prover.Cell(prover.InForce, prover.CutBothWays)), func() {
 		f.hosts[0].noPeers, f.hosts[0].noStore = true, true
 		f.run(11 * time.Second)
 		Expect(f.hosts[0].ready).To(BeFalse())
@@ -177,7 +177,7 @@
 
 	// Guards against peers with the same old generation that keep confirming a host, while
 	// another peer announces a newer generation that can't be fetched from it.
-	It("becomes unready if a newer generation is announced that it can't get", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.CutOne)), func() {
+	It("becomes unready if a newer generation is announced that it can't get", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.CutOneWay)), func() {
 		f.store.down = true
 		h := f.hosts[0]
 		for range 60 {
@@ -192,7 +192,7 @@
 
 	// Guards against a push that reaches only one host, because the platform goes down just
 	// after it.
-	It("gets a configuration from a peer while the platform is down", Label(prover.Cell(prover.Watched, prover.StoreDown), prover.Pair(prover.Watched, prover.CutBoth, prover.InForce, prover.StoreDown)), func() {
+	It("gets a configuration from a peer while the platform is down", Label(prover.Cell(prover.Watched, prover.StoreDown), prover.Pair(prover.Watched, prover.CutBothWays, prover.InForce, prover.StoreDown)), func() {
 		f.hosts[0].noStore, f.hosts[1].noStore = true, true
 		f.hosts[0].noPeers, f.hosts[1].noPeers = true, true
 		Expect(f.push(newOperator(f.store), "third")).To(Succeed())
@@ -206,7 +206,7 @@
 
 	// Guards against a host that starts during an outage of the platform with the generation
 	// of the first peer that answers, while another peer has a newer one.
-	It("starts with the highest generation of its peers while the platform is down", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.Kill), prover.Cell(prover.Taken, prover.StoreDown)), func() {
+	It("starts with the highest generation of its peers while the platform is down", Label(prover.Pair(prover.InForce, prover.StoreDown, prover.InForce, prover.Kill), prover.Cell(prover.RoleTaken, prover.StoreDown)), func() {
 		f.hosts[1].noStore, f.hosts[1].noPeers = true, true
 		Expect(f.push(newOperator(f.store), "third")).To(Succeed())
 		f.run(2 * time.Second)
--- a/registrar/members_test.go
+++ b/registrar/members_test.go
@@ -31,10 +31,10 @@
 }
 
 var harmful = map[prover.Fault]fault{
-	prover.Kill:    {func(f *fleet) { f.kill(victim) }, func(f *fleet) { f.revive(victim) }},
-	prover.Freeze:  {func(f *fleet) { f.freeze(victim) }, func(f *fleet) { f.thaw(victim) }},
-	prover.CutOne:  {func(f *fleet) { f.setCut(true, false, victim) }, func(f *fleet) { f.setCut(false, false, victim) }},
-	prover.CutBoth: {func(f *fleet) { f.setCut(true, true, victim) }, func(f *fleet) { f.setCut(false, true, victim) }},
+	prover.Kill:        {func(f *fleet) { f.kill(victim) }, func(f *fleet) { f.revive(victim) }},
+	prover.Freeze:      {func(f *fleet) { f.freeze(victim) }, func(f *fleet) { f.thaw(victim) }},
+	prover.CutOneWay:   {func(f *fleet) { f.setCut(true, false, victim) }, func(f *fleet) { f.setCut(false, false, victim) }},
+	prover.CutBothWays: {func(f *fleet) { f.setCut(true, true, victim) }, func(f *fleet) { f.setCut(false, true, victim) }},
 }
 
 func faultOf(name prover.Fault) fault {
@@ -46,7 +46,7 @@
 
 func everyFault() []prover.Fault {
 	return []prover.Fault{
-		prover.Kill, prover.Freeze, prover.CutOne, prover.CutBoth,
+		prover.Kill, prover.Freeze, prover.CutOneWay, prover.CutBothWays,
 		prover.Slow, prover.Reorder, prover.StoreDown, prover.StoreSlow, prover.WatchGap,
 	}
 }
@@ -66,13 +66,13 @@
 			f.run(detectionBound)
 			Expect(f.rosters()).To(ConsistOf(f.running()))
 		},
-		Entry("alone", Label(prover.Cell(prover.Renewed, prover.Kill), prover.Cell(prover.Taken, prover.Kill)), 9, 4, 1),
+		Entry("alone", Label(prover.Cell(prover.LeaseRenewed, prover.Kill), prover.Cell(prover.RoleTaken, prover.Kill)), 9, 4, 1),
 		Entry("in three regions", 36, 7, 3),
 		Entry("in four hosts", 4, 2, 1),
-		Entry("with the store down", Label(prover.Cell(prover.Renewed, prover.StoreDown), prover.Pair(prover.Renewed, prover.StoreDown, prover.Renewed, prover.Kill)), 9, 4, 1, prover.StoreDown),
-		Entry("with the store slow", Label(prover.Cell(prover.Renewed, prover.StoreSlow), prover.Pair(prover.Renewed, prover.StoreSlow, prover.Renewed, prover.Kill)), 9, 4, 1, prover.StoreSlow),
-		Entry("with frames duplicated and reordered", Label(prover.Cell(prover.Renewed, prover.Reorder), prover.Pair(prover.Renewed, prover.Reorder, prover.Renewed, prover.Kill)), 9, 4, 1, prover.Reorder),
-		Entry("with a watch that lost changes", Label(prover.Cell(prover.Renewed, prover.WatchGap), prover.Pair(prover.Renewed, prover.WatchGap, prover.Renewed, prover.Kill)), 9, 4, 1, prover.WatchGap),
+		Entry("with the store down", Label(prover.Cell(prover.LeaseRenewed, prover.StoreDown), prover.Pair(prover.LeaseRenewed, prover.StoreDown, prover.LeaseRenewed, prover.Kill)), 9, 4, 1, prover.StoreDown),
+		Entry("with the store slow", Label(prover.Cell(prover.LeaseRenewed, prover.StoreSlow), prover.Pair(prover.LeaseRenewed, prover.StoreSlow, prover.LeaseRenewed, prover.Kill)), 9, 4, 1, prover.StoreSlow),
+		Entry("with frames duplicated and reordered", Label(prover.Cell(prover.LeaseRenewed, prover.Reorder), prover.Pair(prover.LeaseRenewed, prover.Reorder, prover.LeaseRenewed, prover.Kill)), 9, 4, 1, prover.Reorder),
+		Entry("with a watch that lost changes", Label(prover.Cell(prover.LeaseRenewed, prover.WatchGap), prover.Pair(prover.LeaseRenewed, prover.WatchGap, prover.LeaseRenewed, prover.Kill)), 9, 4, 1, prover.WatchGap),
 	)
 
 	// Guards against a slow link or store looking like a failed host: a host that is declared
@@ -87,12 +87,12 @@
 			Expect(f.deaths).To(BeEmpty())
 			Expect(f.rosters()).To(ConsistOf(f.running()))
 		},
-		Entry("slow links", Label(prover.Cell(prover.Renewed, prover.Slow), prover.Cell(prover.Taken, prover.Slow)), prover.Slow),
-		Entry("duplicated frames", Label(prover.Cell(prover.Taken, prover.Reorder)), prover.Reorder),
-		Entry("store down", Label(prover.Cell(prover.Taken, prover.StoreDown)), prover.StoreDown),
-		Entry("slow store", Label(prover.Cell(prover.Taken, prover.StoreSlow)), prover.StoreSlow),
-		Entry("watch gap", Label(prover.Cell(prover.Taken, prover.WatchGap)), prover.WatchGap),
-		Entry("slow links and store down", Label(prover.Pair(prover.Renewed, prover.Slow, prover.Renewed, prover.StoreDown)), prover.Slow, prover.StoreDown),
+		Entry("slow links", Label(prover.Cell(prover.LeaseRenewed, prover.Slow), prover.Cell(prover.RoleTaken, prover.Slow)), prover.Slow),
+		Entry("duplicated frames", Label(prover.Cell(prover.RoleTaken, prover.Reorder)), prover.Reorder),
+		Entry("store down", Label(prover.Cell(prover.RoleTaken, prover.StoreDown)), prover.StoreDown),
+		Entry("slow store", Label(prover.Cell(prover.RoleTaken, prover.StoreSlow)), prover.StoreSlow),
+		Entry("watch gap", Label(prover.Cell(prover.RoleTaken, prover.WatchGap)), prover.WatchGap),
+		Entry("slow links and store down", Label(prover.Pair(prover.LeaseRenewed, prover.Slow, prover.LeaseRenewed, prover.StoreDown)), prover.Slow, prover.StoreDown),
 	)
 
 	// Guards against two hosts that lose their connection declaring each other dead while all
@@ -105,14 +105,14 @@
 			Expect(f.deaths).To(BeEmpty())
 			Expect(f.rosters()).To(ConsistOf(f.running()))
 		},
-		Entry("one way", Label(prover.Cell(prover.Renewed, prover.CutOne), prover.Cell(prover.Taken, prover.CutOne)), false),
-		Entry("both ways", Label(prover.Cell(prover.Renewed, prover.CutBoth), prover.Cell(prover.Taken, prover.CutBoth)), true),
+		Entry("one way", Label(prover.Cell(prover.LeaseRenewed, prover.CutOneWay), prover.Cell(prover.RoleTaken, prover.CutOneWay)), false),
+		Entry("both ways", Label(prover.Cell(prover.LeaseRenewed, prover.CutBothWays), prover.Cell(prover.RoleTaken, prover.CutBothWays)), true),
 	)
 
 	// Guards against a host that was frozen, and declared dead, still acting in its roles when
 	// it resumes. It must learn of that and rejoin under a new incarnation.
 	It("a frozen host that resumes takes no role until it has rejoined", Label(
-		prover.Cell(prover.Renewed, prover.Freeze), prover.Cell(prover.Taken, prover.Freeze)), func() {
+		prover.Cell(prover.LeaseRenewed, prover.Freeze), prover.Cell(prover.RoleTaken, prover.Freeze)), func() {
 		f := newFleet(9, 4, 1)
 		f.freeze(victim)
 		f.run(10 * time.Second)
@@ -134,7 +134,7 @@
 
 	// Guards against regions that lose their connections to each other for minutes: on both
 	// sides every role must have an owner on that side, and no host may be declared dead.
-	It("regions that lose their connections keep serving, and converge again afterwards", Label(prover.Pair(prover.Taken, prover.CutBoth, prover.Taken, prover.StoreDown)), func() {
+	It("regions that lose their connections keep serving, and converge again afterwards", Label(prover.Pair(prover.RoleTaken, prover.CutBothWays, prover.RoleTaken, prover.StoreDown)), func() {
 		f := newFleet(18, 6, 2)
 		f.storeDown = true
 		var east []string
@@ -163,7 +163,7 @@
 	// Guards against a region staying split after a failed switch is back. With the store down,
 	// each group of hosts has declared the other dead, and neither sends to the other. All hosts
 	// must be on every roster again.
-	It("two groups that declared each other dead converge again", Label(prover.Pair(prover.Renewed, prover.CutBoth, prover.Renewed, prover.StoreDown)), func() {
+	It("two groups that declared each other dead converge again", Label(prover.Pair(prover.LeaseRenewed, prover.CutBothWays, prover.LeaseRenewed, prover.StoreDown)), func() {
 		f := newFleet(9, 4, 1)
 		f.storeDown = true
 		group := []string{"h00", "h01", "h02", victim}
@@ -177,7 +177,7 @@
 
 	// Guards against a host that receives messages but whose own don't arrive. It is declared
 	// dead and notified of that; if it rejoined each time, its roles would move without end.
-	It("a host whose messages don't arrive does not rejoin again and again", Label(prover.Pair(prover.Renewed, prover.CutOne, prover.Taken, prover.CutOne)), func() {
+	It("a host whose messages don't arrive does not rejoin again and again", Label(prover.Pair(prover.LeaseRenewed, prover.CutOneWay, prover.RoleTaken, prover.CutOneWay)), func() {
 		f := newFleet(9, 4, 1)
 		f.setCut(true, false, victim)
 		f.run(2 * time.Minute)
@@ -190,7 +190,7 @@
 
 	// With two hosts only, neither can tell a failed peer from a cut. The survivor must take the
 	// roles immediately, and declare the peer dead only when its lease has expired.
-	It("of two hosts one is declared dead only when its lease has expired too", Label(prover.Cell(prover.HandedOver, prover.Kill)), func() {
+	It("of two hosts one is declared dead only when its lease has expired too", Label(prover.Cell(prover.RoleHandedOver, prover.Kill)), func() {
 		f := newFleet(2, 1, 1)
 		f.names = []string{"h00", "h01"}
 		f.setCut(true, true, "h01")
@@ -234,11 +234,11 @@
 			f.run(10 * time.Second)
 			Expect(f.deaths).To(BeEmpty())
 		},
-		Entry("alone", Label(prover.Cell(prover.HandedOver, prover.Slow), prover.Cell(prover.Draining, prover.Slow)), prover.Slow),
-		Entry("store down", Label(prover.Cell(prover.Draining, prover.StoreDown), prover.Cell(prover.HandedOver, prover.StoreDown)), prover.StoreDown),
-		Entry("store slow", Label(prover.Cell(prover.Draining, prover.StoreSlow), prover.Cell(prover.HandedOver, prover.StoreSlow)), prover.StoreSlow),
-		Entry("watch gap", Label(prover.Cell(prover.Draining, prover.WatchGap), prover.Cell(prover.HandedOver, prover.WatchGap)), prover.WatchGap),
-		Entry("duplicated frames", Label(prover.Cell(prover.Draining, prover.Reorder), prover.Cell(prover.HandedOver, prover.Reorder)), prover.Reorder),
+		Entry("alone", Label(prover.Cell(prover.RoleHandedOver, prover.Slow), prover.Cell(prover.Draining, prover.Slow)), prover.Slow),
+		Entry("store down", Label(prover.Cell(prover.Draining, prover.StoreDown), prover.Cell(prover.RoleHandedOver, prover.StoreDown)), prover.StoreDown),
+		Entry("store slow", Label(prover.Cell(prover.Draining, prover.StoreSlow), prover.Cell(prover.RoleHandedOver, prover.StoreSlow)), prover.StoreSlow),
+		Entry("watch gap", Label(prover.Cell(prover.Draining, prover.WatchGap), prover.Cell(prover.RoleHandedOver, prover.WatchGap)), prover.WatchGap),
+		Entry("duplicated frames", Label(prover.Cell(prover.Draining, prover.Reorder), prover.Cell(prover.RoleHandedOver, prover.Reorder)), prover.Reorder),
 		Entry("store down and duplicated frames", Label(prover.Pair(prover.Draining, prover.StoreDown, prover.Draining, prover.Reorder)), prover.StoreDown, prover.Reorder),
 	)
 
@@ -275,9 +275,9 @@
 			Expect(f.rosterOf("h00")).NotTo(ContainSubstring(victim))
 		},
 		Entry("kill", Label(prover.Cell(prover.Draining, prover.Kill), prover.Cell(prover.Drained, prover.Kill)), prover.Kill),
-		Entry("freeze", Label(prover.Cell(prover.Draining, prover.Freeze), prover.Cell(prover.HandedOver, prover.Freeze)), prover.Freeze),
-		Entry("cut one way", Label(prover.Cell(prover.Draining, prover.CutOne), prover.Cell(prover.HandedOver, prover.CutOne)), prover.CutOne),
-		Entry("cut both ways", Label(prover.Cell(prover.Draining, prover.CutBoth), prover.Cell(prover.HandedOver, prover.CutBoth)), prover.CutBoth),
+		Entry("freeze", Label(prover.Cell(prover.Draining, prover.Freeze), prover.Cell(prover.RoleHandedOver, prover.Freeze)), prover.Freeze),
+		Entry("cut one way", Label(prover.Cell(prover.Draining, prover.CutOneWay), prover.Cell(prover.RoleHandedOver, prover.CutOneWay)), prover.CutOneWay),
+		Entry("cut both ways", Label(prover.Cell(prover.Draining, prover.CutBothWays), prover.Cell(prover.RoleHandedOver, prover.CutBothWays)), prover.CutBothWays),
 	)
 
 	// Guards against a wrong answer to a probe: a host that is gone must be notified of that
@@ -375,7 +375,7 @@
 	for _, a := range everyFault() {
 		for _, b := range everyFault() {
 			if a != b {
-				out = append(out, prover.Pair(prover.Renewed, a, prover.Renewed, b))
+				out = append(out, prover.Pair(prover.LeaseRenewed, a, prover.LeaseRenewed, b))
 			}
 		}
 	}
--- a/registrar/registrar_test.go
+++ b/registrar/registrar_test.go
@@ -144,7 +144,7 @@
 			Expect(b.Counts().Deaths).To(BeZero())
 		},
 		Entry("alone", faker.Faults{}),
-		Entry("with replies lost", Label(prover.Cell(prover.Renewed, prover.LostReply), prover.Cell(prover.Taken, prover.LostReply), prover.Cell(prover.HandedOver, prover.LostReply)), faker.Faults{Lose: 3}),
+		Entry("with replies lost", Label(prover.Cell(prover.LeaseRenewed, prover.LostReply), prover.Cell(prover.RoleTaken, prover.LostReply), prover.Cell(prover.RoleHandedOver, prover.LostReply)), faker.Faults{Lose: 3}),
 		Entry("with the store slow", faker.Faults{Delay: 100 * time.Millisecond}),
 	)
 
@@ -168,7 +168,7 @@
 	// Guards against a process that was frozen while its name was given to a new one: when it
 	// resumes, it must neither overwrite the new record nor count as the new process.
 	It("a previous process does not overwrite the record of its successor", Label(
-		prover.Pair(prover.Renewed, prover.Freeze, prover.Renewed, prover.Kill)), func() {
+		prover.Pair(prover.LeaseRenewed, prover.Freeze, prover.LeaseRenewed, prover.Kill)), func() {
 		value, err := json.Marshal(registrar.Record{Name: "a", Control: "elsewhere", Incarnation: 9})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Put(context.Background(), registrar.Prefix+"a", value, storer.Condition{})
@@ -180,7 +180,7 @@
 
 	// Guards against a long outage of the store making hosts look dead: their leases expire, but
 	// their peers still receive their heartbeats.
-	It("keeps the roster during an outage of the store", Label(prover.Cell(prover.Renewed, prover.StoreDown)), func() {
+	It("keeps the roster during an outage of the store", Label(prover.Cell(prover.LeaseRenewed, prover.StoreDown)), func() {
 		members := []string{"a", "b", "c", "d"}
 		all := map[string]uint64{}
 		for i, name := range members {
@@ -198,7 +198,7 @@
 	// the store down and then up: neither a lease that can't be read nor one that is renewed has
 	// expired.
 	It("declares no host dead for a lease that it can't read", Label(
-		prover.Pair(prover.Renewed, prover.StoreDown, prover.Renewed, prover.CutBoth)), func() {
+		prover.Pair(prover.LeaseRenewed, prover.StoreDown, prover.LeaseRenewed, prover.CutBothWays)), func() {
 		w.leaseDuration = 3 * time.Second
 		a, _ := w.join(store, "a", 7)
 		b, _ := w.join(store, "b", 9)
@@ -220,7 +220,7 @@
 	// was down, so its lease was not written, and then lost its connections. When the store is
 	// up again, another host looks for the lease just before it is written.
 	It("declares no host dead for a lease that was not written yet", Label(
-		prover.Pair(prover.Renewed, prover.StoreDown, prover.Renewed, prover.CutBoth)), func() {
+		prover.Pair(prover.LeaseRenewed, prover.StoreDown, prover.LeaseRenewed, prover.CutBothWays)), func() {
 		w.leaseDuration = 3 * time.Second
 		platform.SetFaults(faker.Faults{Down: true})
 		a, _ := w.join(store, "a", 7)
@@ -238,7 +238,7 @@
 
 	// Guards against a host that is replaced while the store is down finding no other host: it
 	// can read no records and must use its configured peers.
-	It("joins through its peers while the store is down", Label(prover.Cell(prover.Taken, prover.StoreDown)), func() {
+	It("joins through its peers while the store is down", Label(prover.Cell(prover.RoleTaken, prover.StoreDown)), func() {
 		platform.SetFaults(faker.Faults{Down: true})
 		a, _ := w.join(store, "a", 7)
 		b, _ := w.join(store, "b", 9)
--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -126,7 +126,7 @@
 
 	// Story: every host is replaced, one after the other, while callers go on. Not
 	// one of them may see a broken connection, a refusal or a cut stream.
-	It("rolling replacement of all hosts under load cuts nothing", Label(prover.Cell(prover.HandedOver, prover.Slow), prover.Cell(prover.Drained, prover.Slow)), func() {
+	It("rolling replacement of all hosts under load cuts nothing", Label(prover.Cell(prover.RoleHandedOver, prover.Slow), prover.Cell(prover.Drained, prover.Slow)), func() {
 		t := newFixture("lm1", "lm2", "lm3")
 		for i := range 3 {
 			t.start(fmt.Sprint("old", i), fmt.Sprint("z", i), nil)
--- a/runner/entry_test.go
+++ b/runner/entry_test.go
@@ -70,7 +70,7 @@
 	})
 
 	// Its Ask was lost with a connection that shows no error.
-	It("asks again when nobody answers", Label(prover.Cell(prover.Asked, prover.Silence)), func() {
+	It("asks again when nobody answers", Label(prover.Cell(prover.Asked, prover.Blackhole)), func() {
 		w := newHosts("a", "b")
 		c := w.ask(w.entry())
 		w.frames = nil
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -42,21 +42,21 @@
 			w.run(time.Millisecond)
 		}
 	},
-	prover.Sent:  func(w *hosts) { hold(w, 10*time.Millisecond) },
-	prover.First: func(w *hosts) { hold(w, 60*time.Millisecond) },
-	prover.Mid: func(w *hosts) {
+	prover.Sent:       func(w *hosts) { hold(w, 10*time.Millisecond) },
+	prover.FirstToken: func(w *hosts) { hold(w, 60*time.Millisecond) },
+	prover.MidStream: func(w *hosts) {
 		c := hold(w, 100*time.Millisecond)
 		c.host.control.Advance(w.now, *c.place, 5)
 		w.run(5 * time.Millisecond)
 	},
-	prover.Taken: func(w *hosts) { // by the next host, which is gathering
+	prover.RoleTaken: func(w *hosts) { // by the next host, which is gathering
 		hold(w, 10*time.Millisecond)
 		w.owner().left = true
 		w.roster()
 		w.ask(w.entry())
 		w.run(100 * time.Millisecond)
 	},
-	prover.HandedOver: func(w *hosts) { // by a host that leaves
+	prover.RoleHandedOver: func(w *hosts) { // by a host that leaves
 		hold(w, 10*time.Millisecond)
 		w.owner().left = true
 		w.roster()
@@ -87,16 +87,16 @@
 		h.left = true
 		w.roster()
 		return func() { h.frozen, h.left = false, false; w.run(50 * time.Millisecond); w.roster() }
-	case prover.CutOne:
+	case prover.CutOneWay:
 		h.mute = true
 		return func() { h.mute = false }
-	case prover.CutBoth:
+	case prover.CutBothWays:
 		h.mute, h.deaf = true, true
 		w.run(lease)
 		h.left = true
 		w.roster()
 		return func() { h.mute, h.deaf, h.left = false, false, false; w.roster() }
-	case prover.Silence: // the roster never hears of it
+	case prover.Blackhole: // the roster never hears of it
 		h.mute, h.deaf = true, true
 		return func() { h.mute, h.deaf = false, false }
 	case prover.Slow:
@@ -132,8 +132,8 @@
 }
 
 var (
-	hitSteps  = []prover.Step{prover.Queued, prover.Asked, prover.Granted, prover.Sent, prover.First, prover.Mid, prover.Taken, prover.HandedOver}
-	hitFaults = []prover.Fault{prover.Kill, prover.Freeze, prover.CutOne, prover.CutBoth, prover.Silence, prover.Slow, prover.Reorder}
+	hitSteps  = []prover.Step{prover.Queued, prover.Asked, prover.Granted, prover.Sent, prover.FirstToken, prover.MidStream, prover.RoleTaken, prover.RoleHandedOver}
+	hitFaults = []prover.Fault{prover.Kill, prover.Freeze, prover.CutOneWay, prover.CutBothWays, prover.Blackhole, prover.Slow, prover.Reorder}
 )
 
 // A caller waits for a place, or has one, when a host dies, freezes, is cut off,
@@ -144,7 +144,7 @@
 var _ = Describe("Places of a cell", func() {
 	for _, s := range hitSteps {
 		for _, f := range hitFaults {
-			if prover.Impossible(s, f) != "" {
+			if prover.ImpossibleReason(s, f) != "" {
 				continue
 			}
 			for _, at := range []victim{atOwner, atEntry} {
@@ -158,7 +158,7 @@
 	for _, f := range hitFaults {
 		for _, g := range hitFaults {
 			It("settle when "+string(f)+" hits the dispatcher while a call waits, and "+string(g)+" the next one",
-				Label(prover.Pair(prover.Queued, f, prover.Taken, g)), func() {
+				Label(prover.Pair(prover.Queued, f, prover.RoleTaken, g)), func() {
 					var end func()
 					play(prover.Queued, f, atOwner, func(w *hosts) {
 						w.run(500 * time.Millisecond)
--- a/runner/observing_test.go
+++ b/runner/observing_test.go
@@ -50,11 +50,11 @@
 		},
 		Entry("by the host list", func(t *fixture) { t.list("lm1") }),
 		Entry("by its report and its refusal", func(t *fixture) { t.leave("lm1") }),
-		Entry("by its report and its refusal, with the platform down", Label(prover.Pair(prover.Granted, prover.StoreDown, prover.Granted, prover.LateList)), func(t *fixture) {
+		Entry("by its report and its refusal, with the platform down", Label(prover.Pair(prover.Granted, prover.StoreDown, prover.Granted, prover.LateHostList)), func(t *fixture) {
 			t.platform.SetFaults(faker.Faults{Down: true})
 			t.leave("lm1")
 		}),
-		Entry("by its report, with a host list that is late", Label(prover.Cell(prover.Granted, prover.LateList), prover.Cell(prover.Sent, prover.LateList)), func(t *fixture) {
+		Entry("by its report, with a host list that is late", Label(prover.Cell(prover.Granted, prover.LateHostList), prover.Cell(prover.Sent, prover.LateHostList)), func(t *fixture) {
 			t.list()
 			t.leave("lm1")
 		}),
--- a/server/matrix_test.go
+++ b/server/matrix_test.go
@@ -20,14 +20,14 @@
 	at   int
 }{
 	{prover.Sent, faker.AtHead},
-	{prover.First, 0},
-	{prover.Mid, 4},
+	{prover.FirstToken, 0},
+	{prover.MidStream, 4},
 	{prover.Answered, faker.AtEnd},
 }
 
 // faults lists the faults of the matrix.
 var faults = []prover.Fault{
-	prover.Kill, prover.Freeze, prover.CutOne, prover.CutBoth, prover.Silence, prover.Slow, prover.Reorder, prover.Crossed,
+	prover.Kill, prover.Freeze, prover.CutOneWay, prover.CutBothWays, prover.Blackhole, prover.Slow, prover.Reorder, prover.MismatchedAnswer,
 }
 
 // workerFaults returns the faker's faults that make f occur at a position. hit counts
@@ -45,17 +45,17 @@
 		x.Kind = faker.Crash
 	case prover.Freeze: // the worker continues after another has taken over
 		x.Kind, x.Delay = faker.Late, 4*silence
-	case prover.CutOne:
+	case prover.CutOneWay:
 		link(faker.Forward)
-	case prover.CutBoth:
+	case prover.CutBothWays:
 		link(faker.Cut)
-	case prover.Silence:
+	case prover.Blackhole:
 		link(faker.SilentOpen)
 	case prover.Slow:
 		x.Kind, x.Delay = faker.Late, silence/5
 	case prover.Reorder: // the answer arrives after the next try's answer has begun
 		x.Kind, x.Delay = faker.Late, 3*silence
-	case prover.Crossed:
+	case prover.MismatchedAnswer:
 		x.Kind = faker.Crossed
 	}
 	return []faker.Fault{x}
@@ -85,7 +85,7 @@
 	if a.fault == prover.Slow {
 		return stepIndex(b) > stepIndex(a)
 	}
-	return a.step != prover.Answered || b.step != prover.Mid
+	return a.step != prover.Answered || b.step != prover.MidStream
 }
 
 func stepIndex(t faultPoint) int {
@@ -117,7 +117,7 @@
 // grantFaults maps each fault that hits a worker between its grant and the call to the
 // state of its link.
 var grantFaults = map[prover.Fault]faker.Mode{
-	prover.Kill: faker.Cut, prover.CutBoth: faker.Cut, prover.CutOne: faker.Backward, prover.Silence: faker.Backward, prover.Freeze: faker.Backward,
+	prover.Kill: faker.Cut, prover.CutBothWays: faker.Cut, prover.CutOneWay: faker.Backward, prover.Blackhole: faker.Backward, prover.Freeze: faker.Backward,
 }
 
 // failAtGrants makes the workers of the first places fail before they are called, one
@@ -261,7 +261,7 @@
 			s := newFixture(options{})
 			defer s.close()
 			var hit atomic.Int32
-			f := []prover.Fault{prover.Kill, prover.CutBoth, prover.Crossed, prover.Slow}[i/2]
+			f := []prover.Fault{prover.Kill, prover.CutBothWays, prover.MismatchedAnswer, prover.Slow}[i/2]
 			s.faults.Plan(s.workerFaults(f, []int{faker.AtHead, faker.AtEnd}[i%2], &hit))
 			return s.json().whole()
 		})).To(Succeed())
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -62,7 +62,7 @@
 // Guards against engines generating answers for callers that have disconnected: the
 // engine call must be cancelled immediately and its place released.
 var _ = Describe("a caller that disconnects", func() {
-	It("has its engine call cancelled", Label(prover.Cell(prover.Mid, prover.CutBoth), prover.Cell(prover.Acked, prover.Kill)), func() {
+	It("has its engine call cancelled", Label(prover.Cell(prover.MidStream, prover.CutBothWays), prover.Cell(prover.Acked, prover.Kill)), func() {
 		s := startFixture(options{resume: true})
 		ctx, leave := context.WithCancel(context.Background())
 		s.faults.Plan([]faker.Fault{{Kind: faker.Silent, At: 3}})
@@ -78,7 +78,7 @@
 		Consistently(func() int { asked, _ := s.places.counts(); return asked }, 2*silence).Should(Equal(1), "there is no retry after the caller has disconnected")
 	})
 
-	It("loses its place in the queue", Label(prover.Cell(prover.Queued, prover.CutBoth), prover.Cell(prover.Queued, prover.Kill)), func() {
+	It("loses its place in the queue", Label(prover.Cell(prover.Queued, prover.CutBothWays), prover.Cell(prover.Queued, prover.Kill)), func() {
 		s := startFixture(options{})
 		s.places.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
@@ -93,7 +93,7 @@
 
 	// A caller that stops reading occupies its place, its engine's slot and its buffers
 	// until the write time-out ends it.
-	It("that stops reading is disconnected after the write time-out", Label(prover.Cell(prover.Acked, prover.Silence), prover.Cell(prover.Acked, prover.Slow), prover.Cell(prover.Acked, prover.Freeze)), func() {
+	It("that stops reading is disconnected after the write time-out", Label(prover.Cell(prover.Acked, prover.Blackhole), prover.Cell(prover.Acked, prover.Slow), prover.Cell(prover.Acked, prover.Freeze)), func() {
 		s := startFixture(options{
 			limits: func(l *loader.Limits) { l.Stall = loader.Duration(silence) },
 			// Time-outs of the worker are long: a second try would hide which time-out
@@ -135,7 +135,7 @@
 		Entry("after part of the answer was passed on", []faker.Fault{{Kind: faker.Crash, At: 3}}, full, "queue", "unknown"),
 	)
 
-	It("is no at a deadline in the queue", Label(prover.Cell(prover.Queued, prover.Silence), prover.Cell(prover.Asked, prover.Kill), prover.Cell(prover.Asked, prover.Silence)), func() {
+	It("is no at a deadline in the queue", Label(prover.Cell(prover.Queued, prover.Blackhole), prover.Cell(prover.Asked, prover.Kill), prover.Cell(prover.Asked, prover.Blackhole)), func() {
 		s := startFixture(options{})
 		s.places.gate = make(chan struct{})
 		r := s.request(context.Background(), "/v1/chat/completions", completionBody(true))
@@ -156,15 +156,15 @@
 			Expect(s.places.released[0].Failed).To(BeTrue())
 			Expect(s.places.asks[1].Exclude).To(ConsistOf("w0"))
 		},
-		Entry("crashed", Label(prover.Cell(prover.Granted, prover.Kill), prover.Cell(prover.Granted, prover.CutBoth)), func(s *fixture) { s.links["w0"].Set(faker.Cut, 0) }),
-		Entry("receiving nothing", Label(prover.Cell(prover.Granted, prover.CutOne), prover.Cell(prover.Granted, prover.Silence), prover.Cell(prover.Granted, prover.Freeze)), func(s *fixture) { s.links["w0"].Set(faker.Backward, 0) }),
+		Entry("crashed", Label(prover.Cell(prover.Granted, prover.Kill), prover.Cell(prover.Granted, prover.CutBothWays)), func(s *fixture) { s.links["w0"].Set(faker.Cut, 0) }),
+		Entry("receiving nothing", Label(prover.Cell(prover.Granted, prover.CutOneWay), prover.Cell(prover.Granted, prover.Blackhole), prover.Cell(prover.Granted, prover.Freeze)), func(s *fixture) { s.links["w0"].Set(faker.Backward, 0) }),
 	)
 
 	// A middlebox drops the open connections; the worker is healthy.
 	It("does not blame a worker for a dropped connection", func() {
 		s := startFixture(options{})
 		var hit atomic.Int32
-		s.faults.Plan(s.workerFaults(prover.Silence, faker.AtHead, &hit))
+		s.faults.Plan(s.workerFaults(prover.Blackhole, faker.AtHead, &hit))
 		Expect(s.stream().whole()).To(Succeed())
 		Expect(s.places.asks).To(HaveLen(1), "a new connection to the same worker was tried")
 		Expect(s.places.released[0].Failed).To(BeFalse())
@@ -172,7 +172,7 @@
 
 	// The middlebox drops all connections, including idle ones, which further tries
 	// would otherwise use one after the other.
-	It("does not reuse other connections after one was dropped", Label(prover.Cell(prover.Granted, prover.Silence)), func() {
+	It("does not reuse other connections after one was dropped", Label(prover.Cell(prover.Granted, prover.Blackhole)), func() {
 		s := startFixture(options{})
 		s.places.workers = s.workers[:1]
 		Expect(inParallel(3, func(int) error { return s.stream().whole() })).To(Succeed())
--- a/server/request_test.go
+++ b/server/request_test.go
@@ -164,7 +164,7 @@
 
 	// A caller sends its head and half of its body, and then nothing: disconnected,
 	// frozen, or slow on purpose.
-	It("gives up a caller that does not finish sending its request", Label(prover.Cell(prover.Received, prover.Silence), prover.Cell(prover.Received, prover.Slow), prover.Cell(prover.Received, prover.Freeze), prover.Cell(prover.Received, prover.CutOne)), func() {
+	It("gives up a caller that does not finish sending its request", Label(prover.Cell(prover.Received, prover.Blackhole), prover.Cell(prover.Received, prover.Slow), prover.Cell(prover.Received, prover.Freeze), prover.Cell(prover.Received, prover.CutOneWay)), func() {
 		s := startFixture(options{limits: func(l *loader.Limits) { l.Read = loader.Duration(silence) }})
 		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 		Expect(err).NotTo(HaveOccurred())
@@ -289,7 +289,7 @@
 }
 
 var _ = Describe("a stream", func() {
-	It("that lacks only its end marker is completed with it", Label(prover.Cell(prover.Acked, prover.CutBoth)), func() {
+	It("that lacks only its end marker is completed with it", Label(prover.Cell(prover.Acked, prover.CutBothWays)), func() {
 		s := startFixture(options{})
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtMark}})
 		Expect(s.stream().whole()).To(Succeed(), "the engine sent a finish reason: nothing is missing")
