--- a/soaker/fault_test.go
+++ b/soaker/fault_test.go
@@ -14,203 +14,212 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// fault is one kind of trouble: it begins, and returns how it ends.
+// fault is a kind of fault: start injects it and returns the function that ends it.
 type fault struct {
 	name  string
-	begin func(*world, *rand.Rand) (end func())
+	start func(*cluster, *rand.Rand) (end func())
 }
 
-var kinds = []fault{
-	{"kill a host", onHost(func(h *host) func() {
+var faultKinds = []fault{
+	{"kill a host", hostFault(func(h *host) func() {
 		h.kill()
 		return h.start
 	})},
-	{"freeze a host", onHost(func(h *host) func() {
+	{"freeze a host", hostFault(func(h *host) func() {
 		h.signal(syscall.SIGSTOP)
 		return func() { h.signal(syscall.SIGCONT) }
 	})},
-	{"roll a host", onHost(func(h *host) func() {
+	{"reload a host and stop it gracefully", hostFault(func(h *host) func() {
 		h.signal(syscall.SIGHUP)
 		h.signal(syscall.SIGTERM)
 		time.Sleep(20 * time.Millisecond)
 		h.signal(syscall.SIGHUP) // while it drains
 		return func() {
-			Eventually(h.ended, patience).Should(BeClosed(), "%s after SIGTERM", h.name)
+			Eventually(h.exited, waitTimeout).Should(BeClosed(), "%s after SIGTERM", h.name)
 			h.start()
 		}
 	})},
-	{"reload all hosts", func(w *world, _ *rand.Rand) func() {
-		for _, h := range w.hosts {
-			if h.isOpen() { // a process of a few milliseconds dies of it, whatever it does
+	{"reload all hosts", func(c *cluster, _ *rand.Rand) func() {
+		for _, h := range c.hosts {
+			if h.isReady() { // before it has installed its handler, a process is terminated by SIGHUP
 				h.signal(syscall.SIGHUP)
 			}
 		}
 		return func() {}
 	}},
-	{"a host's way to the store", func(w *world, r *rand.Rand) func() {
-		h := w.anyHost(r)
-		return bad(r, h.store, h.away)
+	{"fail a host's link to the store", func(c *cluster, r *rand.Rand) func() {
+		h := c.anyHost(r)
+		return linkFault(r, h.storeLink, h.markDisturbed)
 	}},
-	{"half the hosts' ways to the store", func(w *world, r *rand.Rand) func() {
-		var ends []func()
-		for _, h := range w.hosts[:*hosts/2] {
-			ends = append(ends, bad(r, h.store, h.away))
+	{"fail the links of half the hosts to the store", func(c *cluster, r *rand.Rand) func() {
+		var stops []func()
+		for _, h := range c.hosts[:*hostCount/2] {
+			stops = append(stops, linkFault(r, h.storeLink, h.markDisturbed))
 		}
 		return func() {
-			for _, end := range ends {
-				end()
+			for _, stop := range stops {
+				stop()
 			}
 		}
 	}},
-	{"the store is down", func(w *world, _ *rand.Rand) func() { return w.storeFault(faker.Faults{Down: true}) }},
-	{"the store is slow", func(w *world, _ *rand.Rand) func() { return w.storeFault(faker.Faults{Delay: 300 * time.Millisecond}) }},
-	{"the store comes back from an older copy", func(w *world, r *rand.Rand) func() {
-		end := w.storeFault(faker.Faults{Down: true})
-		age := min(between(r, 1000, 20_000), time.Since(w.begun))
-		again := between(r, 0, 1500)
+	{"take the store down", func(c *cluster, _ *rand.Rand) func() { return c.storeFault(faker.Faults{Down: true}) }},
+	{"slow the store down", func(c *cluster, _ *rand.Rand) func() {
+		return c.storeFault(faker.Faults{Delay: 300 * time.Millisecond})
+	}},
+	{"restore the store from an older snapshot", func(c *cluster, r *rand.Rand) func() {
+		stop := c.storeFault(faker.Faults{Down: true})
+		age := min(randomDuration(r, 1000, 20_000), time.Since(c.startedAt))
+		apart := randomDuration(r, 0, 1500)
 		return func() {
-			w.store.Restore(age, again)
-			end()
-			time.Sleep(again) // a host that has just started knows no better than the copy
+			c.store.Restore(age, apart)
+			stop()
+			time.Sleep(apart) // a host that has just started knows nothing newer than the snapshot
 		}
 	}},
-	{"the store forgets its history", func(w *world, _ *rand.Rand) func() {
-		w.store.Forget()
-		return w.store.Forget
+	{"drop the store's watch history", func(c *cluster, _ *rand.Rand) func() {
+		c.store.Forget()
+		return c.store.Forget
 	}},
-	{"a worker's way", func(w *world, r *rand.Rand) func() { return bad(r, w.anyWorker(r).link, func() {}) }},
-	{"a worker does wrong", func(w *world, r *rand.Rand) func() {
-		x := w.anyWorker(r)
+	{"fail a worker's link", func(c *cluster, r *rand.Rand) func() { return linkFault(r, c.anyWorker(r).link, func() {}) }},
+	{"make a worker misbehave", func(c *cluster, r *rand.Rand) func() {
+		x := c.anyWorker(r)
 		flaws := []faker.Flaws{{Full: true}, {Lose: true}, {Mute: true}, {Unsealed: true}, {Failing: true}, {Cut: 3}, {Extra: true}}
 		x.SetFlaws(flaws[r.IntN(len(flaws))])
 		return func() { x.SetFlaws(faker.Flaws{}) }
 	}},
-	{"a worker crashes, and is back under its id", func(w *world, r *rand.Rand) func() {
-		x := w.anyWorker(r)
-		x.end()
+	{"crash a worker and restart it under its ID", func(c *cluster, r *rand.Rand) func() {
+		x := c.anyWorker(r)
+		x.stopOnce()
 		return func() {
-			w.begin(&faker.Worker{ID: x.ID, Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work, Born: x.Born + 1})
+			c.startWorker(&faker.Worker{ID: x.ID, Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work, Born: x.Born + 1})
 		}
 	}},
-	{"a worker names a limit", func(w *world, r *rand.Rand) func() { return w.limit(r) }},
-	{"a worker leaves", func(w *world, r *rand.Rand) func() {
-		x := w.anyWorker(r)
-		x.Register(w.store, platform.StateDraining)
-		return func() { x.Register(w.store, platform.StateReady) }
+	{"have a worker report a rate limit", func(c *cluster, r *rand.Rand) func() { return c.limitWorker(r) }},
+	{"drain a worker", func(c *cluster, r *rand.Rand) func() {
+		x := c.anyWorker(r)
+		x.Register(c.store, platform.StateDraining)
+		return func() { x.Register(c.store, platform.StateReady) }
 	}},
-	{"a malformed entry", func(w *world, _ *rand.Rand) func() {
-		w.store.Put("servers", "x-1", map[string]any{"service": "desk", "slots": "many"})
-		return func() { w.store.Delete("servers", "x-1") }
+	{"register a malformed worker entry", func(c *cluster, _ *rand.Rand) func() {
+		c.store.Put("servers", "x-1", map[string]any{"service": "desk", "slots": "many"})
+		return func() { c.store.Delete("servers", "x-1") }
 	}},
-	{"a key is renewed", func(w *world, _ *rand.Rand) func() {
-		old := w.renew()
-		return func() { w.revoke(old) }
+	{"replace an API key", func(c *cluster, _ *rand.Rand) func() {
+		old := c.addKey()
+		return func() { c.revokeKey(old) }
 	}},
 }
 
-// onHost is trouble with a host's process, which has one at a time.
-func onHost(begin func(*host) (end func())) func(*world, *rand.Rand) func() {
-	return func(w *world, r *rand.Rand) func() {
-		h := w.anyHost(r)
-		h.process.Lock()
-		end := begin(h)
+// hostFault injects a fault into the process of a random host. A process has at most
+// one such fault at a time.
+func hostFault(start func(*host) (end func())) func(*cluster, *rand.Rand) func() {
+	return func(c *cluster, r *rand.Rand) func() {
+		h := c.anyHost(r)
+		h.processMu.Lock()
+		stop := start(h)
 		return func() {
-			end()
-			h.process.Unlock()
+			stop()
+			h.processMu.Unlock()
 		}
 	}
 }
 
-// bad makes a link do wrong, and returns how it is mended; touch is told at both ends.
-func bad(r *rand.Rand, l *faker.Link, touch func()) func() {
+// linkFault sets a link to a random failure mode and returns the function that repairs
+// it. It calls notify at the start and at the end of the fault.
+func linkFault(r *rand.Rand, l *faker.Link, notify func()) func() {
 	modes := []faker.Mode{faker.Cut, faker.SilentOpen, faker.Forward, faker.Backward}
-	touch()
+	notify()
 	l.Set(modes[r.IntN(len(modes))], 0)
 	return func() {
-		// What is silent stays silent: only what opens later works.
-		touch()
+		// Connections that were silenced stay silent: only connections opened later work.
+		notify()
 		l.Set(faker.Pass, 0)
 	}
 }
 
-func (w *world) anyHost(r *rand.Rand) *host { return w.hosts[r.IntN(*hosts)] }
+func (c *cluster) anyHost(r *rand.Rand) *host { return c.hosts[r.IntN(*hostCount)] }
 
-func (w *world) anyWorker(r *rand.Rand) *worker {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	living := slices.DeleteFunc(slices.Clone(w.workers), func(x *worker) bool { return x.dead })
-	return living[r.IntN(len(living))]
+// anyWorker returns a random worker that runs.
+func (c *cluster) anyWorker(r *rand.Rand) *worker {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	running := slices.DeleteFunc(slices.Clone(c.workers), func(x *worker) bool { return x.stopped })
+	return running[r.IntN(len(running))]
 }
 
-func (w *world) storeFault(f faker.Faults) func() {
-	away := func() {
-		for _, h := range w.hosts {
-			h.away()
+// storeFault injects faults into the store, which disturb all hosts, and returns the
+// function that clears them.
+func (c *cluster) storeFault(f faker.Faults) func() {
+	markAll := func() {
+		for _, h := range c.hosts {
+			h.markDisturbed()
 		}
 	}
-	away()
-	w.store.SetFaults(f)
+	markAll()
+	c.store.SetFaults(f)
 	return func() {
-		away()
-		w.store.SetFaults(faker.Faults{})
+		markAll()
+		c.store.SetFaults(faker.Faults{})
 	}
 }
 
-// renew adds a key to the configuration and returns the one that is to go.
-func (w *world) renew() string {
-	w.mu.Lock()
-	old := w.keys[len(w.keys)-1]
-	w.keys = append(w.keys, fmt.Sprintf("key-%d", w.version))
-	w.mu.Unlock()
-	w.configure()
+// addKey adds a key to the configuration and returns the key to be revoked, which was
+// the newest until now.
+func (c *cluster) addKey() string {
+	c.mu.Lock()
+	old := c.keys[len(c.keys)-1]
+	c.keys = append(c.keys, fmt.Sprintf("key-%d", c.configVersion))
+	c.mu.Unlock()
+	c.putConfig()
 	return old
 }
 
-// revoke takes a key out of the configuration.
-func (w *world) revoke(key string) {
-	w.mu.Lock()
-	w.keys = slices.DeleteFunc(slices.Clone(w.keys), func(k string) bool { return k == key })
-	w.mu.Unlock()
-	at := w.configure()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.revoked[key] = at
+// revokeKey removes a key from the configuration.
+func (c *cluster) revokeKey(key string) {
+	c.mu.Lock()
+	c.keys = slices.DeleteFunc(slices.Clone(c.keys), func(k string) bool { return k == key })
+	c.mu.Unlock()
+	revokedAt := c.putConfig()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.revoked[key] = revokedAt
 }
 
-// trouble has faults come and go for a time. One of a kind lasts at a time; up to
-// three last together.
-func (w *world) trouble(length time.Duration) {
-	until := time.Now().Add(length)
-	var lasting sync.WaitGroup
-	busy := make(chan struct{}, 3)
+// runFaults injects random faults for a time: at most one of a kind and three in all
+// are active together.
+func (c *cluster) runFaults(length time.Duration) {
+	deadline := time.Now().Add(length)
+	var active sync.WaitGroup
+	slots := make(chan struct{}, 3)
 	var mu sync.Mutex
-	under := map[int]bool{}
-	for time.Now().Before(until) {
-		i, seed := w.r.IntN(len(kinds)), w.r.Uint64()
-		wait, last := between(w.r, 100, 700), between(w.r, 200, 2000)
+	inUse := map[int]bool{}
+	for time.Now().Before(deadline) {
+		i, seed := c.r.IntN(len(faultKinds)), c.r.Uint64()
+		pause, duration := randomDuration(c.r, 100, 700), randomDuration(c.r, 200, 2000)
 		mu.Lock()
-		taken := under[i]
-		under[i] = true
+		alreadyActive := inUse[i]
+		inUse[i] = true
 		mu.Unlock()
-		if taken {
+		if alreadyActive {
 			continue
 		}
-		busy <- struct{}{}
-		w.faults = append(w.faults, kinds[i].name)
-		lasting.Go(func() {
-			end := kinds[i].begin(w, rand.New(rand.NewPCG(seed, 3)))
-			time.Sleep(last)
-			end()
+		slots <- struct{}{}
+		c.faults = append(c.faults, faultKinds[i].name)
+		active.Go(func() {
+			stop := faultKinds[i].start(c, rand.New(rand.NewPCG(seed, 3)))
+			time.Sleep(duration)
+			stop()
 			mu.Lock()
-			under[i] = false
+			inUse[i] = false
 			mu.Unlock()
-			<-busy
+			<-slots
 		})
-		time.Sleep(wait)
+		time.Sleep(pause)
 	}
-	lasting.Wait()
+	active.Wait()
 }
 
-func between(r *rand.Rand, least, most int) time.Duration {
-	return time.Duration(least+r.IntN(most-least)) * time.Millisecond
+// randomDuration returns a duration of at least minMs and less than maxMs milliseconds.
+func randomDuration(r *rand.Rand, minMs, maxMs int) time.Duration {
+	return time.Duration(minMs+r.IntN(maxMs-minMs)) * time.Millisecond
 }
--- a/soaker/judge_test.go
+++ b/soaker/judge_test.go
@@ -10,120 +10,123 @@
 	. "github.com/onsi/gomega"
 )
 
-// forceWithin is how long after the store has it a configuration may come in force.
-const forceWithin = 2 * time.Second
+// maxConfigDelay bounds the time from the write of a configuration to the store until it
+// is in force on a host in touch with the store.
+const maxConfigDelay = 2 * time.Second
 
-// calm waits until every host says that it is ready, and has them serve.
-func (w *world) calm() {
-	for _, h := range w.hosts {
-		Eventually(h.asked, patience, 50*time.Millisecond).Should(BeTrue(), "%s after %v", h.name, w.faults)
+// checkRecovery waits until every host reports that it is ready, and checks that each
+// serves all routes.
+func (c *cluster) checkRecovery() {
+	for _, h := range c.hosts {
+		Eventually(h.pollReady, waitTimeout, 50*time.Millisecond).Should(BeTrue(), "%s after %v", h.name, c.faults)
 	}
-	w.mu.Lock()
-	key := w.keys[len(w.keys)-1]
-	w.mu.Unlock()
-	served := 0
+	c.mu.Lock()
+	key := c.keys[len(c.keys)-1]
+	c.mu.Unlock()
+	sent := 0
 	for n := range 5 {
-		for _, h := range w.hosts {
+		for _, h := range c.hosts {
 			for _, route := range []string{"chat", "plan", "hold", "quote"} {
-				// What failed lately is avoided for a while, but serves: all must do.
+				// Workers that failed recently are avoided for a while but still serve, so each
+				// route of each host must succeed within a few tries.
 				id := fmt.Sprintf("calm-%d-%s-%s", n, h.name, route)
 				Eventually(func() int {
-					served++
-					name := fmt.Sprintf("%s-%d", id, served)
-					t := send(h, name, route, key, name, "")
-					w.note(t)
-					return t.status
-				}, 5*time.Second, 50*time.Millisecond).Should(Equal(http.StatusOK), "%s after %v", id, w.faults)
+					sent++
+					name := fmt.Sprintf("%s-%d", id, sent)
+					e := send(h, name, route, key, name, "")
+					c.record(e)
+					return e.status
+				}, 5*time.Second, 50*time.Millisecond).Should(Equal(http.StatusOK), "%s after %v", id, c.faults)
 			}
 		}
 	}
-	// Beyond what the last faults left, nothing may fail.
-	Expect(served).To(BeNumerically("<=", 5*len(w.hosts)*4+20), "requests for %d answers after %v", 5*len(w.hosts)*4, w.faults)
+	// The margin of 20 is for failures left over from the last faults.
+	Expect(sent).To(BeNumerically("<=", 5*len(c.hosts)*4+20), "requests sent for %d successful answers after %v", 5*len(c.hosts)*4, c.faults)
 }
 
-// judge checks what all callers got.
-func (w *world) judge() {
-	broken := []string{}
-	say := func(t try, what string, args ...any) {
-		broken = append(broken, fmt.Sprintf("%s %s at %s: status %d, %v: %s", t.route, t.id, t.host.name, t.status, t.err, fmt.Sprintf(what, args...)))
+// checkAll checks all exchanges, and that no host exited by itself.
+func (c *cluster) checkAll() {
+	violations := []string{}
+	report := func(e exchange, format string, args ...any) {
+		violations = append(violations, fmt.Sprintf("%s %s at %s: status %d, %v: %s", e.route, e.id, e.host.name, e.status, e.err, fmt.Sprintf(format, args...)))
 	}
 	count := map[string]int{}
-	for _, t := range w.tries {
-		count[fmt.Sprint(t.status)]++
-		w.check(t, say)
+	for _, e := range c.exchanges {
+		count[fmt.Sprint(e.status)]++
+		c.checkExchange(e, report)
 	}
-	if late := w.poisonLate(); late > lateMost {
-		broken = append(broken, fmt.Sprintf("a request under which three workers had ended reached %d more", late))
+	if lateRuns := c.latePoisonRuns(); lateRuns > maxLateRuns {
+		violations = append(violations, fmt.Sprintf("a request that had crashed three workers was run %d more times", lateRuns))
 	}
-	broken = append(broken, w.overLimits()...)
-	for _, h := range w.hosts {
+	violations = append(violations, c.workersOverLimit()...)
+	for _, h := range c.hosts {
 		select {
-		case <-h.ended:
-			broken = append(broken, h.name+" ended by itself")
+		case <-h.exited:
+			violations = append(violations, h.name+" exited by itself")
 		default:
 		}
 	}
-	AddReportEntry("day", fmt.Sprintf("seed %d: answers %v, faults %d", w.seed, count, len(w.faults)))
-	Expect(len(w.tries)).To(BeNumerically(">", 200), "requests")
-	Expect(count["200"]).To(BeNumerically(">", len(w.tries)/4), "answered of %d: %v", len(w.tries), count)
-	Expect(broken).To(BeEmpty(), "seed %d, faults %v", w.seed, w.faults)
+	AddReportEntry("run", fmt.Sprintf("seed %d: answers %v, faults %d", c.seed, count, len(c.faults)))
+	Expect(len(c.exchanges)).To(BeNumerically(">", 200), "requests")
+	Expect(count["200"]).To(BeNumerically(">", len(c.exchanges)/4), "successful of %d requests: %v", len(c.exchanges), count)
+	Expect(violations).To(BeEmpty(), "seed %d, faults %v", c.seed, c.faults)
 }
 
-// check says what promise to its caller a request broke.
-func (w *world) check(t try, say func(t try, what string, args ...any)) {
-	runs, most := w.runs(t.id), 1
-	if t.route == "chat" || t.route == "quote" {
-		most = 2
+// checkExchange reports each guarantee to the caller that an exchange violates.
+func (c *cluster) checkExchange(e exchange, report func(e exchange, format string, args ...any)) {
+	runs, maxRuns := c.runCount(e.id), 1
+	if e.route == "chat" || e.route == "quote" {
+		maxRuns = 2
 	}
-	if runs > most {
-		say(t, "ran %d times", runs)
+	if runs > maxRuns {
+		report(e, "ran %d times", runs)
 	}
-	switch t.status {
+	switch e.status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusUnauthorized:
 		if runs > 0 {
-			say(t, "ran, though its caller was told that it did not")
+			report(e, "ran, though its status means that it was not run")
 		}
 	case http.StatusNotFound:
-		say(t, "the route was there all day")
+		report(e, "the route was configured throughout the run")
 	case http.StatusOK:
-		if t.err == nil && !whole(t) {
-			say(t, "not its own whole answer: %q", t.body)
+		if e.err == nil && !isOwnAnswer(e) {
+			report(e, "not the complete answer to this request: %q", e.body)
 		}
 	}
-	w.checkKey(t, say)
+	c.checkKey(e, report)
 }
 
-// checkKey says where a key counted that was revoked, or did not that was there.
-func (w *world) checkKey(t try, say func(t try, what string, args ...any)) {
-	at, revoked := w.revoked[t.key]
+// checkKey reports a revoked key that was accepted, and a valid key that was rejected.
+func (c *cluster) checkKey(e exchange, report func(e exchange, format string, args ...any)) {
+	revokedAt, revoked := c.revoked[e.key]
 	switch {
-	case revoked && t.status == http.StatusOK && t.begun.After(at.Add(forceWithin)) && t.host.inTouch(at.Add(-time.Second)):
-		say(t, "%s was revoked %s before", t.key, t.begun.Sub(at))
-	case !revoked && t.status == http.StatusUnauthorized && t.key == "key-0":
-		say(t, "%s was there all day", t.key)
+	case revoked && e.status == http.StatusOK && e.sentAt.After(revokedAt.Add(maxConfigDelay)) && e.host.undisturbedSince(revokedAt.Add(-time.Second)):
+		report(e, "%s had been revoked %s before", e.key, e.sentAt.Sub(revokedAt))
+	case !revoked && e.status == http.StatusUnauthorized && e.key == "key-0":
+		report(e, "%s was valid throughout the run", e.key)
 	}
 }
 
-// runs is how often a request ran, on all workers that ever were.
-func (w *world) runs(id string) int {
+// runCount returns how often a request ran, summed over all workers of the run.
+func (c *cluster) runCount(id string) int {
 	n := 0
-	for _, x := range w.workers {
+	for _, x := range c.workers {
 		n += x.Ran(id)
 	}
 	return n
 }
 
-// whole says that an answer is the request's own and complete.
-func whole(t try) bool {
-	if t.route == "hold" || t.route == "quote" {
-		if t.body == "own" {
-			return true // of a worker that sends another's answer behind its own
+// isOwnAnswer reports whether an answer is complete and belongs to its request.
+func isOwnAnswer(e exchange) bool {
+	if e.route == "hold" || e.route == "quote" {
+		if e.body == "own" {
+			return true // from a worker that sends the answer of another request after this one (faker.Flaws.Extra)
 		}
-		return strings.HasPrefix(t.body, "/"+t.route+"/"+t.id+" of d-")
+		return strings.HasPrefix(e.body, "/"+e.route+"/"+e.id+" of d-")
 	}
 	var b strings.Builder
-	for i := 1; i <= events; i++ {
+	for i := 1; i <= eventsPerStream; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
 	}
-	return t.body == b.String()
+	return e.body == b.String()
 }
--- a/soaker/limit_test.go
+++ b/soaker/limit_test.go
@@ -7,49 +7,50 @@
 )
 
 const (
-	// limitSpan, limitTimes and limitMore are the window in which a worker's requests count, how
-	// many times its limit may come in it, and how many more.
-	limitSpan  = 4 * time.Second
-	limitTimes = 1.5
-	limitMore  = 5
-	// limitLasts is how long it names one at least: longer than other trouble, so that a
-	// window is over.
-	limitLasts = 8 * time.Second
+	// In any limitWindow a worker may receive limitFactor times the requests that its limit
+	// allows, and limitSlack more.
+	limitWindow = 4 * time.Second
+	limitFactor = 1.5
+	limitSlack  = 5
+	// minLimitDuration is the minimum time that a limit is in force: longer than other
+	// faults, so that it covers a whole limitWindow.
+	minLimitDuration = 8 * time.Second
 )
 
-// limited is that a worker named how many requests a second it takes.
-type limited struct {
+// rateLimit is a limit in requests per second that a worker reported for a time.
+type rateLimit struct {
 	worker   *worker
 	rate     float64
 	from, to time.Time
 }
 
-// limit has a worker name one.
-func (w *world) limit(r *rand.Rand) func() {
-	l := limited{worker: w.anyWorker(r), rate: 0.5 + 2*r.Float64(), from: time.Now()}
+// limitWorker has a random worker report a rate limit for at least minLimitDuration, and
+// returns the function that lifts it.
+func (c *cluster) limitWorker(r *rand.Rand) func() {
+	l := rateLimit{worker: c.anyWorker(r), rate: 0.5 + 2*r.Float64(), from: time.Now()}
 	l.worker.SetLimit(l.rate)
-	time.Sleep(limitLasts)
+	time.Sleep(minLimitDuration)
 	return func() {
 		l.to = time.Now()
 		l.worker.SetLimit(0)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.limits = append(w.limits, l)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.limits = append(c.limits, l)
 	}
 }
 
-// overLimits is the workers that got more than they said that they take, from hosts that
-// had been left alone.
-func (w *world) overLimits() []string {
-	bound := map[string]bool{}
-	for _, t := range w.tries {
-		bound[t.id] = t.bound
+// workersOverLimit describes each worker that received more requests than its limit allows.
+// Only requests from undisturbed hosts count.
+func (c *cluster) workersOverLimit() []string {
+	undisturbed := map[string]bool{}
+	for _, e := range c.exchanges {
+		undisturbed[e.id] = e.undisturbed
 	}
 	var over []string
-	for _, l := range w.limits {
-		most := l.worker.Most(l.from.Add(touch), l.to, limitSpan, func(id string) bool { return bound[id] })
-		if allowed := limitTimes*l.rate*limitSpan.Seconds() + limitMore; float64(most) > allowed {
-			over = append(over, fmt.Sprintf("%s, which takes %.2f a second, got %d in %s", l.worker.ID, l.rate, most, limitSpan))
+	for _, l := range c.limits {
+		got := l.worker.Most(l.from.Add(undisturbedTime), l.to, limitWindow, func(id string) bool { return undisturbed[id] })
+		if allowed := limitFactor*l.rate*limitWindow.Seconds() + limitSlack; float64(got) > allowed {
+			over = append(over, fmt.Sprintf("%s, limited to %.2f requests/s, received %d in %s", l.worker.ID, l.rate, got, limitWindow))
 		}
 	}
 	return over
--- a/soaker/poison_test.go
+++ b/soaker/poison_test.go
@@ -12,69 +12,70 @@
 )
 
 const (
-	// poison in a body ends the worker that runs it.
+	// poison in a request body crashes the worker that runs the request.
 	poison = "poison"
-	// touch is how long a host must have been left alone to be bound by what others know.
-	touch = 3 * time.Second
-	// endsMost and lateMost are the workers that one request may end, and how often it may
-	// reach workers later than touch after that.
-	endsMost, lateMost = 3, 3
+	// undisturbedTime is the time after a disturbance from which a host must act on what
+	// the other hosts know.
+	undisturbedTime = 3 * time.Second
+	// maxCrashes is the number of workers that a request may crash; maxLateRuns is how often
+	// it may still run later than undisturbedTime after the last of these crashes.
+	maxCrashes, maxLateRuns = 3, 3
 )
 
-// poison has a caller send the same request through all hosts until it is told to stop,
-// beside all other trouble. Each worker that it ends comes back under a new id.
-func (w *world) poison() (end func()) {
-	r := rand.New(rand.NewPCG(w.seed, 5))
-	route := []string{"chat", "plan", "hold", "quote"}[w.seed%4]
-	stop := make(chan struct{})
+// startPoison sends the same crashing request through random hosts until stop is called,
+// also during other faults. Each worker that it crashes restarts under a new ID.
+func (c *cluster) startPoison() (stop func()) {
+	r := rand.New(rand.NewPCG(c.seed, 5))
+	route := []string{"chat", "plan", "hold", "quote"}[c.seed%4]
+	done := make(chan struct{})
 	var caller sync.WaitGroup
 	caller.Go(func() {
 		for n := 0; ; n++ {
 			select {
-			case <-stop:
+			case <-done:
 				return
 			case <-time.After(40 * time.Millisecond):
 			}
-			t := send(w.anyHost(r), fmt.Sprintf("poison-%d", n), route, "key-0", poison, poison)
-			w.note(t)
-			w.mu.Lock()
-			w.doses = append(w.doses, t)
-			w.mu.Unlock()
+			e := send(c.anyHost(r), fmt.Sprintf("poison-%d", n), route, "key-0", poison, poison)
+			c.record(e)
+			c.mu.Lock()
+			c.poisonExchanges = append(c.poisonExchanges, e)
+			c.mu.Unlock()
 		}
 	})
 	return func() {
-		close(stop)
+		close(done)
 		caller.Wait()
-		w.reborn.Wait()
+		c.restarts.Wait()
 	}
 }
 
-// died takes that the poison ended a worker.
-func (w *world) died(x *worker) {
-	w.mu.Lock()
-	w.ends = append(w.ends, time.Now())
-	n := len(w.ends)
-	x.dead = true
-	w.mu.Unlock()
-	w.reborn.Go(func() {
+// workerCrashed records that the poison crashed a worker, and restarts it under a new ID.
+func (c *cluster) workerCrashed(x *worker) {
+	c.mu.Lock()
+	c.crashes = append(c.crashes, time.Now())
+	n := len(c.crashes)
+	x.stopped = true
+	c.mu.Unlock()
+	c.restarts.Go(func() {
 		time.Sleep(500 * time.Millisecond)
-		w.store.Delete("servers", x.ID)
-		w.begin(&faker.Worker{ID: fmt.Sprintf("%s.%d", x.ID, n), Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work})
+		c.store.Delete("servers", x.ID)
+		c.startWorker(&faker.Worker{ID: fmt.Sprintf("%s.%d", x.ID, n), Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work})
 	})
 }
 
-// poisonLate is how often the poison reached workers after all hosts in touch must have
-// known of it.
-func (w *world) poisonLate() int {
-	if len(w.ends) < endsMost {
+// latePoisonRuns returns how often the poison ran after all undisturbed hosts must have
+// quarantined it.
+func (c *cluster) latePoisonRuns() int {
+	if len(c.crashes) < maxCrashes {
 		return 0
 	}
-	late := 0
-	for _, d := range w.doses {
-		if d.bound && d.begun.After(w.ends[endsMost-1].Add(touch)) {
-			late += w.runs(d.id)
+	runs := 0
+	for _, e := range c.poisonExchanges {
+		if e.undisturbed && e.sentAt.After(c.crashes[maxCrashes-1].Add(undisturbedTime)) {
+			runs += c.runCount(e.id)
 		}
 	}
-	AddReportEntry("poison", fmt.Sprintf("%d ends, %d sends, %d late", len(w.ends), len(w.doses), late))
-	return late
+	AddReportEntry("poison", fmt.Sprintf("%d crashes, %d requests, %d late runs", len(c.crashes), len(c.poisonExchanges), runs))
+	return runs
 }
--- a/soaker/soaker_suite_test.go
+++ b/soaker/soaker_suite_test.go
@@ -1,9 +1,10 @@
-// Package soaker_test plays days of random faults against real host processes and
-// checks what callers got. Faults come from outside: signals to hosts, links that fail
-// on the ways to the store and to workers, workers and a store that do wrong.
+// Package soaker_test injects random faults into a cluster of real host processes and
+// checks the answers that callers receive. All faults are external: signals to hosts,
+// failing links to the store and to workers, misbehaving workers and a misbehaving store.
+// Run `make build` first.
 //
-//	go test ./soaker -args -soak.seeds 50     fifty days, after make build
-//	go test ./soaker -args -soak.first 17     the day of seed 17
+//	go test ./soaker -args -soak.seeds 50     runs with 50 seeds
+//	go test ./soaker -args -soak.first 17     runs that start at seed 17
 package soaker_test
 
 import (
@@ -16,11 +17,11 @@
 )
 
 var (
-	seeds  = flag.Int("soak.seeds", 2, "days to play")
-	first  = flag.Uint64("soak.first", 1, "the first day's seed")
-	hosts  = flag.Int("soak.hosts", 4, "host processes; from 17 on, three decide for all")
-	length = flag.Duration("soak.for", 8*time.Second, "how long faults come in a day")
-	logs   = flag.String("soak.logs", "", "folder that keeps the hosts' logs")
+	seedCount = flag.Int("soak.seeds", 2, "number of runs, each with a seed of its own")
+	firstSeed = flag.Uint64("soak.first", 1, "seed of the first run")
+	hostCount = flag.Int("soak.hosts", 4, "host processes; from 17 hosts on, three decide for all")
+	faultTime = flag.Duration("soak.for", 8*time.Second, "how long faults are injected in a run")
+	logFolder = flag.String("soak.logs", "", "folder to keep the hosts' settings and logs in")
 )
 
 func TestSoaker(t *testing.T) {
@@ -28,18 +29,18 @@
 	RunSpecs(t, "soaker")
 }
 
-var _ = Describe("A day of faults", func() {
-	for i := range uint64(*seeds) {
-		seed := *first + i
-		It("breaks no promise to callers, seed "+itoa(seed), func() {
-			w := newWorld(seed)
-			stop := w.callAll()
-			end := w.poison()
-			w.trouble(*length)
-			end()
-			w.calm()
-			stop()
-			w.judge()
+var _ = Describe("A run of random faults", func() {
+	for i := range uint64(*seedCount) {
+		seed := *firstSeed + i
+		It("violates no guarantee to callers, seed "+itoa(seed), func() {
+			c := newCluster(seed)
+			stopCallers := c.startCallers()
+			stopPoison := c.startPoison()
+			c.runFaults(*faultTime)
+			stopPoison()
+			c.checkRecovery()
+			stopCallers()
+			c.checkAll()
 		})
 	}
 })
--- a/soaker/world_test.go
+++ b/soaker/world_test.go
@@ -23,236 +23,239 @@
 )
 
 const (
-	events = 5 // of each stream
-	// patience bounds a wait for something that must come.
-	patience = 20 * time.Second
+	eventsPerStream = 5
+	// waitTimeout bounds each wait for an event that must occur.
+	waitTimeout = 20 * time.Second
 )
 
-// world is one day's store, workers and hosts.
-type world struct {
-	seed  uint64
-	r     *rand.Rand
-	store *faker.Platform
-	begun time.Time // when all hosts served
+// cluster is the store, the workers and the hosts of one run, with what was recorded.
+type cluster struct {
+	seed      uint64
+	r         *rand.Rand
+	store     *faker.Platform
+	startedAt time.Time // when all hosts were ready
 
-	mu      sync.Mutex
-	workers []*worker // all that ever were
-	version int
-	keys    []string // that the configuration has
-	revoked map[string]time.Time
-	tries   []try
-	hosts   []*host
-	faults  []string // for the report
-	doses   []try    // of the day's poison
-	limits  []limited
-	ends    []time.Time    // of workers, by the poison
-	reborn  sync.WaitGroup // workers that are to come back
+	mu              sync.Mutex
+	workers         []*worker // also those that stopped
+	configVersion   int
+	keys            []string             // valid API keys, the newest last
+	revoked         map[string]time.Time // when each key was revoked
+	exchanges       []exchange
+	hosts           []*host
+	faults          []string   // names of the faults injected
+	poisonExchanges []exchange // of the poison request
+	limits          []rateLimit
+	crashes         []time.Time    // when the poison crashed a worker
+	restarts        sync.WaitGroup // of workers that the poison crashed
 }
 
-// worker is a fake backend server behind a link.
+// worker is a fake backend server, reached through a link.
 type worker struct {
 	*faker.Worker
-	link *faker.Link
-	stop func()
-	dead bool
+	link    *faker.Link
+	stop    func()
+	stopped bool
 }
 
-// host is one host: a real process, and the link between it and the store.
+// host is a real host process and its link to the store.
 type host struct {
-	name, url, ready, file string
-	store                  *faker.Link
-	process                sync.Mutex // held while the process is in trouble
+	name, url, readyURL, settingsFile string
+	storeLink                         *faker.Link
+	processMu                         sync.Mutex // held during a fault of the process
 
-	mu      sync.Mutex
-	command *exec.Cmd
-	ended   chan struct{}
-	spared  bool      // its end is our doing
-	touched time.Time // when it was last out of touch by our doing
-	shaken  time.Time // when its process was last signalled, or started
-	open    bool      // it says that it is ready
+	mu                 sync.Mutex
+	cmd                *exec.Cmd
+	exited             chan struct{}
+	expectedExit       bool      // SIGKILL or SIGTERM was sent
+	disturbedAt        time.Time // when a fault of its process or store link last began or ended
+	processDisturbedAt time.Time // when its process was last signaled or started
+	lastReady          bool      // result of the last readiness poll
 }
 
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func newWorld(seed uint64) *world {
-	w := &world{seed: seed, r: rand.New(rand.NewPCG(seed, 2)), store: faker.NewPlatform(), keys: []string{"key-0"}, revoked: map[string]time.Time{}}
-	s := httptest.NewServer(w.store.Handler())
+func newCluster(seed uint64) *cluster {
+	c := &cluster{seed: seed, r: rand.New(rand.NewPCG(seed, 2)), store: faker.NewPlatform(), keys: []string{"key-0"}, revoked: map[string]time.Time{}}
+	s := httptest.NewServer(c.store.Handler())
 	DeferCleanup(s.Close)
 	DeferCleanup(s.CloseClientConnections)
 	for i := range 3 {
-		w.begin(&faker.Worker{ID: fmt.Sprintf("e-%d", i), Service: "engine", Slots: 8, Events: events, Work: 15 * time.Millisecond})
-		w.begin(&faker.Worker{ID: fmt.Sprintf("d-%d", i), Service: "desk", Slots: 8, Work: 15 * time.Millisecond})
+		c.startWorker(&faker.Worker{ID: fmt.Sprintf("e-%d", i), Service: "engine", Slots: 8, Events: eventsPerStream, Work: 15 * time.Millisecond})
+		c.startWorker(&faker.Worker{ID: fmt.Sprintf("d-%d", i), Service: "desk", Slots: 8, Work: 15 * time.Millisecond})
 	}
-	w.configure()
+	c.putConfig()
 	var peers []string
-	for i := range *hosts {
-		peers = append(peers, w.address(i, 2))
+	for i := range *hostCount {
+		peers = append(peers, c.address(i, 2))
 	}
-	for i := range *hosts {
-		w.prepare(i, strings.TrimPrefix(s.URL, "http://"), peers)
+	for i := range *hostCount {
+		c.addHost(i, strings.TrimPrefix(s.URL, "http://"), peers)
 	}
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		h.start()
 		DeferCleanup(h.kill)
 	}
-	for _, h := range w.hosts {
-		Eventually(h.asked, patience, 50*time.Millisecond).Should(BeTrue(), h.name)
+	for _, h := range c.hosts {
+		Eventually(h.pollReady, waitTimeout, 50*time.Millisecond).Should(BeTrue(), h.name)
 	}
-	w.begun = time.Now()
-	return w
+	c.startedAt = time.Now()
+	return c
 }
 
-// begin starts a worker behind a link and has it write its entry.
-func (w *world) begin(f *faker.Worker) {
+// startWorker starts a worker behind a link and registers it.
+func (c *cluster) startWorker(f *faker.Worker) {
 	x := &worker{Worker: f}
-	f.Poison, f.Ended = poison, func() { w.died(x) }
+	f.Poison, f.Ended = poison, func() { c.workerCrashed(x) }
 	x.stop = f.Start()
 	link, closeLink, err := faker.NewLink("127.0.0.1:0", f.Address)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(closeLink)
-	DeferCleanup(x.end)
+	DeferCleanup(x.stopOnce)
 	x.link, f.Address = link, link.Address()
-	f.Register(w.store, platform.StateReady)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.workers = append(w.workers, x)
+	f.Register(c.store, platform.StateReady)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.workers = append(c.workers, x)
 }
 
-// end ends a worker, once.
-func (x *worker) end() {
-	if !x.dead {
-		x.dead = true
+// stopOnce stops the worker unless it has stopped already.
+func (x *worker) stopOnce() {
+	if !x.stopped {
+		x.stopped = true
 		x.stop()
 	}
 }
 
-// configure writes the next version of the operator's configuration, and returns when
-// it was written.
-func (w *world) configure() time.Time {
+// putConfig writes the next version of the configuration with the current keys, and
+// returns the time of the write.
+func (c *cluster) putConfig() time.Time {
 	route := func(name, kind, service string, attempts int) map[string]any {
 		return map[string]any{
 			"name": name, "host": "desk.example", "pathPrefix": "/" + name + "/", "kind": kind, "service": service, "resumable": name == "chat",
 			"timeoutMs": 3000, "targetLatencyMs": 200, "targetGapMs": 1000, "maxAttempts": attempts, "priority": 1,
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.store.Put("config", "main", map[string]any{
-		"version": w.version,
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.configVersion++
+	c.store.Put("config", "main", map[string]any{
+		"version": c.configVersion,
 		"routes": []any{
 			route("chat", "streaming", "engine", 2), route("plan", "streaming", "engine", 1),
 			route("hold", "non_idempotent", "desk", 1), route("quote", "idempotent", "desk", 2),
 		},
 		"services": []any{map[string]any{"name": "engine", "engine": map[string]any{"kvCacheTokens": 100000, "stride": 4}}, map[string]any{"name": "desk"}},
 		"limits":   map[string]any{"maxHeaderBytes": 4000, "maxBodyBytes": 2000, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
-		"tenants":  []any{map[string]any{"name": "large", "apiKeys": w.keys}},
+		"tenants":  []any{map[string]any{"name": "large", "apiKeys": c.keys}},
 	})
 	return time.Now()
 }
 
-// address is a loopback address of this process and day for a host's n-th listener.
-func (w *world) address(host, n int) string {
+// address returns the loopback address of a host's n-th listener. It depends on the test
+// process and the seed, so that parallel processes and successive runs don't collide.
+func (c *cluster) address(host, n int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", 180+pid/250%60, 1+pid%250, 1+host, 20000+int(w.seed%4000)*5+n)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 180+pid/250%60, 1+pid%250, 1+host, 20000+int(c.seed%4000)*5+n)
 }
 
-// prepare writes a host's settings.
-func (w *world) prepare(i int, store string, peers []string) {
+// addHost adds host number i with a link to the store, and writes its settings.
+func (c *cluster) addHost(i int, store string, peers []string) {
 	link, closeLink, err := faker.NewLink("127.0.0.1:0", store)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(closeLink)
-	h := &host{name: fmt.Sprintf("h-%d", i), url: "http://" + w.address(i, 1), ready: "http://" + w.address(i, 4) + "/ready", store: link}
+	h := &host{name: fmt.Sprintf("h-%d", i), url: "http://" + c.address(i, 1), readyURL: "http://" + c.address(i, 4) + "/ready", storeLink: link}
 	text, err := json.Marshal(map[string]any{
 		"name": h.name, "zone": fmt.Sprintf("z-%d", i%2), "region": "r", "dialect": "platform", "platform": "http://" + link.Address(),
-		"listen": w.address(i, 1), "control": w.address(i, 2), "admin": w.address(i, 3), "ready": w.address(i, 4), "peers": peers,
+		"listen": c.address(i, 1), "control": c.address(i, 2), "admin": c.address(i, 3), "ready": c.address(i, 4), "peers": peers,
 		"repeat": map[string]any{"ratio": 0.2, "slack": 100, "window": "10s"},
 		"limits": map[string]any{"settle": "100ms", "grace": "6s", "lease": "10m"},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	folder := *logs
+	folder := *logFolder
 	if folder == "" {
 		folder = GinkgoT().TempDir()
 	}
-	h.file = filepath.Join(folder, fmt.Sprintf("%d-%s.json", w.seed, h.name))
-	Expect(os.WriteFile(h.file, text, 0o600)).To(Succeed())
-	w.hosts = append(w.hosts, h)
+	h.settingsFile = filepath.Join(folder, fmt.Sprintf("%d-%s.json", c.seed, h.name))
+	Expect(os.WriteFile(h.settingsFile, text, 0o600)).To(Succeed())
+	c.hosts = append(c.hosts, h)
 }
 
-// start starts the host's process; its log goes beside its settings.
+// start starts the host's process. Its log is appended to a file next to its settings.
 func (h *host) start() {
-	out, err := os.OpenFile(strings.TrimSuffix(h.file, ".json")+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	out, err := os.OpenFile(strings.TrimSuffix(h.settingsFile, ".json")+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	Expect(err).NotTo(HaveOccurred())
-	c := exec.Command("../bin/cicadawood", "serve", h.file)
+	c := exec.Command("../bin/cicadawood", "serve", h.settingsFile)
 	c.Stdout, c.Stderr = out, out
 	c.Env = append(os.Environ(), "GOMAXPROCS=2")
-	Expect(c.Start()).To(Succeed(), "make build first")
-	ended := make(chan struct{})
+	Expect(c.Start()).To(Succeed(), "run make build first")
+	exited := make(chan struct{})
 	h.mu.Lock()
-	h.command, h.ended, h.spared, h.touched = c, ended, false, time.Now()
-	h.shaken = h.touched
+	h.cmd, h.exited, h.expectedExit, h.disturbedAt = c, exited, false, time.Now()
+	h.processDisturbedAt = h.disturbedAt
 	h.mu.Unlock()
 	go func() {
 		err := c.Wait()
-		_, _ = fmt.Fprintln(out, "ended:", err)
+		_, _ = fmt.Fprintln(out, "exited:", err)
 		_ = out.Close()
-		close(ended)
+		close(exited)
 	}()
 }
 
-// signal signals the host's process. What follows is our doing until it answers again.
+// signal sends a signal to the host's process and records the disturbance.
 func (h *host) signal(s syscall.Signal) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.touched = time.Now()
-	h.shaken = h.touched
-	h.spared = h.spared || s == syscall.SIGKILL || s == syscall.SIGTERM
-	_ = h.command.Process.Signal(s)
+	h.disturbedAt = time.Now()
+	h.processDisturbedAt = h.disturbedAt
+	h.expectedExit = h.expectedExit || s == syscall.SIGKILL || s == syscall.SIGTERM
+	_ = h.cmd.Process.Signal(s)
 }
 
-// kill ends the host's process and waits for that.
+// kill sends SIGKILL to the host's process and waits for its exit.
 func (h *host) kill() {
 	h.signal(syscall.SIGKILL)
-	<-h.ended
+	<-h.exited
 }
 
-// away notes that the host is out of touch by our doing.
-func (h *host) away() {
+// markDisturbed records that a fault outside the process disturbs the host.
+func (h *host) markDisturbed() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.touched = time.Now()
+	h.disturbedAt = time.Now()
 }
 
-// inTouch says that nothing was done to the host since a time.
-func (h *host) inTouch(since time.Time) bool {
+// undisturbedSince reports whether no fault has disturbed the host since the given time.
+func (h *host) undisturbedSince(since time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.touched.Before(since)
+	return h.disturbedAt.Before(since)
 }
 
-// calm says that the host's process was left alone since a time, whatever became of the store.
-func (h *host) calm(since time.Time) bool {
+// processUndisturbedSince reports whether the host's process has been neither signaled nor
+// started since the given time. Faults of the store don't count.
+func (h *host) processUndisturbedSince(since time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.shaken.Before(since)
+	return h.processDisturbedAt.Before(since)
 }
 
-// asked asks the host whether it is ready, as a balancer does.
-func (h *host) asked() bool {
+// pollReady queries the host's readiness endpoint, as a load balancer does, and records
+// the result.
+func (h *host) pollReady() bool {
 	c := http.Client{Timeout: 300 * time.Millisecond}
-	resp, err := c.Get(h.ready)
-	open := err == nil && resp.StatusCode == http.StatusOK
+	resp, err := c.Get(h.readyURL)
+	ready := err == nil && resp.StatusCode == http.StatusOK
 	if err == nil {
 		_ = resp.Body.Close()
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.open = open
-	return open
+	h.lastReady = ready
+	return ready
 }
 
-func (h *host) isOpen() bool {
+func (h *host) isReady() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.open
+	return h.lastReady
 }
