--- a/prover/cells.go
+++ b/prover/cells.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// reach is where a fault can occur, and why it can't elsewhere.
-type reach struct {
+// matrixRow declares at which steps a fault can occur, and why it can't at the others.
+type matrixRow struct {
 	fault  Fault
 	steps  []Step
 	reason string // why it can't occur at the other steps
@@ -16,8 +16,8 @@
 	storeSteps   = []Step{IntentRecorded, OutcomeRecorded, Pushed, Written, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}
 )
 
-// reaches is the whole table, one line a fault.
-var reaches = []reach{
+// matrix is the fault matrix, one line for each fault.
+var matrix = []matrixRow{
 	{Kill, Steps(), ""},
 	{Freeze, Steps(), ""},
 	{CutOneWay, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
@@ -34,11 +34,12 @@
 	{PushRace, configSteps, "operators race each other in pushes only"},
 }
 
-// Cells is every step and fault that can meet, as Cell labels in order.
+// Cells returns the Cell labels of all steps and faults that can occur together, ordered
+// by step.
 func Cells() []string {
 	var out []string
 	for _, s := range Steps() {
-		for _, r := range reaches {
+		for _, r := range matrix {
 			if slices.Contains(r.steps, s) {
 				out = append(out, Cell(s, r.fault))
 			}
@@ -47,9 +48,9 @@
 	return out
 }
 
-// ImpossibleReason is why a fault can't occur at a step; "" where it can.
+// ImpossibleReason returns why a fault can't occur at a step, or "" if it can.
 func ImpossibleReason(s Step, f Fault) string {
-	for _, r := range reaches {
+	for _, r := range matrix {
 		if r.fault == f && !slices.Contains(r.steps, s) {
 			return r.reason
 		}
--- a/prover/prover.go
+++ b/prover/prover.go
@@ -1,7 +1,7 @@
-// Package prover declares the fault matrix: the steps of a request, of a
-// configuration and of a host's life, the faults that can hit them, and the
-// cells that can't occur. Tests name the cells they prove with ginkgo labels;
-// cmd/matrix reads the reports and lists what is not proved.
+// Package prover declares the fault matrix: the steps in the life of a request, of a
+// configuration and of a host, the faults that can occur at them, and the cells that are
+// impossible. Tests declare the cells that they cover with ginkgo labels; cmd/matrix reads
+// the test reports and lists the cells that are not covered.
 package prover
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Step is a point in the life of a request, a configuration or a host.
+// Step is a point in the life of a request, of a configuration or of a host.
 type Step string
 
 // Steps of a request.
@@ -18,12 +18,12 @@
 	Queued          Step = "queued"
 	Asked           Step = "asked"
 	Granted         Step = "granted"
-	IntentRecorded  Step = "intent" // recorded
+	IntentRecorded  Step = "intent"
 	Sent            Step = "sent"
-	FirstToken      Step = "first" // token
-	MidStream       Step = "mid"   // stream
+	FirstToken      Step = "first"
+	MidStream       Step = "mid"
 	Answered        Step = "answered"
-	OutcomeRecorded Step = "outcome" // recorded
+	OutcomeRecorded Step = "outcome"
 	Acked           Step = "acked"
 )
 
@@ -37,35 +37,35 @@
 
 // Steps of a host.
 const (
-	LeaseRenewed   Step = "renewed" // its lease
-	RoleTaken      Step = "taken"   // a role
-	RoleHandedOver Step = "handed"  // a role
+	LeaseRenewed   Step = "renewed"
+	RoleTaken      Step = "taken"
+	RoleHandedOver Step = "handed"
 	Draining       Step = "draining"
 	Drained        Step = "drained"
 )
 
-// Fault is something that goes wrong.
+// Fault is a kind of failure.
 type Fault string
 
-// Faults.
+// Faults of hosts, connections, the store and operators.
 const (
 	Kill             Fault = "kill"   // SIGKILL
-	Freeze           Fault = "freeze" // beyond the lease, and return
-	CutOneWay        Fault = "cut1"   // one way
-	CutBothWays      Fault = "cut2"   // both ways
-	Blackhole        Fault = "silence"
+	Freeze           Fault = "freeze" // for longer than the lease, then resumed
+	CutOneWay        Fault = "cut1"
+	CutBothWays      Fault = "cut2"
+	Blackhole        Fault = "silence" // packets are lost without an error
 	Slow             Fault = "slow"
-	LostReply        Fault = "lostreply" // after the write took effect
+	LostReply        Fault = "lostreply" // the write took effect
 	StoreDown        Fault = "down"
 	StoreSlow        Fault = "storeslow"
 	WatchGap         Fault = "gap"
-	LateHostList     Fault = "latelist" // host list late
-	Reorder          Fault = "reorder"  // duplicate or reordered frame
-	MismatchedAnswer Fault = "crossed"  // answer of another request
-	PushRace         Fault = "race"     // operators
+	LateHostList     Fault = "latelist"
+	Reorder          Fault = "reorder" // a frame is duplicated or arrives out of order
+	MismatchedAnswer Fault = "crossed" // an answer belongs to another request
+	PushRace         Fault = "race"    // operators push at the same time
 )
 
-// Steps is every step, in order.
+// Steps returns all steps in order: of a request, of a configuration, of a host.
 func Steps() []Step {
 	return []Step{
 		Received, Queued, Asked, Granted, IntentRecorded, Sent, FirstToken, MidStream, Answered, OutcomeRecorded, Acked,
@@ -73,7 +73,7 @@
 	}
 }
 
-// Faults is every fault.
+// Faults returns all faults.
 func Faults() []Fault {
 	return []Fault{Kill, Freeze, CutOneWay, CutBothWays, Blackhole, Slow, LostReply, StoreDown, StoreSlow, WatchGap, LateHostList, Reorder, MismatchedAnswer, PushRace}
 }
@@ -83,17 +83,17 @@
 	pairPrefix = "pair:"
 )
 
-// Cell is the label of a test that proves a fault at a step. Ginkgo allows no
-// slash in a label.
+// Cell returns the label of a test that covers a fault at a step. It has no slash, which
+// ginkgo forbids in labels.
 func Cell(s Step, f Fault) string { return fmt.Sprintf("%s%s.%s", cellPrefix, s, f) }
 
-// Pair is the label of a test that proves two faults together or in sequence.
+// Pair returns the label of a test that covers two faults together or in sequence.
 func Pair(s1 Step, f1 Fault, s2 Step, f2 Fault) string {
 	return fmt.Sprintf("%s%s.%s+%s.%s", pairPrefix, s1, f1, s2, f2)
 }
 
-// IsCell says whether a label is a Cell.
+// IsCell reports whether a label was made by Cell.
 func IsCell(label string) bool { return strings.HasPrefix(label, cellPrefix) }
 
-// IsPair says whether a label is a Pair.
+// IsPair reports whether a label was made by Pair.
 func IsPair(label string) bool { return strings.HasPrefix(label, pairPrefix) }
--- a/prover/prover_suite_test.go
+++ b/prover/prover_suite_test.go
@@ -14,8 +14,8 @@
 	RunSpecs(t, "prover")
 }
 
-var _ = Describe("the table of cells", func() {
-	It("gives a reason for each cell that can't occur, and no other", func() {
+var _ = Describe("The fault matrix", func() {
+	It("gives a reason for exactly the cells that can't occur", func() {
 		possible := prover.Cells()
 		for _, s := range prover.Steps() {
 			for _, f := range prover.Faults() {
