--- a/scripter/call_test.go
+++ b/scripter/call_test.go
@@ -15,11 +15,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// call is one caller's request and what came back so far.
+// call is a request of a caller and the part of the response received so far.
 type call struct {
-	cancel context.CancelFunc
-	ended  chan struct{}
-	end    time.Time // set before ended closes
+	cancel  context.CancelFunc
+	done    chan struct{}
+	endedAt time.Time // set before done is closed
 
 	mu     sync.Mutex
 	status int
@@ -28,24 +28,26 @@
 	err    error
 }
 
+// text returns the part of the body received so far.
 func (c *call) text() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.body.String()
 }
 
-// cmdCall is `call NAME HOST METHOD PATH [HEADER=VALUE...] [BODY]`. It goes on in
-// the background; expect waits for it. PATH "chat:N" is a streamed chat of N
-// tokens at most, "exact:N" one of just N.
+// cmdCall implements `call NAME HOST METHOD PATH [HEADER=VALUE...] [BODY]`. The call
+// runs in the background; `expect` waits for its end. PATH "chat:N" stands for a streamed
+// chat completion of at most N tokens, "exact:N" for one of exactly N.
 func cmdCall(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
-	c, req := w.newCall(ts, args)
-	w.calls[args[0]] = c
-	go c.run(req)
+	env := environmentOf(ts)
+	c, req := env.newCall(ts, args)
+	env.calls[args[0]] = c
+	go c.send(req)
 }
 
-// newCall is the call that the arguments of a command say, not begun yet.
-func (w *world) newCall(ts *testscript.TestScript, args []string) (*call, *http.Request) {
+// newCall builds a call and its request from the arguments of a command, without
+// sending it.
+func (e *environment) newCall(ts *testscript.TestScript, args []string) (*call, *http.Request) {
 	name, host, method, path := args[0], args[1], args[2], args[3]
 	body := ""
 	headers := http.Header{"Authorization": {"Bearer demo-key"}, "Content-Type": {"application/json"}}
@@ -63,17 +65,18 @@
 		}
 		body = fmt.Sprintf(`{"model":"lm","stream":true,"max_tokens":%s,"messages":[{"role":"user","content":%q}]}`, n, name)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 3*patience)
-	c := &call{cancel: cancel, ended: make(chan struct{})}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.addresses[host]+path, strings.NewReader(body))
+	ctx, cancel := context.WithTimeout(context.Background(), 3*waitTimeout)
+	c := &call{cancel: cancel, done: make(chan struct{})}
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.addresses[host]+path, strings.NewReader(body))
 	ts.Check(err)
 	req.Header = headers
 	return c, req
 }
 
-func (c *call) run(req *http.Request) {
-	defer close(c.ended)
-	defer func() { c.end = time.Now() }()
+// send sends the request and reads the response to its end.
+func (c *call) send(req *http.Request) {
+	defer close(c.done)
+	defer func() { c.endedAt = time.Now() }()
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	c.mu.Lock()
 	c.err = err
@@ -100,18 +103,19 @@
 	}
 }
 
-// cmdExpect is `expect NAME OUTCOME...`: waits for the call's end and checks that
-// it ended in one of the outcomes: whole, no (told: not run), unknown (told: may
-// have run), broken (marked, or the connection broke), or a status code.
+// cmdExpect implements `expect NAME OUTCOME...`: waits for the call's end and checks that
+// it ended in one of the outcomes: whole, no (reported as not run), unknown (reported as
+// possibly run), broken (the stream lacks its end mark, or the connection broke), or a
+// status code.
 func cmdExpect(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).calls[args[0]]
+	c := environmentOf(ts).calls[args[0]]
 	if c == nil {
 		ts.Fatalf("no call %q", args[0])
 	}
 	select {
-	case <-c.ended:
-	case <-time.After(patience):
-		ts.Fatalf("call %s has no answer yet", args[0])
+	case <-c.done:
+	case <-time.After(waitTimeout):
+		ts.Fatalf("call %s has not ended within the time limit", args[0])
 	}
 	got := c.outcome()
 	ts.Logf("call %s: %s %d after %d bytes", args[0], got, c.status, len(c.text()))
@@ -123,7 +127,7 @@
 	ts.Fatalf("call %s ended %s (status %d, error %v): %.400s", args[0], got, c.status, c.err, c.text())
 }
 
-// outcome is how the call ended, as its caller sees it.
+// outcome returns how the call ended, as seen by its caller.
 func (c *call) outcome() string {
 	body := c.text()
 	switch {
@@ -143,15 +147,15 @@
 		} `json:"error"`
 	}
 	if json.Unmarshal([]byte(body), &e) != nil || e.Error.Run == "" {
-		return "untold"
+		return "unspecified"
 	}
 	return e.Error.Run
 }
 
 var tokenPattern = regexp.MustCompile(`"content":"([^": ]*):(\d+) "`)
 
-// streamOutcome checks that the tokens are all there, once, in order, and of one
-// request: the call's own, or the first with its key.
+// streamOutcome checks that the tokens are complete, unique, in order and from one
+// request: the call's own or, with an idempotency key, the first request with that key.
 func streamOutcome(body string, h http.Header) string {
 	tokens := tokenPattern.FindAllStringSubmatch(body, -1)
 	if len(tokens) == 0 {
@@ -163,42 +167,43 @@
 	}
 	for i, m := range tokens {
 		if m[1] != id || m[2] != fmt.Sprint(i) {
-			return fmt.Sprintf("wrong (token %s of %s at place %d of %s)", m[2], m[1], i, id)
+			return fmt.Sprintf("wrong (token %s of request %s at position %d of request %s)", m[2], m[1], i, id)
 		}
 	}
 	return "whole"
 }
 
-// cmdStreaming is `streaming NAME`: waits until the call has got a token.
+// cmdStreaming implements `streaming NAME`: waits until the call has received a token.
 func cmdStreaming(ts *testscript.TestScript, _ bool, args []string) {
-	c := worldOf(ts).calls[args[0]]
+	c := environmentOf(ts).calls[args[0]]
 	eventually(ts, func() error {
 		if !strings.Contains(c.text(), `"content"`) {
-			return fmt.Errorf("call %s has no token yet: status %d, %v", args[0], c.status, c.err)
+			return fmt.Errorf("call %s has received no token: status %d, %v", args[0], c.status, c.err)
 		}
 		return nil
 	})
 }
 
-// cmdSame is `same NAME1 NAME2`: the two calls got the same answer.
+// cmdSame implements `[!] same NAME1 NAME2`: checks that both calls received the same body.
 func cmdSame(ts *testscript.TestScript, neg bool, args []string) {
-	w := worldOf(ts)
-	if a, b := w.calls[args[0]].text(), w.calls[args[1]].text(); (a == b) == neg {
+	env := environmentOf(ts)
+	if a, b := env.calls[args[0]].text(), env.calls[args[1]].text(); (a == b) == neg {
 		ts.Fatalf("answers %q and %q", a, b)
 	}
 }
 
-// cmdBefore is `before NAME OTHER...`: the call ended before the others did.
+// cmdBefore implements `before NAME OTHER...`: waits for the call's end and checks that
+// none of the others ended earlier.
 func cmdBefore(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
-	first := w.calls[args[0]]
-	<-first.ended
+	env := environmentOf(ts)
+	first := env.calls[args[0]]
+	<-first.done
 	for _, name := range args[1:] {
-		other := w.calls[name]
+		other := env.calls[name]
 		select {
-		case <-other.ended:
-			if !first.end.Before(other.end) {
-				ts.Fatalf("call %s ended %v after %s", args[0], first.end.Sub(other.end), name)
+		case <-other.done:
+			if !first.endedAt.Before(other.endedAt) {
+				ts.Fatalf("call %s ended %v after %s", args[0], first.endedAt.Sub(other.endedAt), name)
 			}
 		default:
 		}
--- a/scripter/flood_test.go
+++ b/scripter/flood_test.go
@@ -6,40 +6,41 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// flood is callers that ask again as soon as they are answered, until told to stop.
+// flood is a group of callers that send requests back to back until stop is closed.
 type flood struct {
 	stop    chan struct{}
 	callers sync.WaitGroup
 
 	mu       sync.Mutex
-	outcomes map[string]int
+	outcomes map[string]int // number of calls by outcome
 }
 
-// cmdFlood is `flood NAME HOST METHOD PATH [HEADER=VALUE...] [BODY]`: eight callers
-// that go on and on. It returns when each of them has had an answer.
+// cmdFlood implements `flood NAME HOST METHOD PATH [HEADER=VALUE...] [BODY]`: starts eight
+// callers that repeat the call until `ebb`. It returns when each has received an answer.
 func cmdFlood(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	env := environmentOf(ts)
 	f := &flood{stop: make(chan struct{}), outcomes: map[string]int{}}
-	w.floods[args[0]] = f
-	var begun sync.WaitGroup
+	env.floods[args[0]] = f
+	var answered sync.WaitGroup
 	for range 8 {
-		begun.Add(1)
-		f.callers.Go(func() { f.run(w, ts, args, begun.Done) })
+		answered.Add(1)
+		f.callers.Go(func() { f.run(env, ts, args, answered.Done) })
 	}
-	begun.Wait()
+	answered.Wait()
 }
 
-func (f *flood) run(w *world, ts *testscript.TestScript, args []string, begun func()) {
-	begin := sync.OnceFunc(begun)
-	defer begin()
+// run repeats the call until stop is closed, and calls answered after the first.
+func (f *flood) run(env *environment, ts *testscript.TestScript, args []string, answered func()) {
+	markAnswered := sync.OnceFunc(answered)
+	defer markAnswered()
 	for {
-		c, req := w.newCall(ts, args)
-		c.run(req)
+		c, req := env.newCall(ts, args)
+		c.send(req)
 		c.cancel()
 		f.mu.Lock()
 		f.outcomes[c.outcome()]++
 		f.mu.Unlock()
-		begin()
+		markAnswered()
 		select {
 		case <-f.stop:
 			return
@@ -48,9 +49,10 @@
 	}
 }
 
-// cmdEbb is `ebb NAME`: ends a flood, of which each call must have come whole.
+// cmdEbb implements `ebb NAME`: stops a flood and checks that each of its calls was
+// answered whole.
 func cmdEbb(ts *testscript.TestScript, _ bool, args []string) {
-	f := worldOf(ts).floods[args[0]]
+	f := environmentOf(ts).floods[args[0]]
 	close(f.stop)
 	f.callers.Wait()
 	ts.Logf("flood %s: %v", args[0], f.outcomes)
--- a/scripter/page_test.go
+++ b/scripter/page_test.go
@@ -10,39 +10,40 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdPage is `page FILE HOST`: runs the curl lines that a page shows against a
-// host, and compares what comes with what the page says. "..." stands for
-// anything, and numbers and request ids differ from run to run.
+// cmdPage implements `page FILE HOST`: runs the curl commands shown in a page against a
+// host and compares the output with the one shown. "..." in the page matches anything;
+// numbers and request IDs are not compared, as they differ between runs.
 func cmdPage(ts *testscript.TestScript, _ bool, args []string) {
 	text, err := os.ReadFile(args[0])
 	ts.Check(err)
-	examples := examplesIn(string(text))
+	examples := parseExamples(string(text))
 	if len(examples) == 0 {
-		ts.Fatalf("%s shows no curl line", args[0])
+		ts.Fatalf("%s contains no curl command", args[0])
 	}
 	for _, e := range examples {
 		var got strings.Builder
-		for _, words := range e.commands {
-			got.WriteString(curl(ts, worldOf(ts).addresses[args[1]], words))
+		for _, command := range e.commands {
+			got.WriteString(curl(ts, environmentOf(ts).addresses[args[1]], command))
 		}
-		rest := sameEveryRun(got.String())
-		for piece := range strings.SplitSeq(sameEveryRun(e.want), "...") {
-			_, after, found := strings.Cut(rest, strings.TrimSpace(piece))
+		remaining := normalize(got.String())
+		for fragment := range strings.SplitSeq(normalize(e.want), "...") {
+			_, after, found := strings.Cut(remaining, strings.TrimSpace(fragment))
 			if !found {
-				ts.Fatalf("%v: no %q in %s", e.commands, piece, got.String())
+				ts.Fatalf("%v: no %q in %s", e.commands, fragment, got.String())
 			}
-			rest = after
+			remaining = after
 		}
 	}
 }
 
-// example is curl lines and what the page says that they print.
+// example is a list of curl commands and the output that the page shows for them.
 type example struct {
 	commands [][]string
 	want     string
 }
 
-func examplesIn(page string) []example {
+// parseExamples returns the examples of a page: indented blocks that begin with curl.
+func parseExamples(page string) []example {
 	var out []example
 	joined := strings.ReplaceAll(page, "\\\n", " ")
 	for block := range strings.SplitSeq(joined, "\n\n") {
@@ -52,7 +53,7 @@
 		}
 		var e example
 		for c := range strings.SplitSeq(first, "; ") {
-			e.commands = append(e.commands, wordsOf(c))
+			e.commands = append(e.commands, splitArguments(c))
 		}
 		e.want = strings.ReplaceAll(want, "    ", "")
 		out = append(out, e)
@@ -60,11 +61,12 @@
 	return out
 }
 
-var wordPattern = regexp.MustCompile(`'([^']*)'|(\S+)`)
+var argumentPattern = regexp.MustCompile(`'([^']*)'|(\S+)`)
 
-func wordsOf(command string) []string {
+// splitArguments splits a shell command into arguments. It supports single quotes only.
+func splitArguments(command string) []string {
 	var out []string
-	for _, m := range wordPattern.FindAllStringSubmatch(command, -1) {
+	for _, m := range argumentPattern.FindAllStringSubmatch(command, -1) {
 		out = append(out, m[1]+m[2])
 	}
 	return out
@@ -75,29 +77,31 @@
 	numberPattern = regexp.MustCompile(`\d+`)
 )
 
-func sameEveryRun(s string) string {
+// normalize replaces what differs between runs: request IDs and numbers.
+func normalize(s string) string {
 	s = strings.ReplaceAll(idPattern.ReplaceAllString(s, "ID"), "\r\n", "\n")
 	return numberPattern.ReplaceAllString(s, "N")
 }
 
-// curl does what curl does with -H, -d, -i and -N.
-func curl(ts *testscript.TestScript, host string, words []string) string {
+// curl runs a curl command with the options -H, -d, -i and -N against a host, and returns
+// its output.
+func curl(ts *testscript.TestScript, host string, args []string) string {
 	var url, body string
-	headers, head, method := http.Header{}, false, http.MethodGet
-	for i := 1; i < len(words); i++ {
-		switch words[i] {
+	headers, includeHead, method := http.Header{}, false, http.MethodGet
+	for i := 1; i < len(args); i++ {
+		switch args[i] {
 		case "-N":
 		case "-i":
-			head = true
+			includeHead = true
 		case "-H":
 			i++
-			name, value, _ := strings.Cut(words[i], ": ")
+			name, value, _ := strings.Cut(args[i], ": ")
 			headers.Set(name, value)
 		case "-d":
 			i++
-			method, body = http.MethodPost, words[i]
+			method, body = http.MethodPost, args[i]
 		default:
-			url = strings.Replace(words[i], "127.0.0.1:18011", host, 1)
+			url = strings.Replace(args[i], "127.0.0.1:18011", host, 1)
 		}
 	}
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -108,7 +112,7 @@
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(resp.Body)
 	ts.Check(err)
-	if !head {
+	if !includeHead {
 		return string(answer)
 	}
 	var out strings.Builder
--- a/scripter/scripter_test.go
+++ b/scripter/scripter_test.go
@@ -1,6 +1,6 @@
-// Package scripter_test runs the scenarios: real processes on loopback, driven by
-// files in a small test language, one folder a promise. The commands are the
-// entries of the table below; CONTRIBUTING.md explains them.
+// Package scripter_test runs the scenarios: testscript files that drive real processes on
+// loopback, in one folder for each guarantee. The table below lists the commands that it
+// adds to those of testscript; CONTRIBUTING.md explains them.
 package scripter_test
 
 import (
@@ -16,7 +16,7 @@
 
 var commands = map[string]func(*testscript.TestScript, bool, []string){
 	"start":      cmdStart,
-	"sigkill":    cmdSignal(syscall.SIGKILL), // testscript has a kill of its own
+	"sigkill":    cmdSignal(syscall.SIGKILL), // testscript has a command kill
 	"freeze":     cmdSignal(syscall.SIGSTOP),
 	"thaw":       cmdSignal(syscall.SIGCONT),
 	"term":       cmdSignal(syscall.SIGTERM),
@@ -29,12 +29,12 @@
 	"push":       cmdPush,
 	"operate":    cmdOperate,
 	"ready":      cmdReady,
-	"roster":     cmdCount("hosts", staying),
+	"roster":     cmdCount("hosts", activeHosts),
 	"object":     cmdObject,
 	"renewed":    cmdRenewed,
 	"dispatches": cmdDispatches,
 	"force":      cmdForce,
-	"kept":       cmdCount("partitions", kept),
+	"kept":       cmdCount("partitions", readyPartitions),
 	"class":      cmdClass,
 	"call":       cmdCall,
 	"streaming":  cmdStreaming,
@@ -53,13 +53,13 @@
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(bin, "cicadawood")); err != nil {
-		t.Fatalf("make build first: %v", err)
+		t.Fatalf("run make build first: %v", err)
 	}
 	folders, err := filepath.Glob("../scenarios/*")
 	if err != nil || len(folders) == 0 {
 		t.Fatalf("no scenarios: %v", err)
 	}
-	commands["each"] = cmdEach // it uses the table itself
+	commands["each"] = cmdEach // added here, as cmdEach refers to the table
 	for _, folder := range folders {
 		if folder == baseFolder {
 			continue
@@ -69,17 +69,17 @@
 			testscript.Run(t, testscript.Params{Dir: folder, Cmds: commands, RequireExplicitExec: true, Setup: func(e *testscript.Env) error {
 				e.Setenv("BIN", bin)
 				e.Setenv("CALLING", filepath.Join(bin, "../docs/CALLING.md"))
-				w := newWorld(e.WorkDir)
-				e.Values[worldKey{}] = w
-				e.Defer(w.close)
+				env := newEnvironment(e.WorkDir)
+				e.Values[environmentKey{}] = env
+				e.Defer(env.close)
 				return nil
 			}})
 		})
 	}
 }
 
-// cmdEach is `each NAME... : COMMAND [ARG...]`: the command once for each name, with
-// the name in place of % in its arguments.
+// cmdEach implements `each NAME... : COMMAND [ARG...]`: runs the command once for each
+// name, with % in its arguments replaced by the name.
 func cmdEach(ts *testscript.TestScript, neg bool, args []string) {
 	colon := slices.Index(args, ":")
 	command := commands[args[colon+1]]
--- a/scripter/start_test.go
+++ b/scripter/start_test.go
@@ -14,44 +14,45 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdStart is `start KIND NAME [ARG...]`: platform, engine, service, link or host.
+// cmdStart implements `start KIND NAME [ARG...]`: starts a process of kind platform,
+// engine, service, link or host, and waits until it listens.
 func cmdStart(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: start KIND NAME [ARG...]")
 	}
-	w, kind, name, rest := worldOf(ts), args[0], args[1], args[2:]
+	env, kind, name, rest := environmentOf(ts), args[0], args[1], args[2:]
 	switch kind {
 	case "platform":
-		w.addresses[name] = w.address()
-		w.run(ts, name, "faker", "platform", w.addresses[name])
+		env.addresses[name] = env.newAddress()
+		env.startProcess(ts, name, "faker", "platform", env.addresses[name])
 	case "engine", "service":
-		if w.addresses[name] == "" {
-			w.addresses[name] = w.address()
+		if env.addresses[name] == "" {
+			env.addresses[name] = env.newAddress()
 		}
-		w.run(ts, name, "faker", append([]string{kind, name, w.addresses[name]}, rest...)...)
+		env.startProcess(ts, name, "faker", append([]string{kind, name, env.addresses[name]}, rest...)...)
 	case "link":
-		w.addresses[name], w.addresses[name+"_control"] = w.address(), w.address()
-		w.run(ts, name, "faker", "link", w.addresses[name], w.addresses[rest[0]], w.addresses[name+"_control"])
+		env.addresses[name], env.addresses[name+"_control"] = env.newAddress(), env.newAddress()
+		env.startProcess(ts, name, "faker", "link", env.addresses[name], env.addresses[rest[0]], env.addresses[name+"_control"])
 	case "host":
-		w.startHost(ts, name, rest)
+		env.startHost(ts, name, rest)
 		return
 	default:
 		ts.Fatalf("unknown kind %q", kind)
 	}
-	listening(ts, w.addresses[name])
+	waitListening(ts, env.addresses[name])
 }
 
-// startHost writes the host's settings on its first start and runs it. The
-// arguments are KEY=VALUE: zone, platform, peer, and limits. A restart keeps the name
-// and the addresses.
-func (w *world) startHost(ts *testscript.TestScript, name string, args []string) {
-	file := filepath.Join(w.dir, name+".jsonc")
+// startHost starts a host. On its first start it writes the host's settings from the
+// arguments KEY=VALUE: zone, platform, peer, or the name of a limit. A restart uses the
+// same settings, with the same addresses.
+func (e *environment) startHost(ts *testscript.TestScript, name string, args []string) {
+	file := filepath.Join(e.dir, name+".jsonc")
 	if _, err := os.Stat(file); err != nil {
-		w.addresses[name], w.addresses[name+"_control"], w.addresses[name+"_admin"] = w.address(), w.address(), w.address()
+		e.addresses[name], e.addresses[name+"_control"], e.addresses[name+"_admin"] = e.newAddress(), e.newAddress(), e.newAddress()
 		settings := map[string]any{
 			"name": name, "zone": "zone-a", "region": "region",
-			"listen": w.addresses[name], "control": w.addresses[name+"_control"], "admin": w.addresses[name+"_admin"],
-			"platform": "http://" + w.addresses["platform"],
+			"listen": e.addresses[name], "control": e.addresses[name+"_control"], "admin": e.addresses[name+"_admin"],
+			"platform": "http://" + e.addresses["platform"],
 		}
 		limits := map[string]string{"settle": "100ms", "lease": "2s"}
 		for _, a := range args {
@@ -60,9 +61,9 @@
 			case "zone":
 				settings[key] = value
 			case "platform":
-				settings[key] = "http://" + w.addresses[value]
+				settings[key] = "http://" + e.addresses[value]
 			case "peer":
-				settings["peers"] = []string{w.addresses[value+"_control"]}
+				settings["peers"] = []string{e.addresses[value+"_control"]}
 			default:
 				limits[key] = value
 			}
@@ -72,11 +73,12 @@
 		ts.Check(err)
 		ts.Check(os.WriteFile(file, text, 0o600))
 	}
-	w.run(ts, name, "cicadawood", "serve", file)
-	listening(ts, w.addresses[name])
+	e.startProcess(ts, name, "cicadawood", "serve", file)
+	waitListening(ts, e.addresses[name])
 }
 
-func listening(ts *testscript.TestScript, address string) {
+// waitListening waits until the address accepts connections.
+func waitListening(ts *testscript.TestScript, address string) {
 	eventually(ts, func() error {
 		c, err := net.DialTimeout("tcp", address, time.Second)
 		if err != nil {
@@ -86,39 +88,41 @@
 	})
 }
 
-// cmdSignal returns a command that signals processes by name.
+// cmdSignal returns a command `NAME PROCESS...` that sends a signal to each process. After
+// SIGKILL it waits until the process has exited.
 func cmdSignal(s syscall.Signal) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range args {
-			p := worldOf(ts).signal(ts, name, s)
+			p := environmentOf(ts).signal(ts, name, s)
 			if s == syscall.SIGKILL {
-				<-p.ended
+				<-p.exited
 			}
 		}
 	}
 }
 
-// cmdGone is `[!] gone NAME`: waits until the process has ended, with exit code
-// 0, or another with "!".
+// cmdGone implements `[!] gone NAME`: waits until the process has exited, and checks that
+// its exit code is 0 (with "!": another).
 func cmdGone(ts *testscript.TestScript, neg bool, args []string) {
-	p := worldOf(ts).processes[args[0]]
+	p := environmentOf(ts).processes[args[0]]
 	select {
-	case <-p.ended:
-	case <-time.After(patience):
-		ts.Fatalf("%s still runs", args[0])
+	case <-p.exited:
+	case <-time.After(waitTimeout):
+		ts.Fatalf("%s is still running", args[0])
 	}
 	if (p.err != nil) != neg {
-		ts.Fatalf("%s ended with %v", args[0], p.err)
+		ts.Fatalf("%s exited with %v", args[0], p.err)
 	}
 }
 
-// cmdPlatform is `platform NAME up|down|slow DURATION|lose N|restored AGE`; the last has the
-// store come back from a copy of that age.
+// cmdPlatform implements `platform NAME up|down|slow DURATION|lose N|restored AGE`: ends all
+// faults of the fake platform, or begins one. lose N loses the replies of N writes that
+// take effect; restored AGE restores the store from a snapshot of that age.
 func cmdPlatform(ts *testscript.TestScript, _ bool, args []string) {
 	if args[1] == "restored" {
 		age, err := time.ParseDuration(args[2])
 		ts.Check(err)
-		post(ts, http.MethodPost, worldOf(ts).addresses[args[0]], "/restore", fmt.Sprintf(`{"age": %d}`, age))
+		post(ts, http.MethodPost, environmentOf(ts).addresses[args[0]], "/restore", fmt.Sprintf(`{"age": %d}`, age))
 		return
 	}
 	faults := map[string]any{}
@@ -140,28 +144,29 @@
 	}
 	body, err := json.Marshal(faults)
 	ts.Check(err)
-	post(ts, http.MethodPost, worldOf(ts).addresses[args[0]], "/faults", string(body))
+	post(ts, http.MethodPost, environmentOf(ts).addresses[args[0]], "/faults", string(body))
 }
 
-// cmdFault is `fault NAME JSON`: what a fake engine or service does wrong from now on.
+// cmdFault implements `fault NAME JSON`: sets the faults of a fake engine or service.
 func cmdFault(ts *testscript.TestScript, _ bool, args []string) {
-	post(ts, http.MethodPost, worldOf(ts).addresses[args[0]], "/faults", args[1])
+	post(ts, http.MethodPost, environmentOf(ts).addresses[args[0]], "/faults", args[1])
 }
 
-// cmdLink is `link NAME MODE [DELAY]`.
+// cmdLink implements `link NAME MODE [DELAY]`: sets the mode and the delay of a link.
 func cmdLink(ts *testscript.TestScript, _ bool, args []string) {
 	path := "/" + args[1]
 	if len(args) > 2 {
 		path += "?delay=" + args[2]
 	}
-	post(ts, http.MethodPut, worldOf(ts).addresses[args[0]+"_control"], path, "")
+	post(ts, http.MethodPut, environmentOf(ts).addresses[args[0]+"_control"], path, "")
 }
 
-// cmdLeave is `leave NAME`: the backend server says that it is leaving.
+// cmdLeave implements `leave NAME`: has a backend server announce that it is leaving.
 func cmdLeave(ts *testscript.TestScript, _ bool, args []string) {
-	post(ts, http.MethodPost, worldOf(ts).addresses[args[0]], "/leave", "")
+	post(ts, http.MethodPost, environmentOf(ts).addresses[args[0]], "/leave", "")
 }
 
+// post sends a request and fails the script unless it succeeds.
 func post(ts *testscript.TestScript, method, address, path, body string) {
 	req, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
 	ts.Check(err)
--- a/scripter/look_test.go
+++ b/scripter/state_test.go
@@ -20,52 +20,54 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// baseFolder is the settings that scripts share.
+// baseFolder holds the configuration files that all scripts share.
 const baseFolder = "../scenarios/base"
 
-// cmdPush is `[!] push [DIR [FLAG...]]`: the files of baseFolder and those of DIR,
-// which stand in for base files of their names, with their $NAMEs filled in. A base
-// file that names a process which the script has not started is left out.
+// cmdPush implements `[!] push [DIR [FLAG...]]`: pushes the files of baseFolder and of DIR
+// as one configuration, with each $NAME expanded. A file of DIR overrides the base file of
+// the same name. A base file that refers to a process which the script has not started is
+// left out.
 func cmdPush(ts *testscript.TestScript, neg bool, args []string) {
-	w := worldOf(ts)
-	to, flags := filepath.Join(w.dir, "pushed"), []string(nil)
+	env := environmentOf(ts)
+	to, flags := filepath.Join(env.dir, "pushed"), []string(nil)
 	ts.Check(os.MkdirAll(to, 0o700))
-	w.fill(ts, baseFolder, to, false)
+	env.copyExpanded(ts, baseFolder, to, false)
 	if len(args) > 0 {
-		w.fill(ts, ts.MkAbs(args[0]), to, true)
+		env.copyExpanded(ts, ts.MkAbs(args[0]), to, true)
 		flags = args[1:]
 	}
-	w.operate(ts, neg, append([]string{"push", to}, flags...))
+	env.operate(ts, neg, append([]string{"push", to}, flags...))
 }
 
-// fill copies a folder's files with $NAMEs filled in; those with unknown names too
-// where all is set.
-func (w *world) fill(ts *testscript.TestScript, from, to string, all bool) {
+// copyExpanded copies the files of a folder with each $NAME expanded. Files with
+// unresolved names are left out unless keepUnresolved is set.
+func (e *environment) copyExpanded(ts *testscript.TestScript, from, to string, keepUnresolved bool) {
 	entries, err := os.ReadDir(from)
 	ts.Check(err)
-	for _, e := range entries {
-		text, err := os.ReadFile(filepath.Join(from, e.Name()))
+	for _, f := range entries {
+		text, err := os.ReadFile(filepath.Join(from, f.Name()))
 		ts.Check(err)
-		filled := w.expand(string(text))
-		if !all && strings.Contains(filled, "$") {
+		filled := e.expand(string(text))
+		if !keepUnresolved && strings.Contains(filled, "$") {
 			continue
 		}
-		ts.Check(os.WriteFile(filepath.Join(to, e.Name()), []byte(filled), 0o600))
+		ts.Check(os.WriteFile(filepath.Join(to, f.Name()), []byte(filled), 0o600))
 	}
 }
 
-// cmdOperate is `[!] operate COMMAND [ARG...]`: the command line, $NAMEs filled in.
+// cmdOperate implements `[!] operate COMMAND [ARG...]`: runs a subcommand of cicadawood
+// with each $NAME in its arguments expanded.
 func cmdOperate(ts *testscript.TestScript, neg bool, args []string) {
-	worldOf(ts).operate(ts, neg, args)
+	environmentOf(ts).operate(ts, neg, args)
 }
 
-func (w *world) operate(ts *testscript.TestScript, neg bool, args []string) {
+func (e *environment) operate(ts *testscript.TestScript, neg bool, args []string) {
 	for i, a := range args {
-		args[i] = w.expand(a)
+		args[i] = e.expand(a)
 	}
 	c := exec.Command(filepath.Join(ts.Getenv("BIN"), "cicadawood"), args...)
-	c.Env = append(os.Environ(), "CICADAWOOD_PLATFORM=http://"+w.addresses["platform"])
-	c.Dir = w.dir
+	c.Env = append(os.Environ(), "CICADAWOOD_PLATFORM=http://"+e.addresses["platform"])
+	c.Dir = e.dir
 	out, err := c.CombinedOutput()
 	ts.Logf("%s", out)
 	if (err != nil) != neg {
@@ -73,11 +75,12 @@
 	}
 }
 
-// cmdReady is `[!] ready HOST...`: waits until the balancer would be told so.
+// cmdReady implements `[!] ready HOST...`: waits until each host reports to the load
+// balancer that it is ready (with "!": not ready).
 func cmdReady(ts *testscript.TestScript, neg bool, args []string) {
 	for _, name := range args {
 		eventually(ts, func() error {
-			resp, err := http.Get("http://" + worldOf(ts).addresses[name] + "/readyz")
+			resp, err := http.Get("http://" + environmentOf(ts).addresses[name] + "/readyz")
 			if err != nil {
 				return err
 			}
@@ -90,9 +93,10 @@
 	}
 }
 
-func (w *world) state(name string) (runner.State, error) {
+// state queries the state of a host through its admin listener.
+func (e *environment) state(name string) (runner.State, error) {
 	var s runner.State
-	resp, err := http.Get("http://" + w.addresses[name+"_admin"] + "/state")
+	resp, err := http.Get("http://" + e.addresses[name+"_admin"] + "/state")
 	if err != nil {
 		return s, err
 	}
@@ -100,12 +104,12 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// cmdDispatches is `dispatches HOST GRANTED WAITING`: waits until the host is the
-// dispatcher of a cell with so many requests granted, and so many waiting.
+// cmdDispatches implements `dispatches HOST GRANTED WAITING`: waits until the host is the
+// dispatcher of a cell with exactly these numbers of granted and waiting requests.
 func cmdDispatches(ts *testscript.TestScript, _ bool, args []string) {
 	want := strings.Join(args[1:], " ")
 	eventually(ts, func() error {
-		s, err := worldOf(ts).state(args[0])
+		s, err := environmentOf(ts).state(args[0])
 		if err != nil {
 			return err
 		}
@@ -119,14 +123,13 @@
 	})
 }
 
-// cmdRenewed is `renewed PLATFORM HOST`: waits until the host has renewed its lease
-// after now.
+// cmdRenewed implements `renewed PLATFORM HOST`: waits until the host renews its lease.
 func cmdRenewed(ts *testscript.TestScript, _ bool, args []string) {
-	store, clean := platform.NewStore("http://" + worldOf(ts).addresses[args[0]])
+	store, clean := platform.NewStore("http://" + environmentOf(ts).addresses[args[0]])
 	defer clean()
 	version := func() storer.Version {
 		o, err := store.Get(context.Background(), registrar.LeasePrefix+args[1])
-		if !errors.Is(err, storer.ErrNotFound) { // lost with an older copy of the store
+		if !errors.Is(err, storer.ErrNotFound) { // the lease is missing after a restore from an older snapshot
 			ts.Check(err)
 		}
 		return o.Version
@@ -134,15 +137,15 @@
 	before := version()
 	eventually(ts, func() error {
 		if now := version(); now == before {
-			return fmt.Errorf("the lease of %s has version %d since the wait began", args[1], now)
+			return fmt.Errorf("the lease of %s is still at version %d", args[1], now)
 		}
 		return nil
 	})
 }
 
-// cmdObject is `object PLATFORM KEY TEXT`: waits until the object has that text.
+// cmdObject implements `object PLATFORM KEY TEXT`: waits until the object contains the text.
 func cmdObject(ts *testscript.TestScript, _ bool, args []string) {
-	store, clean := platform.NewStore("http://" + worldOf(ts).addresses[args[0]])
+	store, clean := platform.NewStore("http://" + environmentOf(ts).addresses[args[0]])
 	defer clean()
 	eventually(ts, func() error {
 		o, err := store.Get(context.Background(), args[1])
@@ -153,27 +156,27 @@
 	})
 }
 
-// cmdCount returns a command `NAME HOST N`: waits until the host's state shows N of
-// what count counts.
-func cmdCount(what string, count func(runner.State) int) func(*testscript.TestScript, bool, []string) {
+// cmdCount returns a command `NAME HOST N` that waits until count returns N for the host's
+// state. The error message calls what is counted noun.
+func cmdCount(noun string, count func(runner.State) int) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		want, err := strconv.Atoi(args[1])
 		ts.Check(err)
 		eventually(ts, func() error {
-			s, err := worldOf(ts).state(args[0])
+			s, err := environmentOf(ts).state(args[0])
 			if err != nil {
 				return err
 			}
 			if n := count(s); n != want {
-				return fmt.Errorf("%s has %d %s, not %d", args[0], n, what, want)
+				return fmt.Errorf("%s has %d %s, not %d", args[0], n, noun, want)
 			}
 			return nil
 		})
 	}
 }
 
-// staying is how many hosts a host knows that are not leaving.
-func staying(s runner.State) int {
+// activeHosts returns the number of hosts on the roster that are not leaving.
+func activeHosts(s runner.State) int {
 	n := 0
 	for _, h := range s.Roster {
 		if !h.Leaving {
@@ -183,8 +186,9 @@
 	return n
 }
 
-// kept is how many partitions of keys a host keeps, with the Object API at hand.
-func kept(s runner.State) int {
+// readyPartitions returns the number of partitions whose keeper on this host is ready and
+// reaches the Object API.
+func readyPartitions(s runner.State) int {
 	n := 0
 	for _, k := range s.Keepers {
 		if k.Ready && !k.Down {
@@ -194,18 +198,17 @@
 	return n
 }
 
-// cmdForce is `force HOST HOST2...`: waits until every host has the same
-// generation in force as the first, and remembers the highest seen: a host that
-// goes back fails.
+// cmdForce implements `force HOST HOST2...`: waits until every host has the same
+// generation in force as the first.
 func cmdForce(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	env := environmentOf(ts)
 	eventually(ts, func() error {
-		first, err := w.state(args[0])
+		first, err := env.state(args[0])
 		if err != nil {
 			return err
 		}
 		for _, name := range args[1:] {
-			s, err := w.state(name)
+			s, err := env.state(name)
 			if err != nil {
 				return err
 			}
@@ -217,12 +220,12 @@
 	})
 }
 
-// cmdClass is `[!] class HOST CLASS`: waits until a configuration with (without)
-// that class is in force on the host, seen by a call of that class.
+// cmdClass implements `[!] class HOST CLASS`: waits until a configuration with that class
+// (with "!": without it) is in force on the host, as shown by a request of the class.
 func cmdClass(ts *testscript.TestScript, neg bool, args []string) {
-	w := worldOf(ts)
+	env := environmentOf(ts)
 	eventually(ts, func() error {
-		req, err := http.NewRequest(http.MethodPost, "http://"+w.addresses[args[0]]+"/services/app/probe", nil)
+		req, err := http.NewRequest(http.MethodPost, "http://"+env.addresses[args[0]]+"/services/app/probe", nil)
 		if err != nil {
 			return err
 		}
@@ -240,16 +243,16 @@
 	})
 }
 
-// cmdRan is `ran KEY N [or M] SERVICE...`: waits until the services together ran
-// the key at least N times, and fails when it was more.
+// cmdRan implements `ran KEY N SERVICE...`: waits until the services together have run the
+// key N times, and fails if they ran it more often.
 func cmdRan(ts *testscript.TestScript, _ bool, args []string) {
-	w := worldOf(ts)
+	env := environmentOf(ts)
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
 	eventually(ts, func() error {
 		total := 0
 		for _, name := range args[2:] {
-			resp, err := http.Get("http://" + w.addresses[name] + "/counts")
+			resp, err := http.Get("http://" + env.addresses[name] + "/counts")
 			if err != nil {
 				return err
 			}
