--- a/bencher/bencher_test.go
+++ b/bencher/bencher_test.go
@@ -15,12 +15,13 @@
 	RunSpecs(t, "bencher")
 }
 
+// rowOf returns the row of that name.
 func rowOf(name string) bencher.Row {
 	rows := bencher.Rows()
 	return rows[slices.IndexFunc(rows, func(r bencher.Row) bool { return r.Name == name })]
 }
 
-// results of two seeds at 1.5 times the capacity.
+// results runs a workload with two seeds at 1.5 times the capacity.
 func results(w bencher.Workload, k bencher.Condition, row string) []bencher.Result {
 	return bencher.Point{Workload: w, Demand: 1.5, Condition: k, Row: rowOf(row)}.Run(1, 2)
 }
@@ -28,13 +29,13 @@
 var _ = Describe("The policy at 1.5 times the capacity", func() {
 	top := []string{"quote", "hold", "check"}
 
-	DescribeTable("keeps what is promised to the top tier, and lets each class go on",
+	DescribeTable("meets the targets of the top tier, and starves no class",
 		func(w bencher.Workload) {
 			ours, bound := results(w, bencher.NoFault, "ours"), results(w, bencher.NoFault, "bound")
 			for i, r := range ours {
 				for name, t := range r.Classes {
 					if slices.Contains(top, name) {
-						Expect(t.PassedOver).To(BeZero(), "%s of %s was refused after a lower tier's grant", name, r.Service)
+						Expect(t.PassedOver).To(BeZero(), "%s of %s was refused although a lower tier was granted", name, r.Service)
 						Expect(t.Met).To(BeNumerically(">=", 99*bound[i].Classes[name].Met/100), "%s of %s", name, r.Service)
 					}
 					Expect(t.MaxGap).To(BeNumerically("<", 60), "%s of %s", name, r.Service)
@@ -44,7 +45,7 @@
 		Entry("Wodnik", bencher.Wodnik()), Entry("Krilo", bencher.Krilo()),
 	)
 
-	It("has the same figures each run", func() {
+	It("gives the same figures in each run", func() {
 		Expect(results(bencher.Wodnik(), bencher.WorkerCrash, "cell-6")).To(Equal(results(bencher.Wodnik(), bencher.WorkerCrash, "cell-6")))
 	})
 })
--- a/bencher/direct.go
+++ b/bencher/direct.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// direct is the baselines in which every host sends by itself, with no queue:
-// what has no room waits in the worker, first come first served.
+// direct implements the baselines in which each host picks workers by itself and sends
+// immediately, without a queue: calls beyond a worker's slots wait in the worker, first
+// come, first served.
 type direct struct {
-	sim    *simulator
-	random *rand.Rand
-	turn   int
-	choose bool            // between two by their reports; else in turn
-	lag    time.Duration   // of the reports
-	past   []report        // oldest first
-	own    [hosts][]int    // sent by each host since the report that it sees, by worker
-	seen   [hosts]int      // index of that report
-	index  map[*worker]int // of workers
+	sim        *simulator
+	random     *rand.Rand
+	lastTurn   int
+	twoChoices bool             // the less loaded of two random workers; otherwise round-robin
+	reportLag  time.Duration    // until a report is visible to the hosts
+	reports    []report         // oldest first
+	sentSince  [hostCount][]int // calls sent by each host since the report that it sees, by worker
+	seenReport [hostCount]int   // index in reports of the report that each host sees
+	index      map[*worker]int  // of workers in sim.workers
 }
 
-// report is every worker's load at one time.
+// report is the load of every worker at a point in time.
 type report struct {
 	at    time.Duration
 	loads []int
 }
 
 func newDirect(s *simulator, choose bool, lag time.Duration, seed uint64) *direct {
-	d := &direct{sim: s, choose: choose, lag: lag, random: rand.New(rand.NewPCG(seed, 77)), index: map[*worker]int{}}
+	d := &direct{sim: s, twoChoices: choose, reportLag: lag, random: rand.New(rand.NewPCG(seed, 77)), index: map[*worker]int{}}
 	for i, w := range s.workers {
 		d.index[w] = i
 	}
-	for h := range d.own {
-		d.own[h] = make([]int, len(s.workers))
+	for h := range d.sentSince {
+		d.sentSince[h] = make([]int, len(s.workers))
 	}
 	return d
 }
 
 func (d *direct) arrive(now time.Duration, c *call, exclude *worker) {
-	i := d.next(now, c.host)
+	i := d.pickWorker(now, c.host)
 	if d.sim.workers[i] == exclude {
 		i = (i + 1) % len(d.sim.workers)
 	}
-	d.own[c.host][i]++
+	d.sentSince[c.host][i]++
 	d.sim.send(now, c, d.sim.workers[i])
 }
 
-func (d *direct) next(now time.Duration, host int) int {
+// pickWorker returns the index of the worker that a host sends its next call to.
+func (d *direct) pickWorker(now time.Duration, host int) int {
 	n := len(d.sim.workers)
-	if !d.choose {
-		d.turn++
-		return d.turn % n
+	if !d.twoChoices {
+		d.lastTurn++
+		return d.lastTurn % n
 	}
 	a := d.random.IntN(n)
 	b := (a + 1 + d.random.IntN(n-1)) % n
@@ -59,26 +61,28 @@
 	return a
 }
 
-// seenLoad is a worker's load by the last report that has arrived, and what
-// this host sent since.
+// seenLoad returns a worker's load as a host sees it: the load in the last report that has
+// arrived plus the calls that the host has sent since.
 func (d *direct) seenLoad(now time.Duration, host, w int) int {
-	i := d.seen[host]
-	for i+1 < len(d.past) && d.past[i+1].at+d.lag <= now {
+	i := d.seenReport[host]
+	for i+1 < len(d.reports) && d.reports[i+1].at+d.reportLag <= now {
 		i++
 	}
-	if i != d.seen[host] {
-		clear(d.own[host])
-		d.seen[host] = i
+	if i != d.seenReport[host] {
+		clear(d.sentSince[host])
+		d.seenReport[host] = i
 	}
-	if len(d.past) == 0 {
-		return d.own[host][w]
+	if len(d.reports) == 0 {
+		return d.sentSince[host][w]
 	}
-	return d.past[i].loads[w] + d.own[host][w]
+	return d.reports[i].loads[w] + d.sentSince[host][w]
 }
 
-func (d *direct) end(time.Duration, *call, bool) {}
-func (d *direct) drop(time.Duration, *call)      {}
-func (d *direct) control() int                   { return 0 }
+func (d *direct) release(time.Duration, *call, bool) {}
+func (d *direct) withdraw(time.Duration, *call)      {}
+func (d *direct) controlBytes() int                  { return 0 }
+
+// tick records a report every 200 ms.
 func (d *direct) tick(now time.Duration) {
 	if now%(200*time.Millisecond) != 0 {
 		return
@@ -87,5 +91,5 @@
 	for _, w := range d.sim.workers {
 		r.loads = append(r.loads, w.load())
 	}
-	d.past = append(d.past, r)
+	d.reports = append(d.reports, r)
 }
--- a/bencher/grid.go
+++ b/bencher/grid.go
@@ -10,20 +10,20 @@
 	"github.com/cicadawood/cicadawood/dispatcher"
 )
 
-// Row is one way to decide.
+// Row is a variant of the routing policy, one row in the tables.
 type Row struct {
-	Name    string
-	cell    int // most workers of a cell; 0 is all
-	policy  dispatcher.Policy
-	direct  bool // every host by itself
-	choices bool // the less loaded of two by its report
+	Name       string
+	cellSize   int // max workers per cell; 0 puts all workers in one cell
+	policy     dispatcher.Policy
+	direct     bool // each host picks workers by itself, without dispatchers
+	twoChoices bool // with direct: the less loaded of two random workers, by their reports
 }
 
-// Rows is every row, the baselines first.
+// Rows returns all rows, baselines first.
 func Rows() []Row {
 	return []Row{
 		{Name: "round-robin", direct: true},
-		{Name: "two-choices", direct: true, choices: true},
+		{Name: "two-choices", direct: true, twoChoices: true},
 		{Name: "strict-tiers", policy: dispatcher.Policy{NoShare: true, NoPreempt: true, NoEstimate: true, NoFairness: true, NoRefusal: true, NoPostpone: true, NoBreaker: true}},
 		{Name: "ours"},
 		{Name: "no-preempt", policy: dispatcher.Policy{NoPreempt: true}},
@@ -33,15 +33,15 @@
 		{Name: "no-postpone", policy: dispatcher.Policy{NoPostpone: true}},
 		{Name: "no-breaker", policy: dispatcher.Policy{NoBreaker: true}},
 		{Name: "no-share", policy: dispatcher.Policy{NoShare: true}},
-		{Name: "cell-1", cell: 1},
-		{Name: "cell-4", cell: 4},
-		{Name: "cell-6", cell: 6},
-		{Name: "cell-16", cell: 16},
+		{Name: "cell-1", cellSize: 1},
+		{Name: "cell-4", cellSize: 4},
+		{Name: "cell-6", cellSize: 6},
+		{Name: "cell-16", cellSize: 16},
 		{Name: "bound", policy: dispatcher.Policy{Exact: true}},
 	}
 }
 
-// Point is one cell of the grid.
+// Point is one combination of the benchmark grid.
 type Point struct {
 	Workload  Workload
 	Demand    float64
@@ -49,7 +49,7 @@
 	Row       Row
 }
 
-// Result is the figures of a Point's service, summed over its seeds.
+// Result holds the figures of one service at a Point. Counts are summed over the seeds.
 type Result struct {
 	Workload     string            `json:"workload"`
 	Service      string            `json:"service"`
@@ -58,16 +58,17 @@
 	Row          string            `json:"row"`
 	Seeds        int               `json:"seeds"`
 	Classes      map[string]*tally `json:"classes"`
-	Goodput      float64           `json:"goodput_tokens_s"` // of requests that met their targets
+	Goodput      float64           `json:"goodput_tokens_s"` // mean over the seeds, of requests that met their targets
 	MadeTokens   int               `json:"made_tokens"`
 	WastedTokens map[string]int    `json:"wasted_tokens"` // by cause
-	WastedLong   int               `json:"wasted_long"`   // of those, on answers of 1,500 tokens and more
+	WastedLong   int               `json:"wasted_long"`   // part of WastedTokens spent on answers of at least longTokens
 	Preempted    int               `json:"preempted"`
-	Fairness     float64           `json:"fairness"` // median of the seeds; 0 where no two organisations kept waiting
+	Fairness     float64           `json:"fairness"` // median over the seeds; see measure.fairness
 	ControlBytes float64           `json:"control_bytes_request"`
 }
 
-// Run measures a point over seeds from first to last, one result a service.
+// Run simulates a point with the seeds from first to last and returns one result for each
+// service.
 func (p Point) Run(first, last uint64) []Result {
 	var all []Result
 	for _, s := range p.Workload.services {
@@ -78,13 +79,13 @@
 		requests := 0
 		var fairness []float64
 		for seed := first; seed <= last; seed++ {
-			sim, calls := p.play(s, seed)
+			sim, calls := p.simulate(s, seed)
 			r.add(sim.measure)
 			fairness = append(fairness, sim.measure.fairness())
-			r.ControlBytes += float64(sim.router.control())
+			r.ControlBytes += float64(sim.router.controlBytes())
 			requests += len(calls)
 		}
-		r.Goodput /= float64(r.Seeds) * (arrivalsEnd - warmEnd).Seconds()
+		r.Goodput /= float64(r.Seeds) * (arrivalsEnd - warmUpEnd).Seconds()
 		r.ControlBytes /= float64(requests)
 		slices.Sort(fairness)
 		r.Fairness = fairness[len(fairness)/2]
@@ -93,28 +94,29 @@
 	return all
 }
 
-// play runs one service with one seed.
-func (p Point) play(s service, seed uint64) (*simulator, []*call) {
+// simulate runs one service with one seed. It returns the finished simulator and its calls.
+func (p Point) simulate(s service, seed uint64) (*simulator, []*call) {
 	sim := newSimulator(p.Workload, s, p.Condition)
 	lag := 500 * time.Millisecond
 	if p.Condition == LateReports {
 		lag = 5 * time.Second
 	}
 	if p.Row.direct {
-		sim.router = newDirect(sim, p.Row.choices, lag, seed)
+		sim.router = newDirect(sim, p.Row.twoChoices, lag, seed)
 	} else {
-		sim.router = newRouted(sim, p.Row.cell, p.Row.policy, seed)
+		sim.router = newRouted(sim, p.Row.cellSize, p.Row.policy, seed)
 	}
 	calls := s.arrivals(p.Workload, p.Demand, seed)
 	sim.run(calls)
 	return sim, calls
 }
 
+// add adds the figures of one run.
 func (r *Result) add(m *measure) {
 	r.Seeds++
 	r.Goodput += float64(m.goodput)
 	r.MadeTokens += m.made
-	r.WastedLong += m.long
+	r.WastedLong += m.wastedLong
 	r.Preempted += m.preempted
 	for cause, n := range m.wasted {
 		r.WastedTokens[cause] += n
@@ -135,7 +137,7 @@
 	}
 }
 
-// RunAll measures points, a few at once, and returns their results in order.
+// RunAll runs points, at most atOnce at a time, and returns their results in order.
 func RunAll(points []Point, first, last uint64, atOnce int) []Result {
 	results := make([][]Result, len(points))
 	limit := make(chan struct{}, atOnce)
@@ -155,16 +157,17 @@
 	return all
 }
 
-// Sorted puts the results of one table next to each other, its rows in order.
+// Sorted returns the results in the order of the tables. The rows of a table keep their
+// order.
 func Sorted(results []Result) []Result {
 	out := slices.Clone(results)
 	slices.SortStableFunc(out, func(a, b Result) int {
 		return cmp.Or(-strings.Compare(a.Workload, b.Workload), strings.Compare(a.Service, b.Service),
-			cmp.Compare(a.Demand, b.Demand), cmp.Compare(order(a.Condition), order(b.Condition)))
+			cmp.Compare(a.Demand, b.Demand), cmp.Compare(conditionOrder(a.Condition), conditionOrder(b.Condition)))
 	})
 	return out
 }
 
-func order(k Condition) int {
+func conditionOrder(k Condition) int {
 	return slices.Index([]Condition{NoFault, SlowWorker, WorkerCrash, LateReports}, k)
 }
--- a/bencher/measure.go
+++ b/bencher/measure.go
@@ -5,58 +5,60 @@
 	"time"
 )
 
-// most of the burst's samples must find an organisation waiting for its served
-// share to count in the fairness figure.
-const mostOfBurst = 0.8
+// minWaitingShare is the minimum share of the burst's samples in which an organisation must
+// have been waiting to count in the fairness figure.
+const minWaitingShare = 0.8
 
+// classOrg identifies an organisation's requests of one class.
 type classOrg struct{ class, org string }
 
-// tally is what became of one class.
+// tally counts the outcomes of the requests of one class.
 type tally struct {
 	Requests   int     `json:"requests"`
-	Met        int     `json:"met"`     // their targets for first and whole
-	Completed  int     `json:"whole"`   // answered whole, in time or late
-	Refused    int     `json:"refused"` // answered at once
-	PassedOver int     `json:"passed"`  // of the top tier: refused after a lower one was granted while they waited
-	MaxWait    float64 `json:"worst_s"` // longest wait for a place
-	MaxGap     float64 `json:"gap_s"`   // longest that the class waited while none of it began
+	Met        int     `json:"met"`     // both targets: time to first token and time to whole answer
+	Completed  int     `json:"whole"`   // answered whole, within the targets or not
+	Refused    int     `json:"refused"` // rejected without an answer
+	PassedOver int     `json:"passed"`  // of the top tier: refused although a lower tier was granted while they waited
+	MaxWait    float64 `json:"worst_s"` // longest wait for a slot
+	MaxGap     float64 `json:"gap_s"`   // longest time in which requests of the class waited and none started
 }
 
-// measure collects one run's figures, of requests that arrived after the warm-up.
+// measure collects the figures of one run. Tallies, goodput and wastedLong count only
+// requests that arrived after the warm-up.
 type measure struct {
-	classes   map[string]*tally
-	goodput   int // tokens of requests that met their targets
-	made      int // tokens
-	wasted    map[string]int
-	long      int // wasted on requests of more than longTokens
-	preempted int
+	classes    map[string]*tally
+	goodput    int // tokens of requests that met their targets
+	made       int // tokens generated
+	wasted     map[string]int
+	wastedLong int // tokens wasted on answers of at least longTokens
+	preempted  int
 
-	queued  map[classOrg]int
-	found   map[classOrg]int // samples of the burst in which it waited
-	samples int
-	served  map[classOrg]int // tokens made in the burst
-	gaps    map[string]*gap
+	queued         map[classOrg]int // requests waiting now
+	waitingSamples map[classOrg]int // samples of the burst with requests waiting
+	samples        int              // of the burst
+	servedTokens   map[classOrg]int // tokens generated in the burst
+	gaps           map[string]*gap
 }
 
-// gap follows how long a class waits while none of its requests begins.
+// gap tracks the longest time in which requests of a class wait and none starts.
 type gap struct {
 	waiting int
 	since   time.Duration
 	longest time.Duration
 }
 
-// longTokens is the length from which a request's waste is shown apart.
+// longTokens is the answer length, in tokens, from which waste is also reported separately.
 const longTokens = 1500
 
 func newMeasure() *measure {
 	return &measure{
 		classes: map[string]*tally{}, wasted: map[string]int{},
-		queued: map[classOrg]int{}, found: map[classOrg]int{}, served: map[classOrg]int{}, gaps: map[string]*gap{},
+		queued: map[classOrg]int{}, waitingSamples: map[classOrg]int{}, servedTokens: map[classOrg]int{}, gaps: map[string]*gap{},
 	}
 }
 
-// waits notes that a request begins to wait.
-func (m *measure) waits(now time.Duration, c *call) {
+// waitStarted records that a request begins to wait.
+func (m *measure) waitStarted(now time.Duration, c *call) {
 	m.queued[classOrg{c.class, c.org}]++
 	g := m.gaps[c.class]
 	if g == nil {
@@ -69,8 +71,8 @@
 	g.waiting++
 }
 
-// waitOver notes that one no longer waits, and whether that is for a place.
-func (m *measure) waitOver(now time.Duration, c *call, began bool) {
+// waitEnded records that a request no longer waits; began means that it got a slot.
+func (m *measure) waitEnded(now time.Duration, c *call, began bool) {
 	m.queued[classOrg{c.class, c.org}]--
 	g := m.gaps[c.class]
 	g.longest = max(g.longest, now-g.since)
@@ -80,13 +82,14 @@
 	}
 }
 
-// token counts tokens that a request got.
-func (m *measure) token(now time.Duration, c *call, n int) {
+// addTokens counts tokens that were generated for a request during the burst.
+func (m *measure) addTokens(now time.Duration, c *call, n int) {
 	if now >= burstBegin && now < burstEnd {
-		m.served[classOrg{c.class, c.org}] += n
+		m.servedTokens[classOrg{c.class, c.org}] += n
 	}
 }
 
+// sample records which organisations have requests waiting at a time in the burst.
 func (m *measure) sample(now time.Duration) {
 	if now < burstBegin || now >= burstEnd {
 		return
@@ -94,13 +97,14 @@
 	m.samples++
 	for k, n := range m.queued {
 		if n > 0 {
-			m.found[k]++
+			m.waitingSamples[k]++
 		}
 	}
 }
 
-func (m *measure) add(w Workload, c *call) {
-	if c.arrived < warmEnd {
+// addCall adds the outcome of a call that has ended.
+func (m *measure) addCall(w Workload, c *call) {
+	if c.arrivedAt < warmUpEnd {
 		return
 	}
 	t := m.classes[c.class]
@@ -109,37 +113,37 @@
 		m.classes[c.class] = t
 	}
 	target := w.classes[c.class]
-	met := c.finished && c.first-c.arrived <= target.First.Std() && c.ended-c.arrived <= target.Whole.Std()
+	met := c.completed && c.firstTokenAt-c.arrivedAt <= target.First.Std() && c.endedAt-c.arrivedAt <= target.Whole.Std()
 	t.Requests++
-	if c.finished {
+	if c.completed {
 		t.Completed++
 	}
 	if c.refused {
 		t.Refused++
 	}
-	if c.passed {
+	if c.passedOver {
 		t.PassedOver++
 	}
-	if c.lost > 0 && c.length >= longTokens {
-		m.long += c.lost
+	if c.wasted > 0 && c.length >= longTokens {
+		m.wastedLong += c.wasted
 	}
 	if met {
 		t.Met++
 		m.goodput += c.length
 	}
-	t.MaxWait = max(t.MaxWait, c.waited.Seconds())
+	t.MaxWait = max(t.MaxWait, c.maxWait.Seconds())
 }
 
-// fairness is the largest over the smallest served tokens among organisations
-// that waited through most of the burst, for the class where it is worst; 0
-// where no two did.
+// fairness returns the ratio of the most to the fewest tokens served among organisations
+// that waited through most of the burst, for the class with the highest ratio. It is 0 if
+// no class has two such organisations.
 func (m *measure) fairness() float64 {
 	lowest, highest, count := map[string]float64{}, map[string]float64{}, map[string]int{}
-	for k, n := range m.found {
-		if float64(n) < mostOfBurst*float64(m.samples) {
+	for k, n := range m.waitingSamples {
+		if float64(n) < minWaitingShare*float64(m.samples) {
 			continue
 		}
-		v := float64(max(m.served[k], 1))
+		v := float64(max(m.servedTokens[k], 1))
 		if count[k.class] == 0 {
 			lowest[k.class], highest[k.class] = v, v
 		}
--- a/bencher/routed.go
+++ b/bencher/routed.go
@@ -14,41 +14,44 @@
 	"github.com/cicadawood/cicadawood/messenger"
 )
 
-// envelopeBytes is a frame's size without its message's body.
+// envelopeBytes is the assumed size in bytes of a frame without the message body.
 const envelopeBytes = 64
 
-// renewEvery is as in package runner.
-const renewEvery = 10 * time.Second
+// progressInterval is the interval between reports of calls in progress, the same as in
+// package runner.
+const progressInterval = 10 * time.Second
 
-var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the wall-clock time at the start of a run. It is fixed, so that runs are
+// reproducible.
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// routed is the row of cells under dispatchers.
+// routed implements the rows in which the dispatchers of cells place calls.
 type routed struct {
-	sim      *simulator
-	cells    []string
-	owners   map[string]*dispatcher.Dispatcher
-	choosers [hosts]dispatcher.Chooser
-	random   *rand.Rand
-	calls    map[string]*asked
-	attempt  uint64
-	exact    bool
-	bytes    int
-	sizes    map[string]int
-	lower    map[string]int // grants under the top tier so far, by cell
+	sim         *simulator
+	cells       []string
+	dispatchers map[string]*dispatcher.Dispatcher
+	choosers    [hostCount]dispatcher.Chooser
+	random      *rand.Rand
+	calls       map[string]*pendingAsk // by request ID
+	attempt     uint64
+	exact       bool           // output lengths are known exactly
+	sentBytes   int            // of messages between hosts
+	frameSizes  map[string]int // in bytes, by message type
+	lowerGrants map[string]int // number of grants to tiers below the top one, by cell
 }
 
-// asked is a call's present ask.
-type asked struct {
-	call  *call
-	ask   messenger.Ask
-	grant messenger.Grant
-	lower int
+// pendingAsk is the current Ask of a call, with its Grant once it arrives.
+type pendingAsk struct {
+	call        *call
+	ask         messenger.Ask
+	grant       messenger.Grant
+	lowerGrants int // of the cell when the call asked
 }
 
 func newRouted(s *simulator, size int, p dispatcher.Policy, seed uint64) *routed {
 	r := &routed{
-		sim: s, owners: map[string]*dispatcher.Dispatcher{}, random: rand.New(rand.NewPCG(seed, 99)),
-		calls: map[string]*asked{}, exact: p.Exact, sizes: map[string]int{}, lower: map[string]int{},
+		sim: s, dispatchers: map[string]*dispatcher.Dispatcher{}, random: rand.New(rand.NewPCG(seed, 99)),
+		calls: map[string]*pendingAsk{}, exact: p.Exact, frameSizes: map[string]int{}, lowerGrants: map[string]int{},
 	}
 	config := loader.Service{Cell: size}
 	for _, w := range s.workers {
@@ -56,7 +59,7 @@
 	}
 	for _, c := range dispatcher.SplitCells(s.service.name, config) {
 		r.cells = append(r.cells, c.Name)
-		r.owners[c.Name] = dispatcher.New(c, 1, s.workload.classes, dispatcher.Options{Policy: p, Seed: seed})
+		r.dispatchers[c.Name] = dispatcher.New(c, 1, s.workload.classes, dispatcher.Options{Policy: p, Seed: seed})
 	}
 	return r
 }
@@ -65,8 +68,8 @@
 	r.attempt++
 	target := r.sim.workload.classes[c.class]
 	a := messenger.Ask{
-		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.prompt, Attempt: r.attempt, NonPreemptible: c.flow.fixed,
-		Deadline: c.arrived + target.Whole.Std() - now, Waited: now - c.arrived, Made: c.made, Output: c.flow.limit - c.made,
+		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.promptTokens, Attempt: r.attempt, NonPreemptible: c.flow.nonRepeatable,
+		Deadline: c.arrivedAt + target.Whole.Std() - now, Waited: now - c.arrivedAt, Made: c.made, Output: c.flow.maxTokens - c.made,
 	}
 	if r.exact {
 		a.Output = c.length
@@ -74,20 +77,21 @@
 	if exclude != nil {
 		a.Exclude = []string{exclude.name}
 	}
-	a.Cell = r.choosers[c.host].Choose(origin.Add(now), r.cells, c.class, r.random.Uint64())
-	r.calls[c.id] = &asked{call: c, ask: a, lower: r.lower[a.Cell]}
+	a.Cell = r.choosers[c.host].Choose(startTime.Add(now), r.cells, c.class, r.random.Uint64())
+	r.calls[c.id] = &pendingAsk{call: c, ask: a, lowerGrants: r.lowerGrants[a.Cell]}
 	r.handle(now, a.Cell, fmt.Sprint(c.host), a)
 }
 
+// handle delivers a message from a host to the dispatcher of a cell.
 func (r *routed) handle(now time.Duration, cell, from string, m messenger.Message) {
-	r.count(m)
-	r.take(now, r.owners[cell].Handle(origin.Add(now), from, m))
+	r.countBytes(m)
+	r.apply(now, r.dispatchers[cell].Handle(startTime.Add(now), from, m))
 }
 
-// take carries out what a dispatcher decided.
-func (r *routed) take(now time.Duration, out []dispatcher.Output) {
+// apply executes a dispatcher's decisions.
+func (r *routed) apply(now time.Duration, out []dispatcher.Output) {
 	for _, o := range out {
-		r.count(o.Message)
+		r.countBytes(o.Message)
 		switch m := o.Message.(type) {
 		case messenger.Grant:
 			r.granted(now, m)
@@ -95,7 +99,7 @@
 			r.refused(now, m)
 		case messenger.Preempt:
 			if k := r.calls[m.Request]; k != nil {
-				r.sim.preempted(now, k.call)
+				r.sim.preempt(now, k.call)
 			}
 		}
 	}
@@ -103,10 +107,10 @@
 
 func (r *routed) granted(now time.Duration, g messenger.Grant) {
 	k := r.calls[g.Request]
-	r.choosers[k.call.host].RecordWait(origin.Add(now), g.Cell, g.Class, g.Wait)
+	r.choosers[k.call.host].RecordWait(startTime.Add(now), g.Cell, g.Class, g.Wait)
 	k.grant = g
 	if k.call.tier > 0 {
-		r.lower[g.Cell]++
+		r.lowerGrants[g.Cell]++
 	}
 	i := slices.IndexFunc(r.sim.workers, func(w *worker) bool { return w.name == g.Worker })
 	r.sim.send(now, k.call, r.sim.workers[i])
@@ -114,17 +118,17 @@
 
 func (r *routed) refused(now time.Duration, m messenger.Refuse) {
 	k := r.calls[m.Request]
-	r.choosers[k.call.host].RecordWait(origin.Add(now), m.Cell, m.Class, m.Wait)
+	r.choosers[k.call.host].RecordWait(startTime.Add(now), m.Cell, m.Class, m.Wait)
 	delete(r.calls, m.Request)
-	k.call.passed = k.call.tier == 0 && r.lower[m.Cell] > k.lower
+	k.call.passedOver = k.call.tier == 0 && r.lowerGrants[m.Cell] > k.lowerGrants
 	r.sim.refuse(now, k.call)
 }
 
-func (r *routed) end(now time.Duration, c *call, failed bool) {
+func (r *routed) release(now time.Duration, c *call, failed bool) {
 	k := r.calls[c.id]
 	delete(r.calls, c.id)
-	first := c.first - c.granted
-	if c.first < c.granted {
+	first := c.firstTokenAt - c.placedAt
+	if c.firstTokenAt < c.placedAt {
 		first = 0
 	}
 	r.handle(now, k.ask.Cell, fmt.Sprint(c.host), messenger.Done{
@@ -133,23 +137,23 @@
 	})
 }
 
-func (r *routed) drop(now time.Duration, c *call) {
+func (r *routed) withdraw(now time.Duration, c *call) {
 	k := r.calls[c.id]
 	delete(r.calls, c.id)
 	r.handle(now, k.ask.Cell, fmt.Sprint(c.host), messenger.Cancel{Request: c.id, Attempt: k.ask.Attempt, Cell: k.ask.Cell})
 }
 
 func (r *routed) tick(now time.Duration) {
-	if now%renewEvery == 0 {
-		r.renew(now)
+	if now%progressInterval == 0 {
+		r.reportProgress(now)
 	}
 	for _, name := range r.cells {
-		r.take(now, r.owners[name].Tick(origin.Add(now)))
+		r.apply(now, r.dispatchers[name].Tick(startTime.Add(now)))
 	}
 }
 
-// renew tells the dispatchers which calls still have their places.
-func (r *routed) renew(now time.Duration) {
+// reportProgress sends the dispatchers a Progress for each call that still occupies a slot.
+func (r *routed) reportProgress(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(r.calls)) {
 		k := r.calls[id]
 		if k == nil || k.grant.Worker == "" {
@@ -161,16 +165,17 @@
 	}
 }
 
-// count adds a message's size, taken once for each kind.
-func (r *routed) count(m messenger.Message) {
+// countBytes adds the size of a message. Each message type is encoded once; later messages
+// of the type count with the same size.
+func (r *routed) countBytes(m messenger.Message) {
 	kind := fmt.Sprintf("%T", m)
-	n, ok := r.sizes[kind]
+	n, ok := r.frameSizes[kind]
 	if !ok {
 		body, _ := msgpack.Marshal(m)
 		n = len(body) + envelopeBytes
-		r.sizes[kind] = n
+		r.frameSizes[kind] = n
 	}
-	r.bytes += n
+	r.sentBytes += n
 }
 
-func (r *routed) control() int { return r.bytes }
+func (r *routed) controlBytes() int { return r.sentBytes }
--- a/bencher/simulator.go
+++ b/bencher/simulator.go
@@ -9,44 +9,49 @@
 )
 
 const (
-	hosts     = 8
-	tick      = 20 * time.Millisecond
-	reachTime = time.Millisecond // until a connection to a dead worker is refused
-	mostTries = 3
-	crashAt   = 50 * time.Second
-	slowBy    = 3
+	hostCount           = 8 // that send requests
+	tickInterval        = 20 * time.Millisecond
+	connectRefusedDelay = time.Millisecond // until a connection to a crashed worker is refused
+	maxTries            = 3                // attempts per call
+	crashAt             = 50 * time.Second
+	slowFactor          = 3 // service time of the slow worker over the normal one
 )
 
-// Condition is what is wrong during a run.
+// Condition is the fault present during a run, if any.
 type Condition string
 
 // Conditions.
 const (
 	NoFault     Condition = "well"
-	SlowWorker  Condition = "slow"  // one worker at a third of its speed; its report says it is idle
-	WorkerCrash Condition = "crash" // one worker dies in the burst
-	LateReports Condition = "late"  // load reports are 5 s old
+	SlowWorker  Condition = "slow"  // one worker runs at a third of its speed and reports that it is idle
+	WorkerCrash Condition = "crash" // one worker crashes during the burst
+	LateReports Condition = "late"  // load reports are 5 s old instead of 500 ms
 )
 
-// router is the decisions of one row.
+// router makes the routing decisions of one row.
 type router interface {
-	// arrive takes a new request, or one that has to be sent again.
+	// arrive handles a new call, or one that must be sent again. exclude is the worker
+	// that failed, if any.
 	arrive(now time.Duration, c *call, exclude *worker)
-	// end takes back a request's place.
-	end(now time.Duration, c *call, failed bool)
-	// drop withdraws a request that still waits.
-	drop(now time.Duration, c *call)
+	// release frees the slot of a call.
+	release(now time.Duration, c *call, failed bool)
+	// withdraw cancels a call that still waits.
+	withdraw(now time.Duration, c *call)
+	// tick is called every tickInterval.
 	tick(now time.Duration)
-	control() int // bytes between hosts so far
+	// controlBytes returns the size of all messages between hosts so far.
+	controlBytes() int
 }
 
-// event is one point in time at which something happens.
+// event is a function to run at a simulated time. Events at the same time run in order of
+// their sequence numbers.
 type event struct {
 	at       time.Duration
 	sequence int
 	run      func(now time.Duration)
 }
 
+// events is a priority queue of events by time and sequence number.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -65,16 +70,16 @@
 	return last
 }
 
-// simulator runs one service under one row.
+// simulator is a discrete-event simulation of one service under the policy of one row.
 type simulator struct {
-	service  service
-	workload Workload
-	workers  []*worker
-	router   router
-	measure  *measure
-	events   events
-	sequence int
-	open     int // requests without an end
+	service   service
+	workload  Workload
+	workers   []*worker
+	router    router
+	measure   *measure
+	events    events
+	sequence  int
+	openCalls int // calls that have not ended
 }
 
 func newSimulator(w Workload, s service, k Condition) *simulator {
@@ -86,25 +91,26 @@
 	}
 	switch k {
 	case SlowWorker:
-		m.workers[0].slow, m.workers[0].lies = slowBy, true
+		m.workers[0].slowFactor, m.workers[0].reportsIdle = slowFactor, true
 	case WorkerCrash:
-		m.at(crashAt, func(now time.Duration) { m.crash(now, m.workers[0]) })
+		m.schedule(crashAt, func(now time.Duration) { m.crash(now, m.workers[0]) })
 	}
 	return m
 }
 
-func (s *simulator) at(t time.Duration, run func(time.Duration)) {
+// schedule has a function run at a simulated time.
+func (s *simulator) schedule(t time.Duration, run func(time.Duration)) {
 	s.sequence++
 	heap.Push(&s.events, event{at: t, sequence: s.sequence, run: run})
 }
 
-// run plays the requests to their end.
+// run simulates the calls until no events remain or runEnd has passed.
 func (s *simulator) run(calls []*call) {
-	s.open = len(calls)
+	s.openCalls = len(calls)
 	for _, c := range calls {
-		s.at(c.arrived, func(now time.Duration) { s.arrive(now, c) })
+		s.schedule(c.arrivedAt, func(now time.Duration) { s.arrive(now, c) })
 	}
-	s.at(tick, s.tick)
+	s.schedule(tickInterval, s.tick)
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(event)
 		if e.at > runEnd {
@@ -117,170 +123,181 @@
 func (s *simulator) tick(now time.Duration) {
 	s.router.tick(now)
 	s.measure.sample(now)
-	if s.open > 0 {
-		s.at(now+tick, s.tick)
+	if s.openCalls > 0 {
+		s.schedule(now+tickInterval, s.tick)
 	}
 }
 
+// arrive hands a new call to the router and schedules its deadline.
 func (s *simulator) arrive(now time.Duration, c *call) {
-	s.at(now+s.workload.classes[c.class].Whole.Std(), func(now time.Duration) { s.cut(now, c) })
-	s.waits(now, c)
+	s.schedule(now+s.workload.classes[c.class].Whole.Std(), func(now time.Duration) { s.expire(now, c) })
+	s.startWait(now, c)
 	s.router.arrive(now, c, nil)
 }
 
-// waits notes that a call waits for a place from now on.
-func (s *simulator) waits(now time.Duration, c *call) {
-	c.since, c.waits = now, true
-	s.measure.waits(now, c)
+// startWait records that a call waits for a slot from now on.
+func (s *simulator) startWait(now time.Duration, c *call) {
+	c.waitingSince, c.waiting = now, true
+	s.measure.waitStarted(now, c)
 }
 
-// waitOver notes that it no longer does.
-func (s *simulator) waitOver(now time.Duration, c *call, began bool) {
-	if c.waits {
-		c.waits = false
-		c.waited = max(c.waited, now-c.since)
-		s.measure.waitOver(now, c, began)
+// endWait records that a call no longer waits; began means that it got a slot.
+func (s *simulator) endWait(now time.Duration, c *call, began bool) {
+	if c.waiting {
+		c.waiting = false
+		c.maxWait = max(c.maxWait, now-c.waitingSince)
+		s.measure.waitEnded(now, c, began)
 	}
 }
 
-// send puts a call on a worker.
+// send sends a call to a worker. If the worker has crashed, the call fails once the
+// connection is refused.
 func (s *simulator) send(now time.Duration, c *call, w *worker) {
-	s.began(now, c, w)
+	s.place(now, c, w)
 	if w.crashed {
-		s.waitOver(now, c, false)
-		s.at(now+reachTime, func(now time.Duration) { s.failed(now, c, w) })
+		s.endWait(now, c, false)
+		s.schedule(now+connectRefusedDelay, func(now time.Duration) { s.workerFailed(now, c, w) })
 		return
 	}
-	w.enter(c)
+	w.enqueue(c)
 	s.step(now, w)
 }
 
-func (s *simulator) began(now time.Duration, c *call, w *worker) {
-	c.worker, c.granted = w, now
+// place records a new attempt of a call at a worker.
+func (s *simulator) place(now time.Duration, c *call, w *worker) {
+	c.worker, c.placedAt = w, now
 	c.tries++
 }
 
-// refuse ends a call that got no place.
+// refuse ends a call that the router rejected.
 func (s *simulator) refuse(now time.Duration, c *call) {
 	c.refused = true
-	s.waitOver(now, c, false)
+	s.endWait(now, c, false)
 	s.finish(now, c)
 }
 
-// cut ends a call at its deadline.
-func (s *simulator) cut(now time.Duration, c *call) {
-	if c.ended > 0 {
+// expire ends a call that has reached its deadline.
+func (s *simulator) expire(now time.Duration, c *call) {
+	if c.endedAt > 0 {
 		return
 	}
-	c.lost += c.made
+	c.wasted += c.made
 	s.measure.wasted["deadline"] += c.made
-	s.waitOver(now, c, false)
+	s.endWait(now, c, false)
 	if c.worker == nil {
 		s.finish(now, c)
-		s.router.drop(now, c)
+		s.router.withdraw(now, c)
 		return
 	}
 	w := c.worker
-	w.leave(c)
+	w.remove(c)
 	s.finish(now, c)
-	s.router.end(now, c, c.first == 0)
+	s.router.release(now, c, c.firstTokenAt == 0)
 	s.step(now, w)
 }
 
+// finish ends a call and adds its outcome to the figures.
 func (s *simulator) finish(now time.Duration, c *call) {
-	c.ended = now
-	s.open--
-	s.measure.add(s.workload, c)
+	c.endedAt = now
+	s.openCalls--
+	s.measure.addCall(s.workload, c)
 }
 
-// failed sends a call again whose worker died.
-func (s *simulator) failed(now time.Duration, c *call, w *worker) {
-	if c.ended > 0 || c.worker != w {
+// workerFailed handles the crash of a call's worker. The call is sent again unless it has
+// used all attempts, or must not be repeated and has its first token.
+func (s *simulator) workerFailed(now time.Duration, c *call, w *worker) {
+	if c.endedAt > 0 || c.worker != w {
 		return
 	}
-	s.router.end(now, c, true)
+	s.router.release(now, c, true)
 	c.worker = nil
-	if c.tries >= mostTries || c.flow.fixed && c.first > 0 {
+	if c.tries >= maxTries || c.flow.nonRepeatable && c.firstTokenAt > 0 {
 		s.measure.wasted["crash"] += c.made
-		c.lost += c.made
+		c.wasted += c.made
 		s.finish(now, c)
 		return
 	}
-	s.again(now, c, w)
+	s.resend(now, c, w)
 }
 
-// preempted takes a call off its worker; its entry asks again with what is left.
-func (s *simulator) preempted(now time.Duration, c *call) {
-	if c.ended > 0 || c.worker == nil {
+// preempt removes a call from its worker. It is sent again for the remaining tokens.
+func (s *simulator) preempt(now time.Duration, c *call) {
+	if c.endedAt > 0 || c.worker == nil {
 		return
 	}
 	w := c.worker
-	w.leave(c)
+	w.remove(c)
 	s.measure.preempted++
 	s.measure.wasted["preempt"] += s.prefillAsTokens(c)
-	s.router.end(now, c, false)
+	s.router.release(now, c, false)
 	c.worker = nil
-	s.again(now, c, nil)
+	s.resend(now, c, nil)
 	s.step(now, w)
 }
 
-// prefillAsTokens is what reading the prompt and the kept tokens again costs, in
-// the tokens that a full batch makes in that time.
+// prefillAsTokens returns the cost of repeating the prefill of a call's prompt and of the
+// tokens made so far, as the number of tokens that a full batch generates in that time.
 func (s *simulator) prefillAsTokens(c *call) int {
 	m := faker.DefaultModel()
-	n := time.Duration(c.flow.prompt+c.made) * m.Prefill
+	n := time.Duration(c.flow.promptTokens+c.made) * m.Prefill
 	return int(float64(n) / float64(m.StepTime(s.service.slots, 0)) * float64(s.service.slots))
 }
 
-func (s *simulator) again(now time.Duration, c *call, exclude *worker) {
-	s.waits(now, c)
+// resend hands a call to the router again.
+func (s *simulator) resend(now time.Duration, c *call, exclude *worker) {
+	s.startWait(now, c)
 	s.router.arrive(now, c, exclude)
 }
 
+// crash stops a worker for the rest of the run and fails its calls.
 func (s *simulator) crash(now time.Duration, w *worker) {
 	w.crashed = true
 	calls := append(w.batch, w.queue...)
 	w.batch, w.queue = nil, nil
 	for _, c := range calls {
-		s.failed(now, c, w)
+		s.workerFailed(now, c, w)
 	}
 }
 
-// step starts what a worker has room for, and an engine's next step.
+// step starts queued calls in a worker's free slots, and the next step of an engine's batch.
+// It does nothing while a step is running.
 func (s *simulator) step(now time.Duration, w *worker) {
-	if w.busy || w.crashed {
+	if w.stepping || w.crashed {
 		return
 	}
-	began := w.start()
+	began := w.fillBatch()
 	for _, c := range began {
-		s.waitOver(now, c, true)
+		s.endWait(now, c, true)
 	}
 	if w.plain {
 		for _, c := range began {
-			s.at(now+w.plainTime(c), func(now time.Duration) { s.plainDone(now, c, w) })
+			s.schedule(now+w.plainTime(c), func(now time.Duration) { s.plainDone(now, c, w) })
 		}
 		return
 	}
 	if len(w.batch) == 0 {
 		return
 	}
-	w.busy = true
-	s.at(now+w.stepTime(began), func(now time.Duration) { s.stepped(now, w) })
+	w.stepping = true
+	s.schedule(now+w.stepTime(began), func(now time.Duration) { s.stepDone(now, w) })
 }
 
+// plainDone completes a call of a plain service.
 func (s *simulator) plainDone(now time.Duration, c *call, w *worker) {
-	if c.ended > 0 || c.worker != w || w.crashed {
+	if c.endedAt > 0 || c.worker != w || w.crashed {
 		return
 	}
-	c.first, c.made = now, c.length
-	s.measure.token(now, c, c.length)
-	w.leave(c)
+	c.firstTokenAt, c.made = now, c.length
+	s.measure.addTokens(now, c, c.length)
+	w.remove(c)
 	s.complete(now, c)
 	s.step(now, w)
 }
 
-func (s *simulator) stepped(now time.Duration, w *worker) {
-	w.busy = false
+// stepDone adds a token to each call of an engine's batch, completes the calls that have all
+// their tokens, and starts the next step.
+func (s *simulator) stepDone(now time.Duration, w *worker) {
+	w.stepping = false
 	if w.crashed {
 		return
 	}
@@ -289,9 +306,9 @@
 	for _, c := range w.batch {
 		c.made++
 		s.measure.made++
-		s.measure.token(now, c, 1)
-		if c.first == 0 {
-			c.first = now
+		s.measure.addTokens(now, c, 1)
+		if c.firstTokenAt == 0 {
+			c.firstTokenAt = now
 		}
 		if c.made >= c.length {
 			ended = append(ended, c)
@@ -306,8 +323,9 @@
 	s.step(now, w)
 }
 
+// complete ends a call that was answered whole.
 func (s *simulator) complete(now time.Duration, c *call) {
-	c.finished = true
+	c.completed = true
 	s.finish(now, c)
-	s.router.end(now, c, false)
+	s.router.release(now, c, false)
 }
--- a/bencher/table.go
+++ b/bencher/table.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// WriteJSONLines writes the results as JSON lines.
+// WriteJSONLines writes the results as JSON, one per line.
 func WriteJSONLines(w io.Writer, results []Result) error {
 	enc := json.NewEncoder(w)
 	for _, r := range results {
@@ -20,7 +20,8 @@
 	return nil
 }
 
-// WriteTables writes one Markdown table for each service, demand and condition.
+// WriteTables writes a Markdown table for each service, demand and condition. Results of
+// one table must follow each other, as Sorted orders them.
 func WriteTables(w io.Writer, results []Result) {
 	last := ""
 	for _, r := range results {
@@ -34,6 +35,7 @@
 	}
 }
 
+// writeHead writes the title and the header row of a table.
 func writeHead(w io.Writer, title string, classes []string, seeds int) {
 	fmt.Fprintf(w, "\n### %s (%d seeds)\n\n| row |", title, seeds)
 	for _, c := range classes {
@@ -43,7 +45,7 @@
 	fmt.Fprintf(w, "|---|%s\n", strings.Repeat("---:|", 4*len(classes)+10))
 }
 
-// line is one row of a table.
+// line formats a result as a row of a table.
 func (r Result) line(classes []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s |", r.Row)
@@ -58,10 +60,10 @@
 	return b.String()
 }
 
-// attained is the part of requests that met their targets, in percent.
+// attained returns the percentage of requests that met their targets.
 func (t *tally) attained() float64 { return percent(t.Met, t.Requests) }
 
-// wasted is the tokens thrown away as a part of those made, in percent.
+// wasted returns the percentage of generated tokens that were discarded.
 func (r Result) wasted() float64 {
 	n := 0
 	for _, v := range r.WastedTokens {
--- a/bencher/worker.go
+++ b/bencher/worker.go
@@ -7,43 +7,43 @@
 	"github.com/cicadawood/cicadawood/faker"
 )
 
-// worker is one backend server's model: an engine that gives every sequence of
-// its batch a token each step, or a plain service whose calls run apart.
+// worker models a backend server: an engine, which generates a token for each call of its
+// batch in every step, or a plain service, whose calls run independently.
 type worker struct {
-	name    string
-	plain   bool
-	model   faker.Model
-	slow    float64
-	crashed bool
-	lies    bool // reports no load
-	batch   []*call
-	queue   []*call // inside the worker, beyond its slots
-	busy    bool    // a step is running
+	name        string
+	plain       bool // a plain service, not an engine
+	model       faker.Model
+	slowFactor  float64 // service time over the normal one; 0 is normal
+	crashed     bool
+	reportsIdle bool    // reports a load of 0 whatever its load is
+	batch       []*call // calls that occupy a slot
+	queue       []*call // calls sent to the worker beyond its slots
+	stepping    bool    // a step is running
 }
 
-// load is what the worker reports.
+// load returns the load that the worker reports.
 func (w *worker) load() int {
-	if w.lies {
+	if w.reportsIdle {
 		return 0
 	}
 	return len(w.batch) + len(w.queue)
 }
 
-// enter takes a call; the simulator then runs the worker.
-func (w *worker) enter(c *call) {
-	c.prefill = c.flow.prompt + c.made
+// enqueue adds a call to the queue. The caller must run simulator.step afterwards.
+func (w *worker) enqueue(c *call) {
+	c.prefillTokens = c.flow.promptTokens + c.made
 	w.queue = append(w.queue, c)
 }
 
-// leave takes a call out before its end.
-func (w *worker) leave(c *call) {
+// remove removes a call from the batch or the queue.
+func (w *worker) remove(c *call) {
 	same := func(o *call) bool { return o == c }
 	w.batch = slices.DeleteFunc(w.batch, same)
 	w.queue = slices.DeleteFunc(w.queue, same)
 }
 
-// start fills the batch from the queue and returns the calls that began.
-func (w *worker) start() []*call {
+// fillBatch moves calls from the queue to free slots and returns those moved.
+func (w *worker) fillBatch() []*call {
 	n := min(max(w.model.Slots-len(w.batch), 0), len(w.queue))
 	began := slices.Clone(w.queue[:n])
 	w.queue = w.queue[n:]
@@ -51,21 +51,22 @@
 	return began
 }
 
-// stepTime is how long the next step of an engine's batch takes.
+// stepTime returns the duration of the next step of an engine's batch, including the prefill
+// of the calls that began.
 func (w *worker) stepTime(began []*call) time.Duration {
 	prefill := 0
 	for _, c := range began {
-		prefill += c.prefill
+		prefill += c.prefillTokens
 	}
 	m := w.model
-	m.Slow = w.slow
+	m.Slow = w.slowFactor
 	return m.StepTime(len(w.batch), prefill)
 }
 
-// plainTime is how long one call of a plain service takes.
+// plainTime returns the service time of a call at a plain service.
 func (w *worker) plainTime(c *call) time.Duration {
-	if w.slow > 0 {
-		return time.Duration(float64(c.took) * w.slow)
+	if w.slowFactor > 0 {
+		return time.Duration(float64(c.serviceTime) * w.slowFactor)
 	}
-	return c.took
+	return c.serviceTime
 }
--- a/bencher/workload.go
+++ b/bencher/workload.go
@@ -1,7 +1,7 @@
-// Package bencher measures the policy under load: the real decision code, with
-// a clock, seeded arrivals and the fake engine's model of service time. No
-// network, hosts or processes are modelled, so that the figures are the same in
-// each run.
+// Package bencher benchmarks the routing policy under load in a discrete-event simulation:
+// the production decision code runs with a simulated clock, seeded arrivals and the fake
+// engine's model of service time. Networks, hosts and processes are not modelled, so that
+// the figures are reproducible.
 package bencher
 
 import (
@@ -15,9 +15,9 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// The phases of a run. Arrivals end at arrivalsEnd; what is left may finish.
+// The phases of a run. Calls that arrived before arrivalsEnd may finish until runEnd.
 const (
-	warmEnd     = 20 * time.Second
+	warmUpEnd   = 20 * time.Second
 	burstBegin  = 30 * time.Second
 	burstEnd    = 90 * time.Second
 	arrivalsEnd = 120 * time.Second
@@ -25,47 +25,48 @@
 )
 
 const (
-	plainTime   = 40 * time.Millisecond // median of a plain call
-	plainSigma  = 0.4
-	plainTokens = 40 // an answer's bytes, in tokens
+	plainMedian = 40 * time.Millisecond // service time of a plain call
+	plainSigma  = 0.4                   // of its log-normal distribution
+	plainTokens = 40                    // size of an answer of a plain service, expressed in tokens
 )
 
-// flow is the requests of one class to one service.
+// flow describes the requests of one class to one service.
 type flow struct {
-	class  string
-	part   float64 // of the service's demand while the burst lasts
-	burst  float64 // rate in the burst over the rate outside
-	median int     // output tokens; engines only
-	sigma  float64 // of the log-normal output length
-	limit  int     // most output tokens
-	prompt int     // tokens
-	fixed  bool    // must not be repeated, so not preempted either
+	class         string
+	demandShare   float64 // share of the service's demand during the burst
+	burst         float64 // ratio of the request rate in the burst to that outside
+	medianTokens  int     // of the output length; engines only
+	sigma         float64 // of the log-normal distribution of the output length
+	maxTokens     int     // max output length
+	promptTokens  int
+	nonRepeatable bool // must not be run twice, so is not preempted either
 }
 
-// service is one backend service and its demand.
+// service is a backend service and its demand.
 type service struct {
 	name    string
-	plain   bool
+	plain   bool // not an engine
 	workers int
-	slots   int
+	slots   int // of each worker
 	flows   []flow
 }
 
-// Workload is one user's traffic.
+// Workload is the traffic of one user of the system.
 type Workload struct {
 	Name     string
 	classes  map[string]loader.Class
 	services []service
 }
 
+// class returns the settings of a class; first and whole are its targets.
 func class(tier int, first, whole time.Duration, share float64) loader.Class {
 	return loader.Class{Tier: tier, First: loader.Duration(first), Whole: loader.Duration(whole), Share: share}
 }
 
-// Wodnik is a ferry arriving: three times the quotes and holds for a minute,
-// tour groups drafting trip plans, and chat always. The desk also has the engine
-// write quotes, and chat and plans look things up in the booking app, so that
-// the tiers meet on both services.
+// Wodnik is the traffic of a booking desk when a ferry arrives: for a minute, quotes and
+// holds triple, and tour groups draft trip plans; chat is constant. The engine also writes
+// quotes, and chat and plans also query the booking app, so that tiers compete on both
+// services.
 func Wodnik() Workload {
 	return Workload{
 		Name: "wodnik",
@@ -77,23 +78,23 @@
 		},
 		services: []service{
 			{name: "cicada-lm", workers: 12, slots: 8, flows: []flow{
-				{class: "quote", part: 0.15, burst: 3, median: 20, sigma: 0.4, limit: 60, prompt: 100},
-				{class: "chat", part: 0.45, burst: 1, median: 120, sigma: 0.7, limit: 600, prompt: 300},
-				{class: "plan", part: 0.40, burst: 1.5, median: 500, sigma: 0.7, limit: 2000, prompt: 600},
+				{class: "quote", demandShare: 0.15, burst: 3, medianTokens: 20, sigma: 0.4, maxTokens: 60, promptTokens: 100},
+				{class: "chat", demandShare: 0.45, burst: 1, medianTokens: 120, sigma: 0.7, maxTokens: 600, promptTokens: 300},
+				{class: "plan", demandShare: 0.40, burst: 1.5, medianTokens: 500, sigma: 0.7, maxTokens: 2000, promptTokens: 600},
 			}},
 			{name: "booking-app", plain: true, workers: 4, slots: 4, flows: []flow{
-				{class: "quote", part: 0.35, burst: 3},
-				{class: "hold", part: 0.20, burst: 3, fixed: true},
-				{class: "chat", part: 0.30, burst: 1},
-				{class: "plan", part: 0.15, burst: 1.5},
+				{class: "quote", demandShare: 0.35, burst: 3},
+				{class: "hold", demandShare: 0.20, burst: 3, nonRepeatable: true},
+				{class: "chat", demandShare: 0.30, burst: 1},
+				{class: "plan", demandShare: 0.15, burst: 1.5},
 			}},
 		},
 	}
 }
 
-// Krilo is a rostering wave: four times the validity checks for a minute,
-// summaries with a long tail of outputs, and findings letters. Some checks ask
-// the model, and summaries and letters read crew status.
+// Krilo is the traffic of crew rostering: validity checks quadruple for a minute, beside
+// summaries whose output lengths have a long tail, and findings letters. Some checks also
+// use the model, and summaries and letters also read the crew status.
 func Krilo() Workload {
 	return Workload{
 		Name: "krilo",
@@ -104,105 +105,108 @@
 		},
 		services: []service{
 			{name: "drafting-models", workers: 9, slots: 8, flows: []flow{
-				{class: "check", part: 0.15, burst: 4, median: 16, sigma: 0.4, limit: 60, prompt: 150},
-				{class: "summary", part: 0.55, burst: 1, median: 250, sigma: 1.2, limit: 2400, prompt: 800},
-				{class: "letter", part: 0.30, burst: 1, median: 500, sigma: 0.7, limit: 2000, prompt: 800, fixed: true},
+				{class: "check", demandShare: 0.15, burst: 4, medianTokens: 16, sigma: 0.4, maxTokens: 60, promptTokens: 150},
+				{class: "summary", demandShare: 0.55, burst: 1, medianTokens: 250, sigma: 1.2, maxTokens: 2400, promptTokens: 800},
+				{class: "letter", demandShare: 0.30, burst: 1, medianTokens: 500, sigma: 0.7, maxTokens: 2000, promptTokens: 800, nonRepeatable: true},
 			}},
 			{name: "crew-status", plain: true, workers: 3, slots: 4, flows: []flow{
-				{class: "check", part: 0.55, burst: 4},
-				{class: "summary", part: 0.30, burst: 1},
-				{class: "letter", part: 0.15, burst: 1},
+				{class: "check", demandShare: 0.55, burst: 4},
+				{class: "summary", demandShare: 0.30, burst: 1},
+				{class: "letter", demandShare: 0.15, burst: 1},
 			}},
 		},
 	}
 }
 
-// call is one request and what became of it.
+// call is a request and its outcome. Times count from the start of the run.
 type call struct {
-	id       string
-	flow     *flow
-	class    string
-	tier     int
-	org      string
-	host     int
-	length   int           // tokens
-	took     time.Duration // plain services
-	arrived  time.Duration
-	first    time.Duration // of the answer; 0 before
-	ended    time.Duration
-	made     int
-	lost     int // tokens made and thrown away
-	finished bool
-	refused  bool
-	tries    int
-	worker   *worker
-	since    time.Duration // it was asked for the present attempt
-	granted  time.Duration // of the present attempt
-	waited   time.Duration // longest until a place
-	prefill  int
-	waits    bool
-	passed   bool // a lower tier was granted while it waited
+	id            string
+	flow          *flow
+	class         string
+	tier          int
+	org           string
+	host          int
+	length        int           // of the whole answer, in tokens
+	serviceTime   time.Duration // at a plain service of normal speed
+	arrivedAt     time.Duration
+	firstTokenAt  time.Duration // 0 until the first token
+	endedAt       time.Duration // 0 until the end
+	made          int           // tokens generated so far
+	wasted        int           // tokens generated and discarded
+	completed     bool
+	refused       bool
+	tries         int // attempts so far
+	worker        *worker
+	waitingSince  time.Duration // start of the wait for the current attempt
+	placedAt      time.Duration // start of the current attempt at its worker
+	maxWait       time.Duration // longest wait for a slot
+	prefillTokens int           // of the current attempt: prompt and tokens made so far
+	waiting       bool
+	passedOver    bool // refused although a lower tier was granted while it waited
 }
 
-// costOf is the mean worker seconds of one request of a flow, in a full worker.
-func (s service) costOf(f flow) float64 {
+// meanCost returns the mean worker time of a request of a flow, in seconds, at a worker
+// with a full batch.
+func (s service) meanCost(f flow) float64 {
 	if s.plain {
-		return plainTime.Seconds() * math.Exp(plainSigma*plainSigma/2) / float64(s.slots)
+		return plainMedian.Seconds() * math.Exp(plainSigma*plainSigma/2) / float64(s.slots)
 	}
 	m := faker.DefaultModel()
-	// The limit cuts the tail, so the mean is taken from draws.
+	// The mean is estimated from draws, as maxTokens cuts off the tail of the distribution.
 	r, sum := rand.New(rand.NewPCG(1, 1)), 0
 	const draws = 4000
 	for range draws {
-		sum += f.draw(parts[r.IntN(len(parts))], r)
+		sum += f.drawLength(organisationDraw[r.IntN(len(organisationDraw))], r)
 	}
 	tokens := float64(sum) / draws
-	return tokens*m.StepTime(s.slots, 0).Seconds()/float64(s.slots) + float64(f.prompt)*m.Prefill.Seconds()
+	return tokens*m.StepTime(s.slots, 0).Seconds()/float64(s.slots) + float64(f.promptTokens)*m.Prefill.Seconds()
 }
 
-// draw is an output length of an organisation, in tokens.
-func (f flow) draw(organisation int, r *rand.Rand) int {
-	return min(max(1, int(float64(f.median)*lengths[organisation]*math.Exp(f.sigma*r.NormFloat64()))), f.limit)
+// drawLength draws the output length of a request of an organisation, in tokens.
+func (f flow) drawLength(organisation int, r *rand.Rand) int {
+	return min(max(1, int(float64(f.medianTokens)*lengthFactors[organisation]*math.Exp(f.sigma*r.NormFloat64()))), f.maxTokens)
 }
 
-// arrivals draws a service's requests in order of time. demand is the offered
-// work in the burst as a part of the service's capacity.
+// arrivals draws a service's calls, ordered by time of arrival. demand is the work offered
+// in the burst as a fraction of the service's capacity.
 func (s service) arrivals(w Workload, demand float64, seed uint64) []*call {
 	var all []*call
 	for i := range s.flows {
 		f := &s.flows[i]
 		r := rand.New(rand.NewPCG(seed, uint64(i)<<8|uint64(len(s.name))))
-		rate := demand * f.part * float64(s.workers) / s.costOf(*f)
+		rate := demand * f.demandShare * float64(s.workers) / s.meanCost(*f)
 		for at := time.Duration(0); at < arrivalsEnd; {
 			now := rate
 			if at < burstBegin || at >= burstEnd {
 				now = rate / f.burst
 			}
 			at += time.Duration(r.ExpFloat64() / now * float64(time.Second))
-			org := r.IntN(len(parts))
+			org := r.IntN(len(organisationDraw))
 			all = append(all, &call{
-				flow: f, class: f.class, tier: w.classes[f.class].Tier, org: fmt.Sprintf("org-%d", parts[org]), host: r.IntN(hosts),
-				length: s.length(f, parts[org], r), took: time.Duration(float64(plainTime) * math.Exp(plainSigma*r.NormFloat64())), arrived: at,
+				flow: f, class: f.class, tier: w.classes[f.class].Tier, org: fmt.Sprintf("org-%d", organisationDraw[org]), host: r.IntN(hostCount),
+				length: s.length(f, organisationDraw[org], r), serviceTime: time.Duration(float64(plainMedian) * math.Exp(plainSigma*r.NormFloat64())), arrivedAt: at,
 			})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b *call) int { return int(a.arrived - b.arrived) })
+	slices.SortStableFunc(all, func(a, b *call) int { return int(a.arrivedAt - b.arrivedAt) })
 	for i, c := range all {
 		c.id = fmt.Sprintf("%s-%d", s.name, i)
 	}
 	return all
 }
 
+// length returns the length of a request's answer, in tokens.
 func (s service) length(f *flow, organisation int, r *rand.Rand) int {
 	if s.plain {
 		return plainTokens
 	}
-	return f.draw(organisation, r)
+	return f.drawLength(organisation, r)
 }
 
-// parts is the organisation of each twentieth of the requests: ten of them, of
-// which the first three ask for most.
-var parts = []int{0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 2, 2, 3, 4, 5, 6, 7, 8, 9}
+// organisationDraw holds the organisation of each twentieth of the requests. The first three
+// of ten organisations send 13 twentieths of them.
+var organisationDraw = []int{0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 2, 2, 3, 4, 5, 6, 7, 8, 9}
 
-// lengths is how much longer each organisation's answers are than the median.
-var lengths = []float64{0.5, 1.5, 1, 2, 0.5, 1, 1.5, 0.7, 1.3, 3}
+// lengthFactors is the factor by which each organisation's median output length differs
+// from that of the flow.
+var lengthFactors = []float64{0.5, 1.5, 1, 2, 0.5, 1, 1.5, 0.7, 1.3, 3}
