--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -19,7 +19,7 @@
 	Sharing  int                  `json:"sharing"`  // hosts that the budget of repeats is shared between
 	Workers  []placer.WorkerState `json:"workers"`
 
-	Quarantine []Quarantined `json:"quarantine"` // requests that are held back
+	Quarantine []QuarantinedRequest `json:"quarantine"` // requests that are held back
 }
 
 // beliefsAsked asks for what the host believes.
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -77,20 +77,20 @@
 	return ok && owner.Name == q.self
 }
 
-// Quarantined is a request that is held back as it ended workers.
-type Quarantined struct {
+// QuarantinedRequest is a request that is held back as it ended workers.
+type QuarantinedRequest struct {
 	Fingerprint string        `json:"fingerprint"`
 	For         time.Duration `json:"for"`     // from now on
 	Workers     []string      `json:"workers"` // that it ended, the first ones
 }
 
-func (q *quarantining) state(now time.Time) []Quarantined {
+func (q *quarantining) state(now time.Time) []QuarantinedRequest {
 	if q == nil {
 		return nil
 	}
-	var out []Quarantined
+	var out []QuarantinedRequest
 	for _, h := range q.book.List(now) {
-		out = append(out, Quarantined{Fingerprint: h.Fingerprint.String(), For: h.Remaining, Workers: h.Workers})
+		out = append(out, QuarantinedRequest{Fingerprint: h.Fingerprint.String(), For: h.Remaining, Workers: h.Workers})
 	}
 	return out
 }
--- a/runner/state.go
+++ b/runner/state.go
@@ -38,7 +38,7 @@
 
 	Keepers map[int]keeper.Summary `json:"keepers"` // by partition
 
-	Quarantine []Quarantined `json:"quarantine,omitempty"` // calls that are held back, by a host of the product's own dialect
+	Quarantine []QuarantinedRequest `json:"quarantine,omitempty"` // calls that are held back, by a host of the product's own dialect
 }
 
 func (c *control) state() State {
