--- a/runner/allocator.go
+++ b/runner/allocator.go
@@ -12,7 +12,7 @@
 func (c *control) Acquire(ctx context.Context, service string, a messenger.Ask) (server.Place, error) {
 	reply := make(chan placeReply, 1)
 	if !c.post(placeAsked{service: service, ask: a, reply: reply}) {
-		return server.Place{}, stopping()
+		return server.Place{}, stoppingRefusal()
 	}
 	select {
 	case r := <-reply:
@@ -21,7 +21,7 @@
 		}
 		return r.place, nil
 	case <-c.ended:
-		return server.Place{}, stopping()
+		return server.Place{}, stoppingRefusal()
 	case <-ctx.Done():
 		c.post(placeLeft{request: a.Request})
 		return server.Place{}, server.ErrCallerGone
@@ -36,13 +36,13 @@
 // Release implements server.Allocator.
 func (c *control) Release(p server.Place, u server.Usage) { c.post(placeDone{place: p, use: u}) }
 
-// stopping refuses what comes after the control goroutine has ended.
-func stopping() server.Refusal {
+// stoppingRefusal is the refusal of requests after the control goroutine has ended.
+func stoppingRefusal() server.Refusal {
 	return server.Refusal{Reason: "host_stopping", After: time.Second}
 }
 
-// post gives the control goroutine an event; false where it has ended. Without
-// that way out a request that outlives it would wait for ever.
+// post sends an event to the control goroutine. It returns false if that has ended:
+// otherwise a request that outlives it would wait forever.
 func (c *control) post(e event) bool {
 	select {
 	case c.events <- e:
--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -26,19 +26,19 @@
 type beliefsAsked struct{ reply chan<- Beliefs }
 
 // beliefs is what the host believes now; the zero Beliefs where it is ending.
-func (p *choosing) beliefs() Beliefs {
-	return askChoosing(context.Background(), p, func(reply chan<- Beliefs) event { return beliefsAsked{reply: reply} })
+func (p *selector) beliefs() Beliefs {
+	return askSelector(context.Background(), p, func(reply chan<- Beliefs) event { return beliefsAsked{reply: reply} })
 }
 
 // believe is the answer to beliefs.
-func (p *choosing) believe(now time.Time) Beliefs {
+func (p *selector) believe(now time.Time) Beliefs {
 	after, _, _ := p.relay.Next(now)
 	b := Beliefs{
-		Listed: -1, Era: after.Era(), Revision: after.Revision(), Calls: p.calls.Load(), ForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), Sharing: p.hosts, Workers: p.view.WorkerStates(now),
+		Listed: -1, Era: after.Era(), Revision: after.Revision(), Calls: p.watchesStore.Load(), ForAll: p.relay.Watching(), Decides: p.deciderSet.decides(p.self), Sharing: p.maxHosts, Workers: p.view.WorkerStates(now),
 	}
 	b.Quarantine = p.quarantine.state(now)
-	if !p.listed.IsZero() {
-		b.Listed = now.Sub(p.listed)
+	if !p.updatedAt.IsZero() {
+		b.Listed = now.Sub(p.updatedAt)
 	}
 	return b
 }
--- a/runner/catching.go
+++ b/runner/catching.go
@@ -10,75 +10,77 @@
 	"github.com/cicadawood/cicadawood/registrar"
 )
 
-// runningMost is the most requests under way that one message tells of: a few hundred
-// kilobytes would keep a small host's link busy.
-const runningMost = 500
+// maxRunningPerMessage is the maximum number of running requests in one message: larger
+// messages, of a few hundred kilobytes, would keep a small host's link busy.
+const maxRunningPerMessage = 500
 
-// catchUp tells hosts that have just started, or begun to listen, what is under way. Where
-// each host decides, each tells what it sends itself; where few do, the first of those
-// that listened before tells all.
-func (p *choosing) catchUp(now time.Time, before registrar.Roster, listened []registrar.Record) {
-	few := len(p.deciding.deciders) > 0
+// catchUp sends the running requests, and the limits that workers reported, to hosts that
+// have just started or become listeners. Where each host decides, each sends its own
+// requests; where a few decide, the first of those that were listeners before sends all.
+func (p *selector) catchUp(now time.Time, before registrar.Roster, listened []registrar.Record) {
+	few := len(p.deciderSet.deciders) > 0
 	if len(listened) == 0 {
-		listened = before.Hosts() // each heard all
+		listened = before.Hosts() // each received all updates
 	}
-	if few && !p.tellsAll(listened) {
+	if few && !p.sendsCatchUp(listened) {
 		return
 	}
-	fresh := p.fresh(listened)
+	added := p.newListeners(listened)
 	running := p.view.RunningFlights(now, few)
 	limits := limitsOf(p.view.Limits())
-	if len(fresh) == 0 || len(running) == 0 && len(limits) == 0 {
+	if len(added) == 0 || len(running) == 0 && len(limits) == 0 {
 		return
 	}
-	p.log.Info("tell running", zap.Strings("hosts", fresh), zap.Int("requests", len(running)), zap.Int("limits", len(limits)))
+	p.log.Info("sending running requests", zap.Strings("hosts", added), zap.Int("requests", len(running)), zap.Int("limits", len(limits)))
 	if len(limits) > 0 {
-		if err := p.sender.SendAll(fresh, messenger.FlightUpdate{Limits: limits}); err != nil {
-			p.log.Warn("tell limits", zap.Error(err))
+		if err := p.sender.SendAll(added, messenger.FlightUpdate{Limits: limits}); err != nil {
+			p.log.Warn("sending limits failed", zap.Error(err))
 		}
 	}
-	for part := range slices.Chunk(running, runningMost) {
+	for part := range slices.Chunk(running, maxRunningPerMessage) {
 		var m messenger.FlightUpdate
 		for _, r := range part {
-			s := sendingOf(r.Flight)
+			s := encodeFlight(r.Flight)
 			s.Host, s.Begun = r.Host, r.Begun
 			m.Running = append(m.Running, s)
 		}
-		if err := p.sender.SendAll(fresh, m); err != nil {
-			p.log.Warn("tell running", zap.Error(err))
+		if err := p.sender.SendAll(added, m); err != nil {
+			p.log.Warn("sending running requests failed", zap.Error(err))
 		}
 	}
 }
 
-// fresh is the addresses of hosts that are told of what is sent, and were not before.
-func (p *choosing) fresh(listened []registrar.Record) []string {
+// newListeners returns the addresses of hosts that receive flight updates and did not
+// before.
+func (p *selector) newListeners(listened []registrar.Record) []string {
 	var out []string
-	for _, h := range p.hearers() {
-		if h.Name != p.self && !contains(listened, h.Name) {
+	for _, h := range p.flightListeners() {
+		if h.Name != p.self && !containsHost(listened, h.Name) {
 			out = append(out, h.Control)
 		}
 	}
 	return out
 }
 
-// hearers is the hosts that are told of what is sent.
-func (p *choosing) hearers() []registrar.Record {
-	if len(p.deciding.deciders) > 0 {
-		return p.deciding.listeners
+// flightListeners returns the hosts that receive flight updates.
+func (p *selector) flightListeners() []registrar.Record {
+	if len(p.deciderSet.deciders) > 0 {
+		return p.deciderSet.listeners
 	}
 	return p.roster.Hosts()
 }
 
-// tellsAll says that this is the first of the hosts that listened before and still do.
-func (p *choosing) tellsAll(listened []registrar.Record) bool {
-	for _, h := range p.deciding.listeners {
-		if contains(listened, h.Name) {
+// sendsCatchUp reports whether this host is the first of those that were listeners before
+// and still are.
+func (p *selector) sendsCatchUp(listened []registrar.Record) bool {
+	for _, h := range p.deciderSet.listeners {
+		if containsHost(listened, h.Name) {
 			return h.Name == p.self
 		}
 	}
 	return false
 }
 
-func contains(hosts []registrar.Record, name string) bool {
+func containsHost(hosts []registrar.Record, name string) bool {
 	return slices.ContainsFunc(hosts, func(h registrar.Record) bool { return h.Name == name })
 }
--- a/runner/catching_test.go
+++ b/runner/catching_test.go
@@ -13,7 +13,8 @@
 	"github.com/cicadawood/cicadawood/runner"
 )
 
-// Guards against a host that starts, or begins to decide, knowing nothing of what is at workers.
+// Guards against a host that starts, or becomes a decider, without knowing the requests
+// at the workers.
 var _ = Describe("A host that has just started", func() {
 	workers := []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}}
 	quote := placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
@@ -32,8 +33,8 @@
 		}
 		return out
 	}
-	// told is what each host was told that is under way.
-	told := func(out []sent) map[string]int {
+	// running returns how many running requests each host was notified of.
+	running := func(out []sent) map[string]int {
 		n := map[string]int{}
 		for _, s := range out {
 			if m, ok := s.m.(messenger.FlightUpdate); ok {
@@ -43,7 +44,7 @@
 		return n
 	}
 
-	It("is told by each of a few hosts what that one has under way", func() {
+	It("receives the running requests of each host of a small fleet from that host", func() {
 		var out []sent
 		now := time.Now()
 		c := runner.NewChoosing("h-00", workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
@@ -53,37 +54,37 @@
 		}
 		out = nil
 		c.Enroll(now, roster(0, 1, 2, 3, 9))
-		Expect(told(out)).To(Equal(map[string]int{"h-09": 3}))
-		fresh := runner.NewChoosing("h-09", workers, func(string, messenger.Message) {})
+		Expect(running(out)).To(Equal(map[string]int{"h-09": 3}))
+		started := runner.NewChoosing("h-09", workers, func(string, messenger.Message) {})
 		for _, s := range out {
-			fresh.Hear(now, "h-00", s.m)
+			started.Hear(now, "h-00", s.m)
 		}
-		Expect(fresh.Flights(now, "d-1")).To(Equal(3))
+		Expect(started.Flights(now, "d-1")).To(Equal(3))
 	})
 
-	It("is told all by one that listened before, where it begins to listen in a large fleet", func() {
+	It("receives all running requests from one earlier listener, when it becomes a listener in a large fleet", func() {
 		now := time.Now()
 		before := roster(span(20)...)
 		owners := before.Owners("decide", 20)
-		var left []registrar.Record
+		var rest []registrar.Record
 		for _, h := range before.Hosts() {
 			if h.Name != owners[0].Name {
-				left = append(left, h)
+				rest = append(rest, h)
 			}
 		}
-		tellers := 0
+		senders := 0
 		for _, h := range owners[1:] {
 			var out []sent
 			c := runner.NewChoosing(h.Name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
 			c.Enroll(now, before)
 			c.Hear(now, owners[0].Name, messenger.FlightUpdate{Sent: []messenger.Flight{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
 			out = nil
-			c.Enroll(now, registrar.NewRoster(left...))
-			if n := told(out); len(n) > 0 {
-				tellers++
+			c.Enroll(now, registrar.NewRoster(rest...))
+			if n := running(out); len(n) > 0 {
+				senders++
 				Expect(n).To(Equal(map[string]int{owners[5].Name: 1}))
 			}
 		}
-		Expect(tellers).To(Equal(1))
+		Expect(senders).To(Equal(1))
 	})
 })
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -20,216 +20,218 @@
 )
 
 const (
-	// sweepEvery is how often what is overdue is forgotten, and at most how late a
-	// watcher beats.
-	sweepEvery = 200 * time.Millisecond
-	// hostsLeast is the fewest hosts that the repeats of a service are shared
-	// between. A host that can reach nobody knows only itself, and must not take
-	// the whole budget.
-	hostsLeast = 8
+	// sweepInterval is the interval at which expired state is removed, and the maximum delay
+	// of a watcher's heartbeat.
+	sweepInterval = 200 * time.Millisecond
+	// minBudgetHosts is the minimum number of hosts that share the retry budget of a
+	// service. A host that can reach no other knows only itself, and must not use the whole
+	// budget.
+	minBudgetHosts = 8
 )
 
-// choosing owns a host's view of the workers. Only its run goroutine touches the
-// fields below events.
-type choosing struct {
-	sender sender
-	log    *zap.Logger
-	repeat retrier.WindowPolicy
-	events chan event
-	ended  chan struct{}
-	known  atomic.Bool // the workers were listed
-	calls  atomic.Bool // the host watches the store: nobody does it for it; false until its first list
+// selector owns a host's view of the workers and selects a worker for each request.
+// Only its run goroutine accesses view and the fields below it.
+type selector struct {
+	sender       sender
+	log          *zap.Logger
+	retryPolicy  retrier.WindowPolicy
+	events       chan event
+	ended        chan struct{}
+	loaded       atomic.Bool // the list of workers was received
+	watchesStore atomic.Bool // this host watches the store, as no other does it for it; false until its first list
 
-	view       *placer.View
-	directory  observer.Directory
-	relay      *relayer.Relay
-	reach      func(era uint64, source string) // nil, or told of the era of each list
-	beaten     time.Time                       // when this host last said that it is up to date
-	watching   bool                            // it said so, and has not taken it back
-	listed     time.Time                       // when the source, or a host that watches it, last told of it
-	folder     *loader.Folder
-	self       string
-	roster     registrar.Roster
-	hosts      int // the most that the roster had
-	deciding   deciding
-	windows    map[string]*retrier.Window
-	shared     messenger.FlightUpdate
-	quarantine *quarantining
-	share      *time.Timer
-	shareAt    time.Time // when the timer is due; zero where it is not set
+	view          *placer.View
+	directory     observer.Directory
+	relay         *relayer.Relay
+	onEra         func(era uint64, source string) // if set, receives the store's era of each list
+	lastHeartbeat time.Time                       // when this host last announced that its list is up to date
+	announced     bool                            // it announced so and has not withdrawn it
+	updatedAt     time.Time                       // when the store, or a host that watches it, last sent the list or its changes
+	folder        *loader.Folder
+	self          string
+	roster        registrar.Roster
+	maxHosts      int // highest number of hosts that the roster had
+	deciderSet    deciderSet
+	windows       map[string]*retrier.Window
+	pendingUpdate messenger.FlightUpdate
+	quarantine    *quarantineSync
+	updateTimer   *time.Timer
+	updateDue     time.Time // when updateTimer expires; zero if it is not set
 }
 
-// workerAsked is a request that wants a worker.
-type workerAsked struct {
-	ask   placer.Request
-	again bool
-	reply chan<- workerReply
+// workerRequested is a request that needs a worker.
+type workerRequested struct {
+	request placer.Request
+	retry   bool
+	reply   chan<- workerReply
 }
 
+// workerReply answers workerRequested: a placement, or a refusal.
 type workerReply struct {
-	place   router.Placement
-	refused *router.Refused
+	placement router.Placement
+	refused   *router.Refused
 }
 
-// sendBegun and sendEnded tell of a request at its worker.
+// flightStarted and flightEnded report the progress of a request at its worker.
 type (
-	sendBegun struct {
+	flightStarted struct {
 		id   uint64
 		took time.Duration
 	}
-	sendEnded struct {
-		id      uint64
-		outcome placer.Outcome
-		filling bool // half of the worker's slots were taken, or more
+	flightEnded struct {
+		id       uint64
+		outcome  placer.Outcome
+		halfFull bool // at least half of the worker's slots were taken
 	}
 )
 
-func newChoosing(self, zone string, s sender, store storer.Store, p loader.Repeat, log *zap.Logger) *choosing {
-	c := &choosing{
+func newSelector(self, zone string, s sender, store storer.Store, p loader.Repeat, log *zap.Logger) *selector {
+	c := &selector{
 		self: self, sender: s, log: log, events: make(chan event, eventBacklog), ended: make(chan struct{}),
-		repeat: policyOf(p),
-		view:   placer.New(zone), windows: map[string]*retrier.Window{}, hosts: hostsLeast,
-		relay: relayer.New(self, entriesList),
+		retryPolicy: retryPolicyOf(p),
+		view:        placer.New(zone), windows: map[string]*retrier.Window{}, maxHosts: minBudgetHosts,
+		relay: relayer.New(self, workersList),
 	}
-	c.quarantine = newQuarantining(self, s, store, c.view.Quarantine(), log)
-	c.quarantine.store.tell = func(e quarantineStored) { c.post(e) }
+	c.quarantine = newQuarantineSync(self, s, store, c.view.Quarantine(), log)
+	c.quarantine.store.report = func(e quarantineStoreResult) { c.post(e) }
 	return c
 }
 
-func policyOf(p loader.Repeat) retrier.WindowPolicy {
+func retryPolicyOf(p loader.Repeat) retrier.WindowPolicy {
 	return retrier.WindowPolicy{Ratio: p.Ratio, Slack: p.Slack, Span: p.Window.Std()}
 }
 
-// run takes events until ctx ends.
-func (p *choosing) run(ctx context.Context) {
+// run handles events until ctx ends.
+func (p *selector) run(ctx context.Context) {
 	defer close(p.ended)
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	p.share = time.NewTimer(time.Hour)
-	defer p.share.Stop()
+	p.updateTimer = time.NewTimer(time.Hour)
+	defer p.updateTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-p.events:
-			p.take(time.Now(), e)
-		case <-p.share.C:
-			p.tell()
+			p.handle(time.Now(), e)
+		case <-p.updateTimer.C:
+			p.sendUpdate()
 		case <-sweep.C:
 			p.sweep(time.Now())
 		}
 	}
 }
 
-func (p *choosing) take(now time.Time, e event) {
+func (p *selector) handle(now time.Time, e event) {
 	switch e := e.(type) {
-	case workerAsked:
+	case workerRequested:
 		p.place(now, e)
-	case seekHeard:
-		p.answerSeek(now, e)
-	case soughtHeard:
-		p.hearSought(now, e)
-	case seekLate:
-		p.late(now, e)
-	case sendBegun:
+	case placementRequested:
+		p.decideFor(now, e)
+	case placementReplied:
+		p.handleReply(now, e)
+	case placementTimedOut:
+		p.handleTimeout(now, e)
+	case flightStarted:
 		p.view.BegunAfter(now, e.id, e.took)
-		p.shared.Begun = append(p.shared.Begun, e.id)
-		p.shared.Took = append(p.shared.Took, e.took)
-		p.tellWithin(now, p.within(restWithin, restToDeciders))
+		p.pendingUpdate.Begun = append(p.pendingUpdate.Begun, e.id)
+		p.pendingUpdate.Took = append(p.pendingUpdate.Took, e.took)
+		p.scheduleUpdate(now, p.delayFor(updateDelay, updateDelayToListeners))
 	case limitNamed:
 		p.name(now, e)
-	case sendEnded:
+	case flightEnded:
 		p.view.Ended(now, e.id, e.outcome)
-		p.tellEnded(now, e)
-	case sharedHeard:
-		p.hear(now, e)
-	case entriesSeen:
-		p.see(now, e)
-	case wordHeard:
-		p.hearWord(now, e)
-	case entriesHeard:
-		p.hearEntries(now, e)
-	case quarantineHeard:
-		p.quarantine.hear(now, e)
-	case quarantineStored:
-		p.quarantine.stored(now, e)
+		p.addEnded(now, e)
+	case flightsReceived:
+		p.receiveFlights(now, e)
+	case storeResult:
+		p.handleStoreResult(now, e)
+	case listUpdateReceived:
+		p.receiveListUpdate(now, e)
+	case listSnapshotReceived:
+		p.receiveSnapshot(now, e)
+	case quarantineReceived:
+		p.quarantine.receive(now, e)
+	case quarantineStoreResult:
+		p.quarantine.handleStoreResult(now, e)
 	case storeRestored:
-		p.quarantine.restore()
+		p.quarantine.storeRestored()
 	case beliefsAsked:
 		e.reply <- p.believe(now)
-	case nextAsked:
-		e.reply <- p.callNext(now)
+	case storeCallRequested:
+		e.reply <- p.planCall(now)
 	case rosterChanged:
-		p.enroll(now, e.roster)
+		p.setRoster(now, e.roster)
 	case settingsChanged:
-		p.repeat = policyOf(e.settings.Repeat)
+		p.retryPolicy = retryPolicyOf(e.settings.Repeat)
 	case folderChanged:
 		p.folder = e.folder
 		p.setWorkers(now)
 	}
-	p.quarantine.notice(now)
+	p.quarantine.announceNew(now)
 }
 
-// place has a worker picked for a request, within the budget of repeats.
-func (p *choosing) place(now time.Time, e workerAsked) {
-	if refused := p.spend(now, e); refused != nil {
+// place finds a worker for a request, within the retry budget.
+func (p *selector) place(now time.Time, e workerRequested) {
+	if refused := p.chargeBudget(now, e); refused != nil {
 		e.reply <- workerReply{refused: refused}
 		return
 	}
-	if !p.seek(now, e) {
-		e.reply <- p.decide(now, e.ask)
+	if !p.askDecider(now, e) {
+		e.reply <- p.decide(now, e.request)
 	}
 }
 
-// spend counts a request, and refuses a repeat beyond this host's share of the budget.
-func (p *choosing) spend(now time.Time, e workerAsked) *router.Refused {
-	w := p.windows[e.ask.Service]
+// chargeBudget counts a request, and refuses a retry beyond this host's share of the
+// budget.
+func (p *selector) chargeBudget(now time.Time, e workerRequested) *router.Refused {
+	w := p.windows[e.request.Service]
 	if w == nil {
 		w = &retrier.Window{}
-		p.windows[e.ask.Service] = w
+		p.windows[e.request.Service] = w
 	}
-	if !e.again {
-		w.RecordFirst(now, p.repeat)
+	if !e.retry {
+		w.RecordFirst(now, p.retryPolicy)
 		return nil
 	}
-	if !w.Take(now, p.repeat, p.hosts) {
+	if !w.Take(now, p.retryPolicy, p.maxHosts) {
 		return &router.Refused{Reason: "retry_budget", After: time.Second}
 	}
 	return nil
 }
 
-// decide picks a worker by this host's view.
-func (p *choosing) decide(now time.Time, a placer.Request) workerReply {
+// decide selects a worker by this host's view.
+func (p *selector) decide(now time.Time, a placer.Request) workerReply {
 	choice, refusal := p.view.Place(now, rand.Uint64(), a)
 	if refusal != nil {
-		p.tellWithin(now, p.within(restWithin, restToDeciders))
+		p.scheduleUpdate(now, p.delayFor(updateDelay, updateDelayToListeners))
 		return refusedBy("", *refusal, choice.Basis)
 	}
-	p.tellSent(now, p.self, choice.Flight)
-	return workerReply{place: router.Placement{
-		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, ExpectedWait: choice.Wait, Delay: choice.Delay, Source: choice.Source, PromptTokens: choice.Flight.Prefill, HalfFull: choice.Filling, ListAge: now.Sub(p.listed), RateLimit: p.view.RateLimit(choice.Worker.Name),
+	p.addSent(now, p.self, choice.Flight)
+	return workerReply{placement: router.Placement{
+		ID: choice.Flight.ID, Service: a.Service, Worker: choice.Worker, ExpectedWait: choice.Wait, Delay: choice.Delay, Source: choice.Source, PromptTokens: choice.Flight.Prefill, HalfFull: choice.Filling, ListAge: now.Sub(p.updatedAt), RateLimit: p.view.RateLimit(choice.Worker.Name),
 	}}
 }
 
-// enroll takes a new roster, and forgets what hosts that are gone had under way.
-func (p *choosing) enroll(now time.Time, r registrar.Roster) {
+// setRoster applies a new roster, and removes the flights of hosts that are gone.
+func (p *selector) setRoster(now time.Time, r registrar.Roster) {
 	for _, h := range p.roster.Hosts() {
 		if _, ok := r.Find(h.Name); !ok {
 			p.view.HostLost(now, h.Name)
 		}
 	}
-	before, listened := p.roster, p.deciding.listeners
+	before, listened := p.roster, p.deciderSet.listeners
 	p.roster = r
 	p.relay.SetHosts(r)
-	p.deciding.enroll(r)
+	p.deciderSet.setRoster(r)
 	p.catchUp(now, before, listened)
-	p.quarantine.enroll(now, r)
-	p.view.SetDeciders(len(p.deciding.deciders), p.deciding.place(p.self))
-	p.hosts = max(p.hosts, len(r.Hosts()))
+	p.quarantine.setRoster(now, r)
+	p.view.SetDeciders(len(p.deciderSet.deciders), p.deciderSet.index(p.self))
+	p.maxHosts = max(p.maxHosts, len(r.Hosts()))
 }
 
-// setWorkers gives the view the workers that may get requests.
-func (p *choosing) setWorkers(now time.Time) {
+// setWorkers updates the view with the workers that may receive requests.
+func (p *selector) setWorkers(now time.Time) {
 	var workers []placer.Worker
 	for _, e := range p.directory.Available() {
 		w := placer.Worker{
@@ -241,26 +243,26 @@
 		}
 		workers = append(workers, w)
 	}
-	added, gone := p.view.SetWorkers(now, workers)
+	added, removed := p.view.SetWorkers(now, workers)
 	for _, w := range added {
 		p.log.Info("worker", zap.String("worker", w.Name), zap.String("service", w.Service), zap.String("address", w.Address), zap.String("state", "present"))
 	}
-	for _, w := range gone {
+	for _, w := range removed {
 		p.log.Info("worker", zap.String("worker", w.Name), zap.String("service", w.Service), zap.String("address", w.Address), zap.String("state", "away"))
 	}
 }
 
-func (p *choosing) sweep(now time.Time) {
-	p.beat(now)
-	p.takeTurn(now, "watchers and words")
+func (p *selector) sweep(now time.Time) {
+	p.sendHeartbeat(now)
+	p.updateWatching(now, "watchers and words")
 	p.view.Sweep(now)
 	p.quarantine.sweep(now)
-	p.deciding.sweep(now)
+	p.deciderSet.sweep(now)
 	if p.directory.Sweep(now) {
 		p.setWorkers(now)
 	}
 }
 
-func (workerAsked) event() {}
-func (sendBegun) event()   {}
-func (sendEnded) event()   {}
+func (workerRequested) event() {}
+func (flightStarted) event()   {}
+func (flightEnded) event()     {}
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -8,12 +8,12 @@
 	"github.com/cicadawood/cicadawood/router"
 )
 
-var _ router.Placer = (*choosing)(nil)
+var _ router.Placer = (*selector)(nil)
 
 // Place implements router.Placer.
-func (p *choosing) Place(ctx context.Context, a placer.Request, again bool) (router.Placement, error) {
+func (p *selector) Place(ctx context.Context, a placer.Request, retry bool) (router.Placement, error) {
 	reply := make(chan workerReply, 1)
-	if !p.post(workerAsked{ask: a, again: again, reply: reply}) {
+	if !p.post(workerRequested{request: a, retry: retry, reply: reply}) {
 		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
 	}
 	select {
@@ -21,9 +21,9 @@
 		if r.refused != nil {
 			return router.Placement{}, *r.refused
 		}
-		return r.place, nil
+		return r.placement, nil
 	case <-ctx.Done():
-		// The answer may be under way: its place is given back when it comes.
+		// The reply may be on its way: its place is given back when it arrives.
 		go p.giveBack(reply)
 		return router.Placement{}, ctx.Err()
 	case <-p.ended:
@@ -31,34 +31,34 @@
 	}
 }
 
-// giveBack ends the place of a request that waits for it no more.
-func (p *choosing) giveBack(reply <-chan workerReply) {
+// giveBack releases the place of a request that no longer waits for it.
+func (p *selector) giveBack(reply <-chan workerReply) {
 	select {
 	case r := <-reply:
 		if r.refused == nil {
-			p.Ended(r.place, placer.Canceled)
+			p.Ended(r.placement, placer.Canceled)
 		}
 	case <-p.ended:
 	}
 }
 
 // Started implements router.Placer.
-func (p *choosing) Started(x router.Placement, took time.Duration) {
-	p.post(sendBegun{id: x.ID, took: took})
+func (p *selector) Started(x router.Placement, took time.Duration) {
+	p.post(flightStarted{id: x.ID, took: took})
 }
 
 // RateReported implements router.Placer.
-func (p *choosing) RateReported(x router.Placement, rate float64) {
+func (p *selector) RateReported(x router.Placement, rate float64) {
 	p.post(limitNamed{worker: x.Worker.Name, rate: rate, known: x.RateLimit})
 }
 
 // Ended implements router.Placer.
-func (p *choosing) Ended(x router.Placement, o placer.Outcome) {
-	p.post(sendEnded{id: x.ID, outcome: o, filling: x.HalfFull})
+func (p *selector) Ended(x router.Placement, o placer.Outcome) {
+	p.post(flightEnded{id: x.ID, outcome: o, halfFull: x.HalfFull})
 }
 
-// post gives the goroutine an event; false where it has ended.
-func (p *choosing) post(e event) bool {
+// post sends an event to the run goroutine. It returns false if that has ended.
+func (p *selector) post(e event) bool {
 	select {
 	case p.events <- e:
 		return true
@@ -67,8 +67,9 @@
 	}
 }
 
-// askChoosing asks the goroutine for something; the zero T where it or ctx ends first.
-func askChoosing[T any](ctx context.Context, p *choosing, question func(chan<- T) event) T {
+// askSelector sends a query to the run goroutine and returns its answer, or the zero T if
+// the goroutine or ctx ends first.
+func askSelector[T any](ctx context.Context, p *selector, question func(chan<- T) event) T {
 	reply := make(chan T, 1)
 	var answer T
 	if !p.post(question(reply)) {
--- a/runner/control.go
+++ b/runner/control.go
@@ -55,14 +55,14 @@
 	observer    observer.Observer
 	present     map[workerName]bool // as last told to the dispatchers
 	away        *atomic.Int64       // workers that get nothing new
-	limiting    limiting
+	limiting    limitState
 	attempt     uint64            // of the last Ask or Claim
 	epochs      map[string]uint64 // highest seen of each cell
 	chooser     dispatcher.Chooser
 	due         time.Time // when a dispatcher is next due; zero for never
 	again       time.Time // when calls are next looked through for askAgain
 	keeping     *keeping
-	quarantine  *quarantining // nil where the host serves host routes
+	quarantine  *quarantineSync // nil where the host serves host routes
 }
 
 func newControl(self string, epoch uint64, s sender, log *zap.Logger) *control {
@@ -81,7 +81,7 @@
 	defer timer.Stop()
 	var set time.Time // when the timer goes off
 	for {
-		if next := c.next(); !next.Equal(set) {
+		if next := c.nextTick(); !next.Equal(set) {
 			set = next
 			timer.Reset(time.Until(next))
 		}
@@ -100,7 +100,7 @@
 // tick does what is due.
 func (c *control) tick(now time.Time) {
 	c.tickDispatchers(now)
-	c.borrow(now)
+	c.requestLoans(now)
 	c.keeping.tick(now)
 	c.quarantine.tick(now)
 	if now.Before(c.again) {
@@ -108,11 +108,11 @@
 	}
 	c.again = now.Add(askAgain / 4)
 	for _, k := range c.calls {
-		switch silent := now.Sub(k.asked); {
+		switch silent := now.Sub(k.sentAt); {
 		case k.worker == "" && silent >= askAgain:
 			c.register(now, k)
 		case k.worker != "" && silent >= renewEvery:
-			c.renew(now, k)
+			c.sendProgress(now, k)
 		}
 	}
 }
@@ -122,23 +122,23 @@
 	case frameArrived:
 		c.deliver(now, e.from, e.message)
 	case placeAsked:
-		c.ask(now, e)
+		c.startCall(now, e)
 	case placeLeft:
-		c.leave(now, e.request)
+		c.cancelCall(now, e.request)
 	case placeDone:
-		c.done(now, e)
+		c.finishCall(now, e)
 	case placeProgressed:
-		c.progressed(now, e)
+		c.recordProgress(now, e)
 	case folderChanged:
 		c.configure(now, e)
 	case rosterChanged:
 		c.enroll(now, e.roster)
-	case workersListed, workerReported, workerRefused, reportsWanted:
-		c.observe(now, e)
-	case quarantineStored:
-		c.quarantine.stored(now, e)
+	case workersListed, workerReported, workerRefused, pollTargetsRequested:
+		c.handleWorkerEvent(now, e)
+	case quarantineStoreResult:
+		c.quarantine.handleStoreResult(now, e)
 	case storeRestored:
-		c.quarantine.restore()
+		c.quarantine.storeRestored()
 		c.keeping.take(now, e)
 	case stateAsked:
 		e.reply <- c.state()
@@ -161,22 +161,22 @@
 	case messenger.Progress:
 		c.dispatch(now, m.Cell, from, m)
 	case messenger.Grant:
-		c.granted(now, from, m)
+		c.handleGrant(now, from, m)
 	case messenger.Refuse:
-		c.refused(now, m)
+		c.handleRefusal(now, m)
 	case messenger.Preempt:
-		c.preempted(m)
+		c.handlePreempt(m)
 	case messenger.WorkerRefused:
 		c.observer.Refused(now, m.Address)
-		c.observe(now, nil)
+		c.handleWorkerEvent(now, nil)
 	case messenger.Borrow:
 		c.lend(now, from, m)
 	case messenger.Lend:
-		c.lent(now, m)
+		c.receiveLoan(now, m)
 	case messenger.WorkerReport:
-		c.quarantine.mark(now, m)
+		c.quarantine.recordReport(now, m)
 	case messenger.Quarantine:
-		c.quarantine.hear(now, quarantineHeard{from: from, held: heldOf(m)})
+		c.quarantine.receive(now, quarantineReceived{from: from, entries: decodeQuarantine(m)})
 	case messenger.Moved:
 	default:
 		c.keeping.deliver(now, from, m)
@@ -211,9 +211,9 @@
 	}
 	for name, d := range c.owned {
 		if cell, ok := c.cells[name]; ok {
-			d.Configure(c.filled(now, cell), e.folder.Classes)
+			d.Configure(c.availableCell(now, cell), e.folder.Classes)
 			out := d.Tick(now)
-			c.awaits(d)
+			c.schedule(d)
 			c.emit(now, out)
 		} else {
 			delete(c.owned, name)
@@ -241,7 +241,7 @@
 		lost = append(lost, h.Name)
 		for _, d := range c.owned {
 			out := d.HostLost(now, h.Name)
-			c.awaits(d)
+			c.schedule(d)
 			c.emit(now, out)
 		}
 	}
@@ -261,8 +261,8 @@
 func (c *control) enroll(now time.Time, r registrar.Roster) {
 	old := c.roster
 	c.roster = r
-	c.limiting.enroll(now, old, r)
-	c.quarantine.enroll(now, r)
+	c.limiting.setRoster(now, old, r)
+	c.quarantine.setRoster(now, r)
 	c.lose(now, old, r)
 	c.rejoin(now, r)
 	for name := range c.owned {
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -16,85 +16,88 @@
 )
 
 const (
-	// decidersRole is the role whose first owners decide.
+	// decidersRole is the role whose first owners are the deciders.
 	decidersRole = "decide"
-	// manyHosts is the most hosts of which each decides for itself, by what all tell one
-	// another: that is messages by hosts squared. In a larger fleet a few decide for
-	// all, and a request costs about a dozen messages at any size.
-	manyHosts = 16
-	// deciders is how many decide. One would see most, but would have to be found anew
-	// in the moment that it dies.
-	deciders = 3
-	// listeners is how many hosts are told of all that is sent and ends, the deciders
-	// first: who comes after them must know as much when it takes a place.
-	listeners = 5
-	// decideWithin is how long a decider may take to answer at least before another is
-	// asked: twenty round trips between zones, a fifth of the tightest target.
-	decideWithin = 60 * time.Millisecond
-	// decideMost is the same at most, where answers take long.
-	decideMost = 200 * time.Millisecond
-	// roundWeight and spreadWeight are the parts of a new sample in the round trip and in
-	// its deviation, and spreads how many of these an answer may be late (as in RFC 6298).
-	roundWeight  = 1.0 / 8
-	spreadWeight = 1.0 / 4
-	spreads      = 4
-	// answerMost is how long after a question its answer is still waited for, to learn
-	// how long answers take.
-	answerMost = 2 * time.Second
-	// doubtFor is how long a decider that did not answer is not asked: about as long as
-	// a death takes to be known.
-	doubtFor = time.Second
+	// maxSelfDeciding is the number of hosts up to which each host decides for itself by
+	// what all hosts send one another: messages grow with the square of the number of
+	// hosts. In a larger fleet a few deciders place requests for all, and a request costs
+	// about a dozen messages at any size.
+	maxSelfDeciding = 16
+	// deciderCount is the number of deciders. A single one would have the most complete
+	// view, but a successor would have to be found at the moment when it fails.
+	deciderCount = 3
+	// listenerCount is the number of hosts that receive all flight updates, the deciders
+	// first. A host that succeeds a decider needs the same view when it takes over.
+	listenerCount = 5
+	// minDecideTimeout is the minimum time that a decider has for its reply before another
+	// is asked: twenty round trips between zones, a fifth of the tightest latency target.
+	minDecideTimeout = 60 * time.Millisecond
+	// maxDecideTimeout is the maximum of that time when replies are slow.
+	maxDecideTimeout = 200 * time.Millisecond
+	// rttWeight and deviationWeight are the weights of a new sample in the smoothed
+	// round-trip time and in its deviation, and deviationFactor is the number of deviations
+	// that a reply may be late by (as in RFC 6298).
+	rttWeight       = 1.0 / 8
+	deviationWeight = 1.0 / 4
+	deviationFactor = 4
+	// maxReplyDelay is how long after a request a late reply is still awaited, to measure
+	// the round-trip time.
+	maxReplyDelay = 2 * time.Second
+	// deciderBackoff is how long a decider that did not reply in time is not asked: about
+	// as long as it takes to detect a failed host.
+	deciderBackoff = time.Second
 )
 
-// deciding is whom a host asks for workers. The zero deciding asks nobody.
-type deciding struct {
-	deciders  []registrar.Record   // empty where each host decides for itself
-	listeners []registrar.Record   // the deciders and those that come after them
-	doubted   map[string]time.Time // until then, by name
-	pending   map[uint64]seeking   // questions under way
-	round     time.Duration        // that an answer takes, smoothed
-	deviation time.Duration        // of round
+// deciderSet is the set of hosts that a host asks for workers, with the requests that
+// are pending there. The zero deciderSet has no deciders: the host decides for itself.
+type deciderSet struct {
+	deciders     []registrar.Record          // empty where each host decides for itself
+	listeners    []registrar.Record          // the deciders and the hosts that succeed them
+	backoffUntil map[string]time.Time        // by name of the decider
+	pending      map[uint64]pendingPlacement // by ID of the request
+	rtt          time.Duration               // smoothed round-trip time of a request to a decider
+	rttDeviation time.Duration               // smoothed deviation of rtt
 }
 
-// seeking is a request that waits for a decider's answer.
-type seeking struct {
-	asked workerAsked
-	by    string
-	at    time.Time
-	late  bool // another was asked since
+// pendingPlacement is a request that waits for a decider's reply.
+type pendingPlacement struct {
+	requested workerRequested
+	decider   string
+	sentAt    time.Time
+	timedOut  bool // another decider was asked since
 }
 
-// seekHeard and soughtHeard are frames of other hosts; seekLate is a question whose
-// answer did not come in time.
+// placementRequested and placementReplied are messages from other hosts;
+// placementTimedOut reports that a reply did not arrive in time.
 type (
-	seekHeard struct {
-		from string
-		seek messenger.PlacementRequest
+	placementRequested struct {
+		from    string
+		request messenger.PlacementRequest
 	}
-	soughtHeard struct {
-		from   string
-		sought messenger.PlacementReply
+	placementReplied struct {
+		from  string
+		reply messenger.PlacementReply
 	}
-	seekLate struct{ id uint64 }
+	placementTimedOut struct{ id uint64 }
 )
 
-// enroll takes the hosts that are there.
-func (d *deciding) enroll(r registrar.Roster) {
+// setRoster derives the deciders and the listeners from a roster.
+func (d *deciderSet) setRoster(r registrar.Roster) {
 	d.deciders, d.listeners = nil, nil
-	if len(r.Hosts()) <= manyHosts {
+	if len(r.Hosts()) <= maxSelfDeciding {
 		return
 	}
-	owners := r.Owners(decidersRole, listeners)
-	d.deciders, d.listeners = owners[:min(deciders, len(owners))], owners
-	for name := range d.doubted {
+	owners := r.Owners(decidersRole, listenerCount)
+	d.deciders, d.listeners = owners[:min(deciderCount, len(owners))], owners
+	for name := range d.backoffUntil {
 		if _, ok := r.Find(name); !ok {
-			delete(d.doubted, name)
+			delete(d.backoffUntil, name)
 		}
 	}
 }
 
-// others is where the hosts listen that are told of all, but for the host itself.
-func (d *deciding) others(self string) []string {
+// otherListeners returns the addresses of the listeners except the host itself.
+func (d *deciderSet) otherListeners(self string) []string {
 	var out []string
 	for _, h := range d.listeners {
 		if h.Name != self {
@@ -104,57 +107,60 @@
 	return out
 }
 
-// decides says whether a host decides by its own view.
-func (d *deciding) decides(name string) bool {
+// decides reports whether a host decides by its own view.
+func (d *deciderSet) decides(name string) bool {
 	return len(d.deciders) == 0 || slices.ContainsFunc(d.deciders, func(h registrar.Record) bool { return h.Name == name })
 }
 
-// within is how long a decider may take to answer. Failure: in a flood a host's own link
-// is what is slow; deciders that answer after the least time would be held for dead, and
-// the host would decide by itself, though it knows next to nothing of what others send.
-func (d *deciding) within() time.Duration {
-	return min(max(d.round+spreads*d.deviation, decideWithin), decideMost)
+// timeout returns how long a decider may take to reply. It follows the measured
+// round-trip time: under heavy load a host's own link is the slow part. With the minimum
+// alone, the host would treat deciders that reply later as failed and decide by itself,
+// although it knows almost nothing of what other hosts send.
+func (d *deciderSet) timeout() time.Duration {
+	return min(max(d.rtt+deviationFactor*d.rttDeviation, minDecideTimeout), maxDecideTimeout)
 }
 
-// answered takes that a decider's answer took so long: late or not, it is alive.
-func (d *deciding) answered(by string, took time.Duration) {
-	delete(d.doubted, by)
-	if d.round == 0 {
-		d.round, d.deviation = took, took/2
+// recordReply records a decider's reply and how long it took. A late reply also shows
+// that the decider is alive.
+func (d *deciderSet) recordReply(decider string, took time.Duration) {
+	delete(d.backoffUntil, decider)
+	if d.rtt == 0 {
+		d.rtt, d.rttDeviation = took, took/2
 		return
 	}
-	off := took - d.round
-	d.deviation += time.Duration(spreadWeight * float64(off.Abs()-d.deviation))
-	d.round += time.Duration(roundWeight * float64(off))
+	off := took - d.rtt
+	d.rttDeviation += time.Duration(deviationWeight * float64(off.Abs()-d.rttDeviation))
+	d.rtt += time.Duration(rttWeight * float64(off))
 }
 
-// sweep forgets questions that nobody answers any more.
-func (d *deciding) sweep(now time.Time) {
+// sweep removes timed-out requests whose late reply is not awaited any longer.
+func (d *deciderSet) sweep(now time.Time) {
 	for id, x := range d.pending {
-		if x.late && now.Sub(x.at) > answerMost {
+		if x.timedOut && now.Sub(x.sentAt) > maxReplyDelay {
 			delete(d.pending, id)
 		}
 	}
 }
 
-// place is which of the deciders a host is, from 0; -1 where it is none.
-func (d *deciding) place(name string) int {
+// index returns the position of a host among the deciders, or -1 if it is none.
+func (d *deciderSet) index(name string) int {
 	return slices.IndexFunc(d.deciders, func(h registrar.Record) bool { return h.Name == name })
 }
 
-// pick is a decider that answers; false where none does.
-func (d *deciding) pick(now time.Time) (registrar.Record, bool) {
+// pick returns a random decider that is not in backoff, or false if there is none.
+func (d *deciderSet) pick(now time.Time) (registrar.Record, bool) {
 	for _, i := range rand.Perm(len(d.deciders)) {
-		if h := d.deciders[i]; !now.Before(d.doubted[h.Name]) {
+		if h := d.deciders[i]; !now.Before(d.backoffUntil[h.Name]) {
 			return h, true
 		}
 	}
 	return registrar.Record{}, false
 }
 
-// seek asks a decider for a worker; false where this host is to decide itself.
-func (p *choosing) seek(now time.Time, e workerAsked) bool {
-	d := &p.deciding
+// askDecider asks a decider for a worker. It returns false if this host has to decide
+// itself.
+func (p *selector) askDecider(now time.Time, e workerRequested) bool {
+	d := &p.deciderSet
 	self, known := p.roster.Find(p.self)
 	if d.decides(p.self) || !known {
 		return false
@@ -164,119 +170,120 @@
 		return false
 	}
 	id := rand.Uint64()
-	if err := p.sender.Send(decider.Control, seekOf(id, self, e.ask)); err != nil {
+	if err := p.sender.Send(decider.Control, encodeRequest(id, self, e.request)); err != nil {
 		p.log.Debug("seek", zap.String("decider", decider.Name), zap.Error(err))
 		return false
 	}
 	if d.pending == nil {
-		d.pending, d.doubted = map[uint64]seeking{}, map[string]time.Time{}
+		d.pending, d.backoffUntil = map[uint64]pendingPlacement{}, map[string]time.Time{}
 	}
-	d.pending[id] = seeking{asked: e, by: decider.Name, at: now}
-	time.AfterFunc(d.within(), func() { p.post(seekLate{id: id}) })
+	d.pending[id] = pendingPlacement{requested: e, decider: decider.Name, sentAt: now}
+	time.AfterFunc(d.timeout(), func() { p.post(placementTimedOut{id: id}) })
 	return true
 }
 
-// late takes that a decider did not answer in time: another is asked, and where none
-// is left this host decides by what it knows.
-func (p *choosing) late(now time.Time, e seekLate) {
-	x, ok := p.deciding.pending[e.id]
+// handleTimeout handles a decider that did not reply in time: another is asked, and if
+// none is left this host decides by its own view.
+func (p *selector) handleTimeout(now time.Time, e placementTimedOut) {
+	x, ok := p.deciderSet.pending[e.id]
 	if !ok {
 		return
 	}
-	x.late = true
-	p.deciding.pending[e.id] = x
-	if !now.Before(p.deciding.doubted[x.by]) {
-		p.log.Warn("decider silent", zap.String("peer", x.by), zap.Duration("waited", now.Sub(x.at)), zap.Duration("usual", p.deciding.round))
+	x.timedOut = true
+	p.deciderSet.pending[e.id] = x
+	if !now.Before(p.deciderSet.backoffUntil[x.decider]) {
+		p.log.Warn("decider silent", zap.String("peer", x.decider), zap.Duration("waited", now.Sub(x.sentAt)), zap.Duration("usual", p.deciderSet.rtt))
 	}
-	p.deciding.doubted[x.by] = now.Add(doubtFor)
-	if !p.seek(now, x.asked) {
-		x.asked.reply <- p.decide(now, x.asked.ask)
+	p.deciderSet.backoffUntil[x.decider] = now.Add(deciderBackoff)
+	if !p.askDecider(now, x.requested) {
+		x.requested.reply <- p.decide(now, x.requested.request)
 	}
 }
 
-// answerSeek decides for another host.
-func (p *choosing) answerSeek(now time.Time, e seekHeard) {
-	s := e.seek
-	answer := messenger.PlacementReply{ID: s.ID}
-	choice, refusal := p.view.PlaceFor(now, e.from, rand.Uint64(), askOf(s))
+// decideFor decides for another host.
+func (p *selector) decideFor(now time.Time, e placementRequested) {
+	s := e.request
+	reply := messenger.PlacementReply{ID: s.ID}
+	choice, refusal := p.view.PlaceFor(now, e.from, rand.Uint64(), decodeRequest(s))
 	if refusal != nil {
-		answer.Why, answer.After, answer.Basis = refusal.Reason, refusal.RetryAfter, basisTo(choice.Basis)
-		p.tellWithin(now, p.within(restWithin, restToDeciders))
+		reply.Why, reply.After, reply.Basis = refusal.Reason, refusal.RetryAfter, encodeBasis(choice.Basis)
+		p.scheduleUpdate(now, p.delayFor(updateDelay, updateDelayToListeners))
 	} else {
-		answer.Flight, answer.Worker, answer.Wait = choice.Flight.ID, choice.Worker.Name, choice.Wait
-		answer.Pause, answer.Read, answer.Source, answer.Filling = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
-		answer.Limit = p.view.RateLimit(choice.Worker.Name)
-		p.tellSent(now, e.from, choice.Flight)
+		reply.Flight, reply.Worker, reply.Wait = choice.Flight.ID, choice.Worker.Name, choice.Wait
+		reply.Pause, reply.Read, reply.Source, reply.Filling = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
+		reply.Limit = p.view.RateLimit(choice.Worker.Name)
+		p.addSent(now, e.from, choice.Flight)
 	}
-	if err := p.sender.Send(s.Reply, answer); err != nil {
+	if err := p.sender.Send(s.Reply, reply); err != nil {
 		p.log.Debug("sought", zap.String("peer", e.from), zap.Error(err))
 	}
 }
 
-// hearSought takes a decider's answer. One that comes too late is given back.
-func (p *choosing) hearSought(now time.Time, e soughtHeard) {
-	s := e.sought
-	x, known := p.deciding.pending[s.ID]
-	delete(p.deciding.pending, s.ID)
+// handleReply handles a decider's reply. A place that arrives too late is given back.
+func (p *selector) handleReply(now time.Time, e placementReplied) {
+	s := e.reply
+	x, known := p.deciderSet.pending[s.ID]
+	delete(p.deciderSet.pending, s.ID)
 	if known {
-		p.deciding.answered(x.by, now.Sub(x.at))
+		p.deciderSet.recordReply(x.decider, now.Sub(x.sentAt))
 	}
-	waiting := known && !x.late
-	w, there := p.view.Worker(s.Worker)
+	waiting := known && !x.timedOut
+	w, available := p.view.Worker(s.Worker)
 	switch {
 	case s.Flight == 0 && waiting:
-		x.asked.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Why, RetryAfter: s.After}, basisOf(s.Basis))
+		x.requested.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Why, RetryAfter: s.After}, decodeBasis(s.Basis))
 	case s.Flight == 0:
-	case waiting && there:
-		x.asked.reply <- workerReply{place: router.Placement{
-			ID: s.Flight, Service: x.asked.ask.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Pause, Source: s.Source, PromptTokens: s.Read, HalfFull: s.Filling, ListAge: now.Sub(p.listed), PlacedBy: e.from, RateLimit: s.Limit,
+	case waiting && available:
+		x.requested.reply <- workerReply{placement: router.Placement{
+			ID: s.Flight, Service: x.requested.request.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Pause, Source: s.Source, PromptTokens: s.Read, HalfFull: s.Filling, ListAge: now.Sub(p.updatedAt), PlacedBy: e.from, RateLimit: s.Limit,
 		}}
 	default:
-		p.tellEnded(now, sendEnded{id: s.Flight, outcome: placer.Canceled})
+		p.addEnded(now, flightEnded{id: s.Flight, outcome: placer.Canceled})
 		if waiting {
-			x.asked.reply <- p.decide(now, x.asked.ask)
+			x.requested.reply <- p.decide(now, x.requested.request)
 		}
 	}
 }
 
-// refusedBy is the reply to a request that a view refused. Callers that were refused
-// together must not come back together.
+// refusedBy returns the reply to a request that a view refused. The retry time is
+// jittered, so that callers refused together don't return together.
 func refusedBy(host string, r placer.Refusal, b placer.Basis) workerReply {
 	return workerReply{refused: &router.Refused{Reason: r.Reason, After: retrier.Jitter(r.RetryAfter, rand.Float64()), RefusedBy: host, Basis: b}}
 }
 
-// basisOf is what another host refused a request by; one of an older version does not say.
-func basisOf(b *messenger.Basis) placer.Basis {
+// decodeBasis returns the figures on which another host refused a request. Hosts of an
+// older version don't send them.
+func decodeBasis(b *messenger.Basis) placer.Basis {
 	if b == nil {
 		return placer.Basis{}
 	}
 	return placer.Basis(*b)
 }
 
-func basisTo(b placer.Basis) *messenger.Basis {
+func encodeBasis(b placer.Basis) *messenger.Basis {
 	m := messenger.Basis(b)
 	return &m
 }
 
-func seekOf(id uint64, self registrar.Record, a placer.Request) messenger.PlacementRequest {
+func encodeRequest(id uint64, self registrar.Record, a placer.Request) messenger.PlacementRequest {
 	s := messenger.PlacementRequest{
 		ID: id, Reply: self.Control, Zone: self.Zone, Service: a.Service, Prompt: a.Prompt, Output: a.Output, Rank: a.Rank,
 		Left: a.Left, Patience: a.FirstEventTimeout, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
 		Fingerprint: uint64(a.Fingerprint),
 	}
-	s.Keys, s.Tokens = keysOf(a.Parts)
+	s.Keys, s.Tokens = splitParts(a.Parts)
 	return s
 }
 
-func askOf(s messenger.PlacementRequest) placer.Request {
+func decodeRequest(s messenger.PlacementRequest) placer.Request {
 	return placer.Request{
-		Service: s.Service, Zone: s.Zone, Parts: partsOf(s.Keys, s.Tokens), Prompt: s.Prompt, Output: s.Output, Rank: s.Rank,
+		Service: s.Service, Zone: s.Zone, Parts: joinParts(s.Keys, s.Tokens), Prompt: s.Prompt, Output: s.Output, Rank: s.Rank,
 		Left: s.Left, FirstEventTimeout: s.Patience, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
 
-func keysOf(parts []placer.Part) (keys []uint64, tokens []int) {
+func splitParts(parts []placer.Part) (keys []uint64, tokens []int) {
 	for _, part := range parts {
 		keys = append(keys, part.Key)
 		tokens = append(tokens, part.Tokens)
@@ -284,7 +291,7 @@
 	return keys, tokens
 }
 
-func partsOf(keys []uint64, tokens []int) []placer.Part {
+func joinParts(keys []uint64, tokens []int) []placer.Part {
 	var out []placer.Part
 	for i := range min(len(keys), len(tokens)) {
 		out = append(out, placer.Part{Key: keys[i], Tokens: tokens[i]})
@@ -292,6 +299,6 @@
 	return out
 }
 
-func (seekHeard) event()   {}
-func (soughtHeard) event() {}
-func (seekLate) event()    {}
+func (placementRequested) event() {}
+func (placementReplied) event()   {}
+func (placementTimedOut) event()  {}
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -14,13 +14,13 @@
 	"github.com/cicadawood/cicadawood/runner"
 )
 
-// sent is one message on its way.
+// sent is a message that a host sent.
 type sent struct {
 	to string
 	m  messenger.Message
 }
 
-var _ = Describe("A host of a fleet in which a few decide", func() {
+var _ = Describe("A host of a fleet with deciders", func() {
 	const hosts = 20
 	var (
 		now     time.Time
@@ -30,12 +30,12 @@
 		quote   = placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
 		workers = []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}, {Name: "d-2", Service: "desk", Zone: "z", Slots: 8}}
 	)
-	choosing := func(name string, r registrar.Roster) runner.Choosing {
+	newHost := func(name string, r registrar.Roster) runner.Choosing {
 		c := runner.NewChoosing(name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
 		c.Enroll(now, r)
 		return c
 	}
-	seek := func() (sent, messenger.PlacementRequest) {
+	lastRequest := func() (sent, messenger.PlacementRequest) {
 		Expect(out).NotTo(BeEmpty())
 		last := out[len(out)-1]
 		return last, last.m.(messenger.PlacementRequest)
@@ -53,99 +53,99 @@
 		}
 	})
 
-	It("asks one that decides, and takes its answer", func() {
-		c := choosing(names[10], roster)
+	It("asks a decider and uses its reply", func() {
+		c := newHost(names[10], roster)
 		got := c.Ask(now, quote)
-		to, s := seek()
+		to, s := lastRequest()
 		Expect(names[:3]).To(ContainElement(to.to))
 		Expect(got).NotTo(Receive())
 		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 		got = c.Ask(now, quote)
-		to, s = seek()
+		to, s = lastRequest()
 		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Why: "overload", After: time.Second})
 		Eventually(got).Should(Receive(Equal("refused overload")))
 	})
 
-	It("decides for itself in a small fleet, and where it is one of the few", func() {
+	It("decides for itself in a small fleet, and if it is a decider", func() {
 		small := registrar.NewRoster(roster.Hosts()[:16]...)
-		Eventually(choosing("h-03", small).Ask(now, quote)).Should(Receive(HaveSuffix(" by ")))
-		Eventually(choosing(names[1], roster).Ask(now, quote)).Should(Receive(HaveSuffix(" by ")))
+		Eventually(newHost("h-03", small).Ask(now, quote)).Should(Receive(HaveSuffix(" by ")))
+		Eventually(newHost(names[1], roster).Ask(now, quote)).Should(Receive(HaveSuffix(" by ")))
 	})
 
-	// A decider is killed. Until its death is known, each request that asked it would
-	// wait for nothing.
-	It("asks another where one is silent, and at last decides by what it knows", func() {
-		c := choosing(names[10], roster)
+	// A decider was killed and its failure is not detected yet: each request that asks it
+	// would wait in vain.
+	It("asks another decider if one does not reply, and finally decides by its own view", func() {
+		c := newHost(names[10], roster)
 		got := c.Ask(now, quote)
 		asked := map[string]bool{}
 		for range 3 {
-			to, s := seek()
+			to, s := lastRequest()
 			asked[to.to] = true
 			c.Silent(now, s.ID)
 		}
 		Expect(asked).To(HaveLen(3))
 		Eventually(got).Should(Receive(HaveSuffix(" by ")))
 		before := len(out)
-		Eventually(c.Ask(now, quote)).Should(Receive(HaveSuffix(" by ")), "none is asked again at once")
+		Eventually(c.Ask(now, quote)).Should(Receive(HaveSuffix(" by ")), "no decider is asked again immediately")
 		Expect(out).To(HaveLen(before))
 		c.Ask(now.Add(2*time.Second), quote)
-		Expect(len(out)).To(BeNumerically(">", before), "but after a while")
+		Expect(len(out)).To(BeNumerically(">", before), "but after the backoff")
 	})
 
-	// Guards against a host whose own link is slow deciding by itself, blind, as if the deciders
-	// were dead.
-	It("asks a decider again whose answer came late, and waits for it longer", func() {
-		c := choosing(names[10], roster)
+	// Guards against a host with a slow link that treats its deciders as failed, and decides
+	// by itself without knowing what others send.
+	It("asks a decider again whose reply was late, with a longer timeout", func() {
+		c := newHost(names[10], roster)
 		c.Ask(now, quote)
 		late := map[string]uint64{}
 		for range 3 {
-			to, s := seek()
+			to, s := lastRequest()
 			late[to.to] = s.ID
 			c.Silent(now, s.ID)
 		}
-		least := c.Patience()
+		minTimeout := c.Patience()
 		for name, id := range late {
 			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Why: "slots", After: time.Second})
 		}
-		Expect(c.Patience()).To(And(BeNumerically(">", least), BeNumerically("<=", 200*time.Millisecond)))
+		Expect(c.Patience()).To(And(BeNumerically(">", minTimeout), BeNumerically("<=", 200*time.Millisecond)))
 		before := len(out)
 		got := c.Ask(now.Add(100*time.Millisecond), quote)
 		Expect(out).To(HaveLen(before + 1))
-		to, s := seek()
+		to, s := lastRequest()
 		c.Hear(now.Add(103*time.Millisecond), to.to, messenger.PlacementReply{ID: s.ID, Flight: 9, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 	})
 
-	// The answer comes after its request went elsewhere. The place is taken at every
-	// listener, and would be for as long as the request could have lasted.
-	It("gives back a place that comes too late", func() {
-		c := choosing(names[10], roster)
+	// A reply arrives after its request was placed elsewhere. All listeners count its place
+	// as taken, and would do so for as long as the request could have lasted.
+	It("gives back a place that arrives too late", func() {
+		c := newHost(names[10], roster)
 		c.Ask(now, quote)
-		to, s := seek()
+		to, s := lastRequest()
 		c.Silent(now, s.ID)
 		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		out = nil
 		c.Tell()
-		Expect(out).To(HaveLen(5), "the deciders and two that come after them")
+		Expect(out).To(HaveLen(5), "the deciders and the two hosts next in order")
 		for _, x := range out {
 			Expect(names[:5]).To(ContainElement(x.to))
 			Expect(x.m.(messenger.FlightUpdate).Ended).To(Equal([]messenger.FlightEnd{{ID: 7, Outcome: int(placer.Canceled)}}))
 		}
 	})
 
-	// A host is killed with requests under way. Its workers drop them; who decides must
-	// not count them any longer.
-	It("counts requests under the host that sends them, until it is gone", func() {
-		c := choosing(names[0], roster)
+	// A host is killed with requests under way. The workers drop them, so the deciders must
+	// stop counting them.
+	It("counts the requests of a host until that host is gone", func() {
+		c := newHost(names[0], roster)
 		for id := range uint64(4) {
 			c.Hear(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
 		}
 		c.Tell()
-		shared := out[len(out)-1].m.(messenger.FlightUpdate)
-		Expect(shared.Sent).To(HaveLen(4))
-		other := choosing(names[1], roster)
-		other.Hear(now, names[0], shared)
+		update := out[len(out)-1].m.(messenger.FlightUpdate)
+		Expect(update.Sent).To(HaveLen(4))
+		other := newHost(names[1], roster)
+		other.Hear(now, names[0], update)
 		for _, x := range []runner.Choosing{c, other} {
 			Expect(x.Flights(now, "d-1") + x.Flights(now, "d-2")).To(Equal(4))
 			var rest []registrar.Record
@@ -159,13 +159,14 @@
 		}
 	})
 
-	// Short requests come faster than it is told that they ended: sixteen in the time that
-	// an end waits to be told with others. All slots seem taken, and the next caller is
-	// refused before two idle workers. The end of what fills a worker is told at once.
-	It("tells at once of the end of what was sent to a worker that fills", func() {
-		const soon = 5 * time.Millisecond
-		small := choosing("h-03", registrar.NewRoster(roster.Hosts()[:16]...))
-		decider := choosing(names[0], roster)
+	// Guards against idle workers that seem full: short requests arrive faster than their
+	// ends are reported, sixteen within the usual delay of an update, and the next caller
+	// is refused although two workers are idle. So the end of a request to a worker that is
+	// at least half full is reported without that delay.
+	It("reports the end of a request immediately if its worker was half full", func() {
+		const shortDelay = 5 * time.Millisecond
+		small := newHost("h-03", registrar.NewRoster(roster.Hosts()[:16]...))
+		decider := newHost(names[0], roster)
 		for _, c := range []runner.Choosing{small, decider} {
 			var places []router.Placement
 			for range 8 { // half the slots of both
@@ -175,26 +176,26 @@
 			}
 			c.Tell()
 			c.End(now, places[0])
-			Expect(c.Due(now)).To(BeNumerically(">", soon), "the worker had room")
+			Expect(c.Due(now)).To(BeNumerically(">", shortDelay), "the worker had room")
 			c.End(now, places[7])
-			Expect(c.Due(now)).To(BeNumerically("<", soon))
+			Expect(c.Due(now)).To(BeNumerically("<", shortDelay))
 		}
-		// What another host sends, the decider tells it of.
+		// The decider reports to the host that asked that the worker is half full.
 		decider.Hear(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
 		Expect(out[len(out)-1].m.(messenger.PlacementReply).Filling).To(BeTrue())
 	})
 
-	// What a caller said is lost between the host that it reached and the one that decides:
-	// it is judged as if it had said nothing.
-	It("hands on all that a request says", func() {
-		c := choosing(names[10], roster)
+	// Guards against parts of a request that are lost on the way to the decider, which would
+	// then decide without them.
+	It("passes on every field of a request", func() {
+		c := newHost(names[10], roster)
 		ask := placer.Request{
 			Service: "desk", Zone: "z", Parts: []placer.Part{{Key: 1, Tokens: 20}, {Key: 2, Tokens: 30}}, Prompt: 60, Output: 70, Expected: 65,
 			Rank: 4, Tier: 2, Left: time.Second, FirstEventTimeout: 900 * time.Millisecond, Target: 300 * time.Millisecond, Gap: 200 * time.Millisecond,
 			Exclude: []string{"d-1"},
 		}
 		c.Ask(now, ask)
-		_, s := seek()
+		_, s := lastRequest()
 		Expect(runner.AskOf(s)).To(Equal(ask))
 	})
 })
--- a/runner/dispatching.go
+++ b/runner/dispatching.go
@@ -6,18 +6,18 @@
 	"github.com/cicadawood/cicadawood/dispatcher"
 )
 
-// dispatching collects the metrics of this host's dispatchers from the state
-// dump when they are asked for: nothing is counted twice, and a host without
-// scrapes pays nothing. Its labels are classes, never cells or organisations.
-// The counts begin anew where a cell moves, as counters of a restarted process do.
-type dispatching struct {
+// dispatchMetrics collects the metrics of this host's dispatchers from the state dump when
+// they are scraped: nothing is counted twice, and a host that is not scraped has no cost.
+// The labels are classes, never cells or organisations. The counts restart at zero when a
+// cell moves to another host, like the counters of a restarted process.
+type dispatchMetrics struct {
 	state func() State
 }
 
 var (
 	waitingDesc = prometheus.NewDesc("cicadawood_dispatch_waiting", "Requests that wait for a place in this host's cells.", []string{"class"}, nil)
 	heldDesc    = prometheus.NewDesc("cicadawood_dispatch_held", "Places in use in this host's cells.", []string{"class"}, nil)
-	outDesc     = prometheus.NewDesc("cicadawood_dispatch_workers_out", "Workers that the breaker keeps out of this host's cells.", nil, nil)
+	ejectedDesc = prometheus.NewDesc("cicadawood_dispatch_workers_out", "Workers that the breaker keeps out of this host's cells.", nil, nil)
 	grantedDesc = prometheus.NewDesc("cicadawood_dispatch_granted_total", "Places granted.", []string{"class"}, nil)
 	refusedDesc = prometheus.NewDesc("cicadawood_dispatch_refused_total", "Requests refused.", []string{"class"}, nil)
 	preemptDesc = prometheus.NewDesc("cicadawood_dispatch_preempted_total", "Places taken back for a more urgent class.", []string{"class"}, nil)
@@ -25,20 +25,20 @@
 )
 
 // Describe implements prometheus.Collector.
-func (d dispatching) Describe(out chan<- *prometheus.Desc) {
-	for _, desc := range []*prometheus.Desc{waitingDesc, heldDesc, outDesc, grantedDesc, refusedDesc, preemptDesc, reclaimDesc} {
+func (d dispatchMetrics) Describe(out chan<- *prometheus.Desc) {
+	for _, desc := range []*prometheus.Desc{waitingDesc, heldDesc, ejectedDesc, grantedDesc, refusedDesc, preemptDesc, reclaimDesc} {
 		out <- desc
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (d dispatching) Collect(out chan<- prometheus.Metric) {
+func (d dispatchMetrics) Collect(out chan<- prometheus.Metric) {
 	cells := d.state().Cells
-	away := 0
+	ejected := 0
 	for _, c := range cells {
-		away += len(c.Out)
+		ejected += len(c.Out)
 	}
-	out <- prometheus.MustNewConstMetric(outDesc, prometheus.GaugeValue, float64(away))
+	out <- prometheus.MustNewConstMetric(ejectedDesc, prometheus.GaugeValue, float64(ejected))
 	for class, c := range byClass(cells) {
 		gauge := func(desc *prometheus.Desc, v int) {
 			out <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, float64(v), class)
@@ -55,7 +55,7 @@
 	}
 }
 
-// byClass adds up the classes of all cells.
+// byClass sums the states of all cells by class.
 func byClass(cells []dispatcher.State) map[string]dispatcher.ClassState {
 	out := map[string]dispatcher.ClassState{}
 	for _, cell := range cells {
--- a/runner/due.go
+++ b/runner/due.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// next is when the next tick is due: nothing is looked after before something
-// hangs on it, as a host that looks fifty times a second whether there is
-// anything to do spends most of its control's processor time on that.
-func (c *control) next() time.Time {
-	next := earlier(c.due, c.limiting.next)
+// nextTick returns when the next tick is due. The control goroutine sleeps until then: at
+// fifty checks a second, a host would spend most of its control's processor time on
+// finding nothing to do.
+func (c *control) nextTick() time.Time {
+	next := earlier(c.due, c.limiting.nextCheck)
 	if len(c.calls) > 0 {
 		next = earlier(next, c.again)
 	}
 	if c.quarantine != nil {
-		next = earlier(next, c.quarantine.due)
+		next = earlier(next, c.quarantine.sweepDue)
 	}
 	if c.keeping != nil {
 		next = earlier(next, c.keeping.due)
@@ -19,7 +19,7 @@
 	return next
 }
 
-// earlier is the first of two times, of which a zero one is never.
+// earlier returns the first of two times. Zero means never.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -27,17 +27,17 @@
 	return a
 }
 
-// awaits notes when a dispatcher is due.
-func (c *control) awaits(d due) {
+// schedule makes sure that the next tick is not after the time when d is due.
+func (c *control) schedule(d scheduled) {
 	if at, ok := d.Next(); ok {
 		c.due = earlier(c.due, at)
 	}
 }
 
-// due is what says when it is next due.
-type due interface{ Next() (time.Time, bool) }
+// scheduled is something that has a time when it is next due.
+type scheduled interface{ Next() (time.Time, bool) }
 
-// tickDispatchers lets time pass for the dispatchers that are due.
+// tickDispatchers runs the dispatchers that are due.
 func (c *control) tickDispatchers(now time.Time) {
 	if c.due.IsZero() || now.Before(c.due) {
 		return
@@ -48,6 +48,6 @@
 			out := d.Tick(now)
 			c.emit(now, out)
 		}
-		c.awaits(d)
+		c.schedule(d)
 	}
 }
--- a/runner/entries.go
+++ b/runner/entries.go
@@ -13,87 +13,89 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// entriesList is the list of the workers' entries, as far as hosts share the watching.
-const entriesList = "watch/workers"
+// workersList names the list of the workers' entries among the lists that hosts watch
+// for each other.
+const workersList = "watch/workers"
 
-// nextAsked asks whether the host is to call the store.
-type nextAsked struct{ reply chan<- callNext }
+// storeCallRequested asks whether the host is to call the store next.
+type storeCallRequested struct{ reply chan<- storeCall }
 
-// wordHeard is another host's word of the workers' entries.
-type wordHeard struct {
-	from string
-	word messenger.ListUpdate
+// listUpdateReceived is another host's update of the workers' entries.
+type listUpdateReceived struct {
+	from   string
+	update messenger.ListUpdate
 }
 
-// entriesHeard is another host's word of all entries.
-type entriesHeard struct {
-	from    string
-	entries messenger.ListSnapshot
+// listSnapshotReceived is another host's full list of the workers' entries.
+type listSnapshotReceived struct {
+	from     string
+	snapshot messenger.ListSnapshot
 }
 
-// next implements listing's question of when to call.
-func (p *choosing) next(ctx context.Context) callNext {
-	return askChoosing(ctx, p, func(reply chan<- callNext) event { return nextAsked{reply: reply} })
+// nextCall implements storeWatch.nextCall.
+func (p *selector) nextCall(ctx context.Context) storeCall {
+	return askSelector(ctx, p, func(reply chan<- storeCall) event { return storeCallRequested{reply: reply} })
 }
 
-// takeTurn notes whether this host is to watch the store, and logs a change of that.
-func (p *choosing) takeTurn(now time.Time, why string) {
-	call := p.callNext(now).call
-	if p.calls.Swap(call) == call {
+// updateWatching records whether this host has to watch the store, and logs a change.
+func (p *selector) updateWatching(now time.Time, why string) {
+	call := p.planCall(now).call
+	if p.watchesStore.Swap(call) == call {
 		return
 	}
 	p.log.Info("watching the store", zap.Bool("self", call), zap.Bool("for_all", p.relay.Watching()), zap.String("why", why),
-		zap.Duration("age", now.Sub(p.listed)))
+		zap.Duration("age", now.Sub(p.updatedAt)))
 }
 
-// callNext is the relay's answer to next.
-func (p *choosing) callNext(now time.Time) callNext {
+// planCall returns the next call of the store that the relay requires.
+func (p *selector) planCall(now time.Time) storeCall {
 	after, call, behind := p.relay.Next(now)
-	n := callNext{after: after, call: call, wait: relayer.WatchTimeout, forAll: p.relay.Watching()}
+	n := storeCall{after: after, call: call, wait: relayer.WatchTimeout, forAll: p.relay.Watching()}
 	if behind {
-		n.wait = catchWait
+		n.wait = catchUpWait
 	}
 	return n
 }
 
-// see takes what the platform's store told of the workers' entries.
-func (p *choosing) see(now time.Time, e entriesSeen) {
+// handleStoreResult applies the result of a call to the platform's store.
+func (p *selector) handleStoreResult(now time.Time, e storeResult) {
 	switch {
 	case e.failed:
 		p.relay.Failed()
-		p.beat(now)
-		// While the watchers speak, the store is there, if not for this host.
+		p.sendHeartbeat(now)
+		// While a watcher sends heartbeats, the store is available, though not to this host.
 		if !p.relay.HasWatcher(now) {
 			p.directory.Failed()
 		}
-	case e.whole:
-		p.list(now, e.word)
+	case e.full:
+		p.applyStoreList(now, e.update)
 	default:
-		p.change(now, p.relay.Watched(now, e.word))
-		if p.relay.Watching() && e.word.Upto > e.word.After {
-			p.spread(e.word)
+		p.applyChanges(now, p.relay.Watched(now, e.update))
+		if p.relay.Watching() && e.update.Upto > e.update.After {
+			p.broadcastChanges(e.update)
 		}
 	}
 }
 
-// list takes all entries, as this host's own call brought them.
-func (p *choosing) list(now time.Time, w relayer.Update) {
-	restored := p.known.Load() && w.Upto.Era() > p.relay.Era()
+// applyStoreList applies a full list that this host read from the store.
+func (p *selector) applyStoreList(now time.Time, w relayer.Update) {
+	restored := p.loaded.Load() && w.Upto.Era() > p.relay.Era()
 	if !p.relay.Listed(now, w.Upto, w.Changed) {
-		p.log.Info("list of an earlier era left out", zap.Stringer("version", w.Upto), zap.Uint64("era", p.relay.Era()))
+		p.log.Info("list of an earlier era ignored", zap.Stringer("version", w.Upto), zap.Uint64("era", p.relay.Era()))
 		return
 	}
-	p.takeList(now, w.Changed, restored)
-	p.known.Store(true)
+	p.applyList(now, w.Changed, restored)
+	p.loaded.Store(true)
 	if restored && p.relay.Watching() {
-		p.toOthers(messenger.ListSnapshot{Upto: uint64(w.Upto), All: changesOf(w.Changed)})
+		p.broadcast(messenger.ListSnapshot{Upto: uint64(w.Upto), All: encodeChanges(w.Changed)})
 	}
 }
 
-// takeList takes all entries; restored says that they are of a later era than those before.
-func (p *choosing) takeList(now time.Time, objects []storer.Object, restored bool) {
-	p.listed = now
-	entries := p.decode(objects).changed
+// applyList applies a full list of entries. restored is set if the list is of a later era
+// than the previous one.
+func (p *selector) applyList(now time.Time, objects []storer.Object, restored bool) {
+	p.updatedAt = now
+	entries := p.decodeWorkers(objects).changed
 	if restored {
 		p.directory.Restored(now, entries)
 	} else {
@@ -102,38 +104,38 @@
 	p.setWorkers(now)
 }
 
-// hearEntries takes all entries, as another host had them of the store.
-func (p *choosing) hearEntries(now time.Time, e entriesHeard) {
-	upto := storer.Version(e.entries.Upto)
+// receiveSnapshot applies a full list that another host read from the store.
+func (p *selector) receiveSnapshot(now time.Time, e listSnapshotReceived) {
+	upto := storer.Version(e.snapshot.Upto)
 	restored := upto.Era() > p.relay.Era()
-	objects := objectsOf(e.entries.All)
+	objects := decodeChanges(e.snapshot.All)
 	if !p.relay.ReceivedList(now, e.from, upto, objects) {
 		return
 	}
 	p.log.Info("workers told after the store came back", zap.String("from", e.from), zap.Stringer("version", upto), zap.Int("entries", len(objects)))
-	if p.reach != nil {
-		p.reach(upto.Era(), e.from)
+	if p.onEra != nil {
+		p.onEra(upto.Era(), e.from)
 	}
-	p.takeList(now, objects, restored)
+	p.applyList(now, objects, restored)
 }
 
-// hearWord takes another host's word of the entries.
-func (p *choosing) hearWord(now time.Time, e wordHeard) {
-	if e.word.StoreDown {
+// receiveListUpdate applies another host's update of the entries.
+func (p *selector) receiveListUpdate(now time.Time, e listUpdateReceived) {
+	if e.update.StoreDown {
 		p.relay.WatcherLost(e.from)
-		p.takeTurn(now, "watcher blind")
+		p.updateWatching(now, "watcher blind")
 		return
 	}
-	w := relayer.Update{After: storer.Version(e.word.After), Upto: storer.Version(e.word.Upto), Changed: objectsOf(e.word.Changed)}
-	if fresh, whole := p.relay.Received(now, e.from, w); whole {
-		p.change(now, fresh)
+	w := relayer.Update{After: storer.Version(e.update.After), Upto: storer.Version(e.update.Upto), Changed: decodeChanges(e.update.Changed)}
+	if changes, complete := p.relay.Received(now, e.from, w); complete {
+		p.applyChanges(now, changes)
 	}
 }
 
-// change takes changed entries, those new to this host only.
-func (p *choosing) change(now time.Time, objects []storer.Object) {
-	p.listed = now
-	d := p.decode(objects)
+// applyChanges applies changed entries, only those that are new to this host.
+func (p *selector) applyChanges(now time.Time, objects []storer.Object) {
+	p.updatedAt = now
+	d := p.decodeWorkers(objects)
 	for _, x := range d.changed {
 		p.directory.Changed(now, x)
 	}
@@ -145,13 +147,13 @@
 	}
 }
 
-// spread tells all other hosts a word.
-func (p *choosing) spread(w relayer.Update) {
-	p.toOthers(messenger.ListUpdate{After: uint64(w.After), Upto: uint64(w.Upto), Changed: changesOf(w.Changed)})
+// broadcastChanges sends changed entries to all other hosts.
+func (p *selector) broadcastChanges(w relayer.Update) {
+	p.broadcast(messenger.ListUpdate{After: uint64(w.After), Upto: uint64(w.Upto), Changed: encodeChanges(w.Changed)})
 }
 
-// changesOf is objects of the store as hosts tell them to each other.
-func changesOf(objects []storer.Object) []messenger.Change {
+// encodeChanges converts objects of the store for a message.
+func encodeChanges(objects []storer.Object) []messenger.Change {
 	var out []messenger.Change
 	for _, o := range objects {
 		out = append(out, messenger.Change{Key: o.Key, Value: o.Value, Version: uint64(o.Version), Deleted: o.Deleted})
@@ -159,8 +161,8 @@
 	return out
 }
 
-// objectsOf is what changesOf was made of.
-func objectsOf(changes []messenger.Change) []storer.Object {
+// decodeChanges reverses encodeChanges.
+func decodeChanges(changes []messenger.Change) []storer.Object {
 	var out []storer.Object
 	for _, c := range changes {
 		out = append(out, storer.Object{Key: c.Key, Value: c.Value, Version: storer.Version(c.Version), Deleted: c.Deleted})
@@ -168,30 +170,30 @@
 	return out
 }
 
-// beat tells the others that this host, if it watches for them, is up to date, and
-// at once when it is so no more.
-func (p *choosing) beat(now time.Time) {
+// sendHeartbeat announces to the other hosts that this host, if it watches the store for
+// them, is up to date, and immediately when that is no longer so.
+func (p *selector) sendHeartbeat(now time.Time) {
 	w, ok := p.relay.Heartbeat(now)
 	switch {
-	case ok && now.Sub(p.beaten) >= relayer.HeartbeatInterval:
-		p.beaten, p.watching = now, true
-		p.spread(w)
-	case !ok && p.watching:
-		p.watching = false
-		p.toOthers(messenger.ListUpdate{StoreDown: true})
+	case ok && now.Sub(p.lastHeartbeat) >= relayer.HeartbeatInterval:
+		p.lastHeartbeat, p.announced = now, true
+		p.broadcastChanges(w)
+	case !ok && p.announced:
+		p.announced = false
+		p.broadcast(messenger.ListUpdate{StoreDown: true})
 	}
 }
 
-// decoded is entries of the store, read.
-type decoded struct {
+// workerChanges is the decoded form of changed entries.
+type workerChanges struct {
 	changed []observer.Entry
 	removed []string // names
 }
 
-// decode takes the entries of a call, the last word on each worker. One that can't
-// be read names no worker; the others hold.
-func (p *choosing) decode(objects []storer.Object) decoded {
-	var d decoded
+// decodeWorkers decodes the entries of a call, the last one of each worker. A worker
+// whose entry can't be decoded counts as removed; all other entries apply.
+func (p *selector) decodeWorkers(objects []storer.Object) workerChanges {
+	var d workerChanges
 	last := map[string]int{}
 	for i, o := range objects {
 		last[o.Key] = i
@@ -214,7 +216,7 @@
 	return d
 }
 
-func (nextAsked) event()    {}
-func (wordHeard) event()    {}
-func (entriesHeard) event() {}
-func (entriesSeen) event()  {}
+func (storeCallRequested) event()   {}
+func (listUpdateReceived) event()   {}
+func (listSnapshotReceived) event() {}
+func (storeResult) event()          {}
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -117,7 +117,7 @@
 }
 
 // Next is when the next tick is due.
-func (k Control) Next() time.Time { return k.c.next() }
+func (k Control) Next() time.Time { return k.c.nextTick() }
 
 // Holding is what waits for a configuration.
 type Holding struct{ h holding }
@@ -137,28 +137,30 @@
 }
 
 // Choosing is a host's choice of workers, driven by hand.
-type Choosing struct{ c *choosing }
+type Choosing struct{ c *selector }
 
 // NewChoosing returns the choosing of a host that sends by send; its workers are known.
 func NewChoosing(self string, workers []placer.Worker, send func(address string, m messenger.Message)) Choosing {
-	c := newChoosing(self, "z", sendFunc(send), nil, loader.Repeat{}, zap.NewNop())
-	c.share = time.NewTimer(time.Hour)
+	c := newSelector(self, "z", sendFunc(send), nil, loader.Repeat{}, zap.NewNop())
+	c.updateTimer = time.NewTimer(time.Hour)
 	c.view.SetWorkers(time.Now(), workers)
 	return Choosing{c}
 }
 
 // Enroll takes the hosts that are there.
-func (x Choosing) Enroll(now time.Time, r registrar.Roster) { x.c.take(now, rosterChanged{roster: r}) }
+func (x Choosing) Enroll(now time.Time, r registrar.Roster) {
+	x.c.handle(now, rosterChanged{roster: r})
+}
 
 // Ask asks for a worker; the result comes at once or later.
 func (x Choosing) Ask(now time.Time, a placer.Request) <-chan string {
 	reply, out := make(chan workerReply, 1), make(chan string, 1)
-	x.c.take(now, workerAsked{ask: a, reply: reply})
+	x.c.handle(now, workerRequested{request: a, reply: reply})
 	go func() {
 		if r := <-reply; r.refused != nil {
 			out <- "refused " + r.refused.Reason
 		} else {
-			out <- r.place.Worker.Name + " by " + r.place.PlacedBy
+			out <- r.placement.Worker.Name + " by " + r.placement.PlacedBy
 		}
 	}()
 	return out
@@ -167,10 +169,10 @@
 // Place asks for a worker and returns what came at once; false where nothing did.
 func (x Choosing) Place(now time.Time, a placer.Request) (router.Placement, bool) {
 	reply := make(chan workerReply, 1)
-	x.c.take(now, workerAsked{ask: a, reply: reply})
+	x.c.handle(now, workerRequested{request: a, reply: reply})
 	select {
 	case r := <-reply:
-		return r.place, r.refused == nil
+		return r.placement, r.refused == nil
 	default:
 		return router.Placement{}, false
 	}
@@ -178,11 +180,11 @@
 
 // End ends a request at its place.
 func (x Choosing) End(now time.Time, p router.Placement) {
-	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.HalfFull})
+	x.c.handle(now, flightEnded{id: p.ID, outcome: placer.Answered, halfFull: p.HalfFull})
 }
 
 // Due is how long after now the others are told of what happened.
-func (x Choosing) Due(now time.Time) time.Duration { return x.c.shareAt.Sub(now) }
+func (x Choosing) Due(now time.Time) time.Duration { return x.c.updateDue.Sub(now) }
 
 // Hear takes a message of another host. Time passes by hand, see Silent: what a real
 // timer says is dropped.
@@ -191,24 +193,24 @@
 	g.hear(from, m)
 	for {
 		e := <-x.c.events
-		if _, timer := e.(seekLate); !timer {
-			x.c.take(now, e)
+		if _, timer := e.(placementTimedOut); !timer {
+			x.c.handle(now, e)
 			return
 		}
 	}
 }
 
 // Silent has the time pass that a decider has to answer a question.
-func (x Choosing) Silent(now time.Time, id uint64) { x.c.take(now, seekLate{id: id}) }
+func (x Choosing) Silent(now time.Time, id uint64) { x.c.handle(now, placementTimedOut{id: id}) }
 
 // Patience is how long a decider may take to answer.
-func (x Choosing) Patience() time.Duration { return x.c.deciding.within() }
+func (x Choosing) Patience() time.Duration { return x.c.deciderSet.timeout() }
 
 // AskOf is the request that a question of another host is about.
-func AskOf(s messenger.PlacementRequest) placer.Request { return askOf(s) }
+func AskOf(s messenger.PlacementRequest) placer.Request { return decodeRequest(s) }
 
 // Tell tells the others what happened since it last did.
-func (x Choosing) Tell() { x.c.tell() }
+func (x Choosing) Tell() { x.c.sendUpdate() }
 
 // Flights is the requests that the host counts at a worker.
 func (x Choosing) Flights(now time.Time, worker string) int {
@@ -230,7 +232,7 @@
 }
 
 // Restore has the store come back from an older copy.
-func (s QuarantineStore) Restore() { s.q.restore() }
+func (s QuarantineStore) Restore() { s.q.storeRestored() }
 
 // Sweep lets it make the call that is due, and returns what was read, and the errors; false
 // where none was due.
@@ -239,7 +241,7 @@
 	select {
 	case job := <-s.q.jobs:
 		done := s.q.call(context.Background(), job)
-		return s.q.done(now, done), done.bad, done.err, true
+		return s.q.done(now, done), done.malformed, done.err, true
 	default:
 		return nil, nil, nil, false
 	}
--- a/runner/host.go
+++ b/runner/host.go
@@ -37,7 +37,7 @@
 	registrar *registrar.Registrar
 	messenger *messenger.Messenger
 	server    *server.Server
-	observing *observing
+	observing *workerPoller
 	registry  *prometheus.Registry
 	routing   *routing // nil where the host speaks the product's own dialect
 	era       era
@@ -109,8 +109,8 @@
 	registry := prometheus.NewRegistry()
 	store = metered(store, registry)
 	h.control = newControl(s.Name, incarnation, nil, h.log)
-	h.observing = newObserving(h.control, s.Platform, h.log)
-	forward.OnRefused(h.observing.refused)
+	h.observing = newWorkerPoller(h.control, s.Platform, h.log)
+	forward.OnRefused(h.observing.postRefusal)
 	connected := make(chan struct{})
 	m, closeMessenger, err := messenger.Open(messenger.Config{
 		Name: s.Name, Incarnation: incarnation, Address: s.Control, AckTimeout: s.Limits.Link.Std(), AckDelay: ackDelay,
@@ -138,7 +138,7 @@
 	})
 	var turn func() bool
 	if s.Dialect == loader.DialectPlatform {
-		turn = func() bool { return h.routing.choosing.calls.Load() }
+		turn = func() bool { return h.routing.choosing.watchesStore.Load() }
 	}
 	h.registrar = registrar.New(registrar.Config{
 		Self: registrar.Record{
@@ -153,18 +153,18 @@
 		},
 	})
 	h.server = server.New(s.Limits, h.following, h.control, forward, h.log, server.NewMetrics(registry))
-	h.server.SetLimiter(limits{&h.control.limiting.gates})
+	h.server.SetLimiter(limitAdapter{&h.control.limiting.gates})
 	h.control.keeping = newKeeping(h.control, store, forward, s.Limits.Once, newKeepingMetrics(registry), h.log)
 	h.control.keeping.era = h.era.now
 	h.server.SetOnce(h.control)
 	if s.Dialect != loader.DialectPlatform {
-		h.control.keepQuarantine(m, store, registry)
+		h.control.startQuarantine(m, store, registry)
 		h.server.SetQuarantine(h.control.quarantine)
 	}
 	if s.Dialect == loader.DialectPlatform {
 		h.routing = newRouting(s, store, m, h.following, h.log, registry)
-		h.following.calls = h.routing.choosing.calls.Load
-		h.routing.choosing.reach = h.era.reach
+		h.following.calls = h.routing.choosing.watchesStore.Load
+		h.routing.choosing.onEra = h.era.reach
 		h.server.SetRoutes(h.routing.router)
 	}
 	h.era.onLost(func(n uint64) {
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -71,7 +71,7 @@
 func (k *keeping) found(now time.Time, e placeFound) {
 	x := e.kept.places[e.at]
 	if x == nil { // released meanwhile
-		k.control.done(now, placeDone{place: e.place})
+		k.control.finishCall(now, placeDone{place: e.place})
 		return
 	}
 	x.place, x.granted = &e.place, now
@@ -87,7 +87,7 @@
 	delete(p.places, at)
 	x.cancel()
 	if x.place != nil {
-		k.control.done(now, placeDone{place: *x.place, use: x.use})
+		k.control.finishCall(now, placeDone{place: *x.place, use: x.use})
 	}
 }
 
--- a/runner/limiting.go
+++ b/runner/limiting.go
@@ -9,34 +9,34 @@
 	"github.com/cicadawood/cicadawood/registrar"
 )
 
-// limitEvery is how often the entry looks for loans to ask for.
-const limitEvery = 100 * time.Millisecond
+// loanCheckInterval is how often the entry checks which loans to request.
+const loanCheckInterval = 100 * time.Millisecond
 
-// limiting is the control state of organisations' limits.
-type limiting struct {
-	gates  limiter.Gates // shared with the traffic goroutines
-	lender limiter.Lender
-	limits map[string]limiter.Rates
-	hosts  int
-	since  time.Time // the roster's hosts changed
-	next   time.Time
+// limitState is the control state of the organisations' limits.
+type limitState struct {
+	gates          limiter.Gates // shared with the traffic goroutines
+	lender         limiter.Lender
+	limits         map[string]limiter.Rates
+	hosts          int
+	hostsChangedAt time.Time // when the roster's hosts last changed
+	nextCheck      time.Time
 }
 
-// limits adapts the gates to server.Limiter.
-type limits struct{ gates *limiter.Gates }
+// limitAdapter adapts the gates to server.Limiter.
+type limitAdapter struct{ gates *limiter.Gates }
 
 // Admit implements server.Limiter.
-func (l limits) Admit(organisation string, tier, tokens int) (time.Duration, bool) {
+func (l limitAdapter) Admit(organisation string, tier, tokens int) (time.Duration, bool) {
 	return l.gates.Admit(time.Now(), organisation, tier, tokens)
 }
 
 // Settle implements server.Limiter.
-func (l limits) Settle(organisation string, tier, tokens int) {
+func (l limitAdapter) Settle(organisation string, tier, tokens int) {
 	l.gates.Settle(organisation, tier, tokens)
 }
 
-// configure takes the organisations that have limits.
-func (l *limiting) configure(f *loader.Folder) {
+// configure sets the limits of the organisations.
+func (l *limitState) configure(f *loader.Folder) {
 	l.limits = map[string]limiter.Rates{}
 	for name, o := range f.Organisations {
 		if o.Requests > 0 || o.Tokens > 0 {
@@ -46,31 +46,31 @@
 	l.gates.Configure(l.limits)
 }
 
-// enroll notes when the hosts changed: an owner of limits that is new must wait
-// for the loans of the one before.
-func (l *limiting) enroll(now time.Time, old, r registrar.Roster) {
+// setRoster records when the hosts changed: a new owner of limits must wait until the
+// loans of its predecessor have ended.
+func (l *limitState) setRoster(now time.Time, old, r registrar.Roster) {
 	l.hosts = 0
 	changed := len(old.Hosts()) != len(r.Hosts())
 	for _, h := range r.Hosts() {
-		was, ok := old.Find(h.Name)
-		changed = changed || !ok || was.Leaving != h.Leaving || was.Incarnation != h.Incarnation
+		previous, ok := old.Find(h.Name)
+		changed = changed || !ok || previous.Leaving != h.Leaving || previous.Incarnation != h.Incarnation
 		if !h.Leaving {
 			l.hosts++
 		}
 	}
 	if changed {
-		l.since = now
+		l.hostsChangedAt = now
 	}
 	l.gates.SetHosts(l.hosts)
 }
 
-// borrow asks for the loans that are due.
-func (c *control) borrow(now time.Time) {
+// requestLoans requests the loans that are due.
+func (c *control) requestLoans(now time.Time) {
 	l := &c.limiting
-	if now.Before(l.next) {
+	if now.Before(l.nextCheck) {
 		return
 	}
-	l.next = now.Add(limitEvery)
+	l.nextCheck = now.Add(loanCheckInterval)
 	for _, a := range l.gates.LoanRequests(now) {
 		owner, ok := c.roster.Owner("limit/" + a.Organisation)
 		if !ok {
@@ -83,9 +83,9 @@
 	l.lender.Forget(now)
 }
 
-// lend answers an entry. A host that its own roster doesn't name as the owner
-// stays silent: two lenders would lend a limit twice, and the entry's even part
-// is safe.
+// lend answers a request for a loan. A host that is not the owner by its own roster does
+// not answer: two owners would lend a limit twice, and without an answer the entry safely
+// falls back to its equal share.
 func (c *control) lend(now time.Time, from string, b messenger.Borrow) {
 	l := &c.limiting
 	limits, limited := l.limits[b.Organisation]
@@ -94,13 +94,14 @@
 		return
 	}
 	demand := limiter.Rates{Requests: b.Requests, Tokens: b.Tokens}
-	loan, ok := l.lender.Lend(now, l.since, b.Organisation, from, l.hosts, limits, demand)
+	loan, ok := l.lender.Lend(now, l.hostsChangedAt, b.Organisation, from, l.hosts, limits, demand)
 	if !ok {
 		return
 	}
 	c.send(now, from, messenger.Lend{Organisation: b.Organisation, Sequence: b.Sequence, Requests: loan.Requests, Tokens: loan.Tokens})
 }
 
-func (c *control) lent(now time.Time, m messenger.Lend) {
+// receiveLoan hands a loan to the gates.
+func (c *control) receiveLoan(now time.Time, m messenger.Lend) {
 	c.limiting.gates.SetLoan(now, m.Organisation, m.Sequence, limiter.Rates{Requests: m.Requests, Tokens: m.Tokens})
 }
--- a/runner/limiting_test.go
+++ b/runner/limiting_test.go
@@ -13,7 +13,8 @@
 	"github.com/cicadawood/cicadawood/runner"
 )
 
-// limited is hosts that share the limit of one organisation, 90 requests a second.
+// limited is a set of hosts that share the limit of one organisation, 90 requests a
+// second.
 type limited struct {
 	now    time.Time
 	hosts  []string
@@ -40,11 +41,11 @@
 	for _, k := range l.by {
 		k.Configure(l.now, folder)
 	}
-	l.enroll()
+	l.setRosters()
 	return l
 }
 
-func (l *limited) enroll() {
+func (l *limited) setRosters() {
 	var records []registrar.Record
 	for _, h := range l.hosts {
 		records = append(records, registrar.Record{Name: h, Control: h, Incarnation: 1})
@@ -54,7 +55,7 @@
 	}
 }
 
-// lose ends a host and tells the others.
+// lose removes a host, and updates the rosters of the others.
 func (l *limited) lose(name string) {
 	delete(l.by, name)
 	for i, h := range l.hosts {
@@ -63,11 +64,11 @@
 			break
 		}
 	}
-	l.enroll()
+	l.setRosters()
 }
 
-// run passes time with a request each 10 ms at each of the hosts named, and
-// returns how many a second were let in.
+// run advances the time by d, with a request every 10 ms at each of the named hosts, and
+// returns how many requests a second were admitted.
 func (l *limited) run(d time.Duration, at ...string) float64 {
 	admitted := 0
 	for range d / (10 * time.Millisecond) {
@@ -89,10 +90,10 @@
 	return float64(admitted) / d.Seconds()
 }
 
-// A carrier's desk is at its limit through three hosts when one of them dies:
-// the one that lends the limit, or another.
+// Guards against limits that don't hold when a host fails: an organisation is at its
+// limit through three hosts, and the one that lends the limit fails, or another.
 var _ = Describe("limits between hosts", func() {
-	It("hold over all, and follow the traffic, whoever dies", func() {
+	It("hold across all hosts and follow the traffic, whichever host fails", func() {
 		for _, victim := range []string{"h0", "h1", "h2"} {
 			l := newLimited(3)
 			l.run(5*time.Second, l.hosts...)
@@ -105,9 +106,9 @@
 		}
 	})
 
-	// Rosters disagree for a moment: an entry asks a host that knows another owner.
-	// Two that lend the same limit would lend it twice.
-	It("are lent by their owner alone", func() {
+	// Rosters may differ briefly, so that an entry asks a host whose roster names another
+	// owner. Two hosts that lend the same limit would lend it twice.
+	It("are lent only by their owner", func() {
 		l := newLimited(3)
 		l.run(5*time.Second, l.hosts...)
 		answers := 0
--- a/runner/listing.go
+++ b/runner/listing.go
@@ -14,52 +14,54 @@
 )
 
 const (
-	// catchWait is how long a call waits that is made for a change that is there.
-	catchWait = 10 * time.Millisecond
-	// listRetry is the pause after a failed call.
-	listRetry = 250 * time.Millisecond
-	// gapLeast and gapSpread are how long a host whose watch has a gap waits for the word of
-	// those that watch for all: a list takes these some milliseconds, and no change may be
-	// known later than 2 s.
-	gapLeast  = 200 * time.Millisecond
-	gapSpread = 600 * time.Millisecond
-	// gapAgain is the time in which a second gap is not answered by a list at once.
-	gapAgain = 2 * time.Second
-	// turnEvery is how often a host that others watch for looks whether it is to call.
-	turnEvery = 100 * time.Millisecond
+	// catchUpWait is how long a watch call waits for a change that is known to exist.
+	catchUpWait = 10 * time.Millisecond
+	// listRetryDelay is the mean pause after a failed call.
+	listRetryDelay = 250 * time.Millisecond
+	// minGapWait and gapWaitSpread are the minimum and the random part of the time for which
+	// a host whose watch has a gap waits for the list of the hosts that watch for all. Those
+	// need some milliseconds for it, and every change must be known within 2 s.
+	minGapWait    = 200 * time.Millisecond
+	gapWaitSpread = 600 * time.Millisecond
+	// minGapInterval is the time after a gap within which another gap delays the next list.
+	minGapInterval = 2 * time.Second
+	// turnCheckInterval is how often a host for which others watch checks whether it has to
+	// call the store itself.
+	turnCheckInterval = 100 * time.Millisecond
 )
 
-// listing calls the platform's store for the workers' entries, when the host's relay
-// has it call.
-type listing struct {
-	store storer.Store
-	log   *zap.Logger
-	tell  func(entriesSeen)
-	next  func(context.Context) callNext
-	away  time.Time // since when the store does not answer; zero while it does
+// storeWatch reads the workers' entries from the platform's store when the host's relay
+// requires it.
+type storeWatch struct {
+	store        storer.Store
+	log          *zap.Logger
+	report       func(storeResult)
+	nextCall     func(context.Context) storeCall
+	failingSince time.Time // when the store stopped answering; zero while it answers
 }
 
-// entriesSeen is what a call of the store told of the workers' entries.
-type entriesSeen struct {
+// storeResult is the result of a call for the workers' entries.
+type storeResult struct {
 	failed bool           // the call failed; nothing else is set
-	whole  bool           // the word is every entry at its last revision
-	word   relayer.Update // what changed
+	full   bool           // the update is the full list, each entry at its last revision
+	update relayer.Update // the changed entries
 }
 
-// callNext is whether a host is to call the store, and from which revision on.
-type callNext struct {
+// storeCall is the next call of the store: whether the host makes it, and after which
+// version.
+type storeCall struct {
 	after storer.Version
 	call  bool
-	wait  time.Duration // for a change
+	wait  time.Duration // how long the call waits for a change
 
 	forAll bool // the host watches for all others
 }
 
-// run lists the entries, watches them from there, and starts anew where the watch
-// has a gap.
-func (l *listing) run(ctx context.Context) {
+// run lists the entries, watches them from that version on, and lists them again after a
+// gap in the watch.
+func (l *storeWatch) run(ctx context.Context) {
 	err := l.list(ctx)
-	var gap time.Time // the last
+	var lastGap time.Time
 	for ctx.Err() == nil {
 		if err == nil {
 			err = l.watch(ctx)
@@ -67,82 +69,83 @@
 		if ctx.Err() != nil {
 			return
 		}
-		before := l.next(ctx)
+		call := l.nextCall(ctx)
 		if errors.Is(err, storer.ErrConflict) {
 			l.log.Info("watch of workers has a gap", zap.Error(err))
-			if time.Since(gap) < gapAgain {
-				pause(ctx, listRetry/2+rand.N(listRetry)) // a store that forgets at once
+			if time.Since(lastGap) < minGapInterval {
+				pause(ctx, listRetryDelay/2+rand.N(listRetryDelay)) // the store may drop its history immediately
 			}
-			gap = time.Now()
-			l.await(ctx, before)
+			lastGap = time.Now()
+			l.awaitList(ctx, call)
 		} else {
-			l.failed(err)
-			pause(ctx, listRetry/2+rand.N(listRetry))
+			l.recordFailure(err)
+			pause(ctx, listRetryDelay/2+rand.N(listRetryDelay))
 		}
-		if err = nil; l.next(ctx).after.Era() == before.after.Era() {
+		if err = nil; l.nextCall(ctx).after.Era() == call.after.Era() {
 			err = l.list(ctx)
 		}
 	}
 }
 
-// await gives a host that watches for all time to tell the others of a list, where this
-// host does not. Failure: the store comes back from an older copy, and all hosts of a fleet
-// list anew in one moment.
-func (l *listing) await(ctx context.Context, before callNext) {
-	if before.forAll {
+// awaitList waits for the list of the hosts that watch for all, if this host does not.
+// When the store is restored from an older snapshot, the watches of all hosts have a gap
+// at the same moment, and without the wait the whole fleet would list the entries again
+// together.
+func (l *storeWatch) awaitList(ctx context.Context, call storeCall) {
+	if call.forAll {
 		return
 	}
-	until := time.Now().Add(gapLeast + rand.N(gapSpread))
-	for time.Now().Before(until) && ctx.Err() == nil && l.next(ctx).after.Era() == before.after.Era() {
-		pause(ctx, turnEvery)
+	until := time.Now().Add(minGapWait + rand.N(gapWaitSpread))
+	for time.Now().Before(until) && ctx.Err() == nil && l.nextCall(ctx).after.Era() == call.after.Era() {
+		pause(ctx, turnCheckInterval)
 	}
 }
 
-// list lists the entries.
-func (l *listing) list(ctx context.Context) error {
+// list reads all entries.
+func (l *storeWatch) list(ctx context.Context) error {
 	objects, version, err := l.store.List(ctx, platform.WorkersPrefix)
 	if err != nil {
 		return err
 	}
-	l.answered(version)
-	l.tell(entriesSeen{whole: true, word: relayer.Update{Upto: version, Changed: objects}})
+	l.recordSuccess(version)
+	l.report(storeResult{full: true, update: relayer.Update{Upto: version, Changed: objects}})
 	return nil
 }
 
-// failed notes that the store does not answer.
-func (l *listing) failed(err error) {
-	if l.away.IsZero() {
-		l.away = time.Now()
+// recordFailure records that the store does not answer.
+func (l *storeWatch) recordFailure(err error) {
+	if l.failingSince.IsZero() {
+		l.failingSince = time.Now()
 		l.log.Warn("workers can't be listed", zap.Error(err))
 	}
-	l.tell(entriesSeen{failed: true})
+	l.report(storeResult{failed: true})
 }
 
-// watch watches the entries whenever the host is to call, until a call fails.
-func (l *listing) watch(ctx context.Context) error {
+// watch watches the entries while the host has to call the store, until a call fails.
+func (l *storeWatch) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n := l.next(ctx)
+		n := l.nextCall(ctx)
 		if !n.call {
-			pause(ctx, turnEvery)
+			pause(ctx, turnCheckInterval)
 			continue
 		}
 		objects, version, err := l.store.Watch(ctx, platform.WorkersPrefix, n.after, n.wait)
 		if err != nil {
 			return err
 		}
-		l.answered(version)
-		l.tell(entriesSeen{word: relayer.Update{After: n.after, Upto: version, Changed: objects}})
+		l.recordSuccess(version)
+		l.report(storeResult{update: relayer.Update{After: n.after, Upto: version, Changed: objects}})
 	}
 	return ctx.Err()
 }
 
-// answered notes that the store answers again.
-func (l *listing) answered(version storer.Version) {
-	if l.away.IsZero() {
+// recordSuccess records that the store answers again.
+func (l *storeWatch) recordSuccess(version storer.Version) {
+	if l.failingSince.IsZero() {
 		return
 	}
-	l.log.Info("workers listed again", zap.Duration("after", time.Since(l.away)), zap.Stringer("version", version))
-	l.away = time.Time{}
+	l.log.Info("workers listed again", zap.Duration("after", time.Since(l.failingSince)), zap.Stringer("version", version))
+	l.failingSince = time.Time{}
 }
 
 func pause(ctx context.Context, d time.Duration) {
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -13,71 +13,72 @@
 )
 
 const (
-	// quarantineEvery is the time between sweeps of a host that speaks the product's own
-	// dialect.
-	quarantineEvery = time.Second
-	// restartLeast is how long a plain service that ended takes at least to answer again.
-	restartLeast = 500 * time.Millisecond
+	// quarantineSweepInterval is the interval between sweeps of a host that serves the
+	// product's own dialect.
+	quarantineSweepInterval = time.Second
+	// minRestartTime is the minimum time that a plain service needs to answer again after it
+	// crashed.
+	minRestartTime = 500 * time.Millisecond
 )
 
-// keepQuarantine has the host count which calls end workers.
-func (c *control) keepQuarantine(s sender, store storer.Store, r prometheus.Registerer) {
-	c.quarantine = newQuarantining(c.self, s, store, &quarantiner.Tracker{MinRestartTime: restartLeast}, c.log)
-	c.quarantine.store.tell = func(e quarantineStored) { c.post(e) }
+// startQuarantine makes the host track which calls crash workers.
+func (c *control) startQuarantine(s sender, store storer.Store, r prometheus.Registerer) {
+	c.quarantine = newQuarantineSync(c.self, s, store, &quarantiner.Tracker{MinRestartTime: minRestartTime}, c.log)
+	c.quarantine.store.report = func(e quarantineStoreResult) { c.post(e) }
 	c.quarantine.register(r)
-	c.quarantine.due = time.Now()
+	c.quarantine.sweepDue = time.Now()
 }
 
-// use takes how a request of this host ended at a worker, and has the owner of the role
-// know, which counts for all hosts.
-func (q *quarantining) use(now time.Time, worker string, u server.Usage) {
+// reportUsage records how a request of this host ended at a worker, and reports it to the
+// owner of the role, which counts for all hosts.
+func (q *quarantineSync) reportUsage(now time.Time, worker string, u server.Usage) {
 	if q == nil || u.Took == 0 {
 		return
 	}
 	m := messenger.WorkerReport{Fingerprint: uint64(u.Fingerprint), Worker: worker, Took: u.Took}
-	answered := u.FirstByte > 0 && !u.Failed
+	succeeded := u.FirstByte > 0 && !u.Failed
 	switch {
 	case u.ClosedByPeer:
 		m.Event = messenger.WorkerEnded
-	case answered && q.book.Suspected(u.Fingerprint):
+	case succeeded && q.tracker.Suspected(u.Fingerprint):
 		m.Event, m.Took = messenger.WorkerAnswered, u.Took-u.FirstByte
-	case answered && q.book.Alive(now, worker, now.Add(u.FirstByte-u.Took)):
+	case succeeded && q.tracker.Alive(now, worker, now.Add(u.FirstByte-u.Took)):
 		m.Event, m.Took = messenger.WorkerAlive, u.Took-u.FirstByte
 	default:
 		return
 	}
-	q.mark(now, m)
+	q.recordReport(now, m)
 	if owner, ok := q.roster.Owner(quarantineRole); ok && owner.Name != q.self {
-		// A mark that is lost costs one worker more.
+		// A lost report costs one more worker.
 		if err := q.sender.Send(owner.Control, m); err != nil {
 			q.log.Warn("mark", zap.String("peer", owner.Name), zap.Error(err))
 		}
 	}
 }
 
-// mark counts what this host or another saw.
-func (q *quarantining) mark(now time.Time, m messenger.WorkerReport) {
+// recordReport counts a report of this host or of another.
+func (q *quarantineSync) recordReport(now time.Time, m messenger.WorkerReport) {
 	if q == nil {
 		return
 	}
 	f := quarantiner.Fingerprint(m.Fingerprint)
 	switch m.Event {
 	case messenger.WorkerEnded:
-		q.book.WorkerCrashed(now, f, m.Worker, now.Add(-m.Took))
+		q.tracker.WorkerCrashed(now, f, m.Worker, now.Add(-m.Took))
 	case messenger.WorkerAnswered:
-		q.book.Answered(f)
+		q.tracker.Answered(f)
 	case messenger.WorkerAlive:
-		q.book.Alive(now, m.Worker, now.Add(-m.Took))
+		q.tracker.Alive(now, m.Worker, now.Add(-m.Took))
 	}
-	q.notice(now)
-	q.recount(now)
+	q.announceNew(now)
+	q.publish(now)
 }
 
-// tick sweeps when it is time to.
-func (q *quarantining) tick(now time.Time) {
-	if q == nil || now.Before(q.due) {
+// tick runs a sweep when one is due.
+func (q *quarantineSync) tick(now time.Time) {
+	if q == nil || now.Before(q.sweepDue) {
 		return
 	}
-	q.due = now.Add(quarantineEvery)
+	q.sweepDue = now.Add(quarantineSweepInterval)
 	q.sweep(now)
 }
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -21,7 +21,7 @@
 // between hosts. None has a label that grows with hosts or organisations.
 func (h *Host) registerMetrics(r *prometheus.Registry) {
 	h.registry = r
-	r.MustRegister(dispatching{state: h.State})
+	r.MustRegister(dispatchMetrics{state: h.State})
 	member := func(name, help string, value func(registrar.Counts) float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(h.registrar.Counts()) }))
 	}
@@ -39,5 +39,5 @@
 	link("cicadawood_messenger_replaced_total", "Connections between hosts replaced because they went silent.", func(c messenger.Counts) uint64 { return c.Replaced })
 	link("cicadawood_messenger_dropped_total", "Messages given up: queue full, or peer out of reach too long.", func(c messenger.Counts) uint64 { return c.Dropped })
 	link("cicadawood_messenger_duplicates_total", "Frames that had come before.", func(c messenger.Counts) uint64 { return c.Duplicates })
-	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cicadawood_workers_leaving", Help: "Backend servers that get nothing new because they are leaving."}, func() float64 { return float64(h.observing.leaving()) }))
+	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cicadawood_workers_leaving", Help: "Backend servers that get nothing new because they are leaving."}, func() float64 { return float64(h.observing.leavingCount()) }))
 }
--- a/runner/naming.go
+++ b/runner/naming.go
@@ -18,7 +18,7 @@
 
 // name takes a worker's limit, and has the others told where it is new: it is for all hosts
 // together.
-func (p *choosing) name(now time.Time, e limitNamed) {
+func (p *selector) name(now time.Time, e limitNamed) {
 	was := p.view.RateLimit(e.worker)
 	if !p.view.UpdateLimit(now, e.worker, e.rate, e.known) {
 		return
@@ -27,12 +27,12 @@
 	if rate != was {
 		p.log.Info("limit", zap.String("worker", e.worker), zap.Float64("was", was), zap.Float64("rate", rate))
 	}
-	p.shared.Limits = append(p.shared.Limits, messenger.WorkerLimit{Worker: e.worker, Rate: rate})
-	p.tellWithin(now, p.within(sentWithin, sentByDeciders))
+	p.pendingUpdate.Limits = append(p.pendingUpdate.Limits, messenger.WorkerLimit{Worker: e.worker, Rate: rate})
+	p.scheduleUpdate(now, p.delayFor(sentDelay, sentDelayToListeners))
 }
 
 // hearLimits takes what workers named to other hosts.
-func (p *choosing) hearLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
+func (p *selector) hearLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
 	for _, l := range limits {
 		if was := p.view.RateLimit(l.Worker); was != l.Rate {
 			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", was), zap.Float64("rate", l.Rate), zap.String("by", from))
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	reportEvery = time.Second
-	listEvery   = 5 * time.Second
-	askedAtOnce = 8 // load reports
+	reportInterval     = time.Second
+	listInterval       = 5 * time.Second
+	maxParallelReports = 8 // calls for load reports
 )
 
 // workersListed is a new host list.
@@ -33,46 +33,46 @@
 // workerRefused is a worker's answer that it did not run a call.
 type workerRefused struct{ address string }
 
-// reportsWanted asks which workers this host is to ask for their reports.
-type reportsWanted struct{ reply chan<- wanted }
+// pollTargetsRequested asks which workers this host polls for load reports.
+type pollTargetsRequested struct{ reply chan<- pollTargets }
 
-// wanted is the answer to reportsWanted.
-type wanted struct {
+// pollTargets answers pollTargetsRequested.
+type pollTargets struct {
 	addresses []string // of the workers in the cells that this host dispatches
 	list      bool     // some service takes its workers from the host list
 }
 
-func (workersListed) event()  {}
-func (workerReported) event() {}
-func (workerRefused) event()  {}
-func (reportsWanted) event()  {}
-
-// observing reads the host list and the load reports. Each worker is asked by
-// the dispatcher of its cell only, so the cost of a worker does not grow with
-// the fleet.
-type observing struct {
-	control  *control
-	platform string
-	log      *zap.Logger
-	away     atomic.Int64
+func (workersListed) event()        {}
+func (workerReported) event()       {}
+func (workerRefused) event()        {}
+func (pollTargetsRequested) event() {}
+
+// workerPoller polls the host list and the load reports. Each worker is polled by the
+// dispatcher of its cell only, so that the cost of a worker does not grow with the
+// fleet.
+type workerPoller struct {
+	control     *control
+	platform    string
+	log         *zap.Logger
+	unavailable atomic.Int64
 }
 
-func newObserving(c *control, platform string, log *zap.Logger) *observing {
-	o := &observing{control: c, platform: platform, log: log}
-	c.away = &o.away
+func newWorkerPoller(c *control, platform string, log *zap.Logger) *workerPoller {
+	o := &workerPoller{control: c, platform: platform, log: log}
+	c.away = &o.unavailable
 	return o
 }
 
-// leaving is the number of workers that get nothing new.
-func (o *observing) leaving() int64 { return o.away.Load() }
+// leavingCount returns the number of workers that get no new work.
+func (o *workerPoller) leavingCount() int64 { return o.unavailable.Load() }
 
-// refused takes a refusal that this host's entry met.
-func (o *observing) refused(address string) { o.control.post(workerRefused{address: address}) }
+// postRefusal passes on that a worker refused a call of this host's entry.
+func (o *workerPoller) postRefusal(address string) { o.control.post(workerRefused{address: address}) }
 
-func (o *observing) run(ctx context.Context) {
+func (o *workerPoller) run(ctx context.Context) {
 	client, clean := observer.NewClient(o.platform)
 	defer clean()
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	var listed time.Time
 	for {
@@ -81,34 +81,34 @@
 			return
 		case <-ticker.C:
 		}
-		w, ok := o.wanted()
+		w, ok := o.targets()
 		if !ok {
 			return
 		}
-		o.ask(ctx, client, w.addresses)
-		if w.list && time.Since(listed) >= listEvery {
-			listed = time.Now().Add(-rand.N(listEvery / 5))
-			o.list(ctx, client)
+		o.pollReports(ctx, client, w.addresses)
+		if w.list && time.Since(listed) >= listInterval {
+			listed = time.Now().Add(-rand.N(listInterval / 5))
+			o.pollList(ctx, client)
 		}
 	}
 }
 
-func (o *observing) wanted() (wanted, bool) {
-	reply := make(chan wanted, 1)
-	if !o.control.post(reportsWanted{reply: reply}) {
-		return wanted{}, false
+func (o *workerPoller) targets() (pollTargets, bool) {
+	reply := make(chan pollTargets, 1)
+	if !o.control.post(pollTargetsRequested{reply: reply}) {
+		return pollTargets{}, false
 	}
 	select {
 	case w := <-reply:
 		return w, true
 	case <-o.control.ended:
-		return wanted{}, false
+		return pollTargets{}, false
 	}
 }
 
-func (o *observing) ask(ctx context.Context, client *observer.Client, addresses []string) {
+func (o *workerPoller) pollReports(ctx context.Context, client *observer.Client, addresses []string) {
 	var tasks sync.WaitGroup
-	slots := make(chan struct{}, askedAtOnce)
+	slots := make(chan struct{}, maxParallelReports)
 	for _, a := range addresses {
 		slots <- struct{}{}
 		tasks.Go(func() {
@@ -121,9 +121,9 @@
 	tasks.Wait()
 }
 
-// list keeps the last list where there is no new one: while the platform is
-// down, workers speak for themselves.
-func (o *observing) list(ctx context.Context, client *observer.Client) {
+// pollList polls the host list. If that fails the last list stays in force: while the
+// platform is down, the workers' own reports still apply.
+func (o *workerPoller) pollList(ctx context.Context, client *observer.Client) {
 	list, err := client.List(ctx)
 	if err != nil {
 		o.log.Warn("host list", zap.Error(err))
@@ -132,9 +132,9 @@
 	o.control.post(workersListed{list: list})
 }
 
-// observe takes what a source says of workers, and tells the dispatchers.
-func (c *control) observe(now time.Time, e event) {
-	forgotten := false
+// handleWorkerEvent applies a source's report on workers, and updates the dispatchers.
+func (c *control) handleWorkerEvent(now time.Time, e event) {
+	removed := false
 	switch e := e.(type) {
 	case workersListed:
 		c.observer.Listed(now, e.list)
@@ -143,44 +143,44 @@
 			return
 		}
 	case workerRefused:
-		c.tellRefusal(now, e.address)
-	case reportsWanted:
-		e.reply <- c.wanted()
-		forgotten = c.observer.Sweep(now)
+		c.forwardRefusal(now, e.address)
+	case pollTargetsRequested:
+		e.reply <- c.pollTargets()
+		removed = c.observer.Sweep(now)
 	}
-	if changed := c.observed(now); c.folder != nil && (changed || forgotten) {
+	if changed := c.updateWorkers(now); c.folder != nil && (changed || removed) {
 		c.configure(now, folderChanged{folder: c.folder, generation: c.generation})
 	}
 }
 
-// workerName names a worker.
+// workerName identifies a worker.
 type workerName struct{ service, name string }
 
-// observed says whether the workers that may get new work have changed, and
-// logs each change.
-func (c *control) observed(now time.Time) bool {
-	var fresh []observer.State // those that are new or otherwise than before
-	var away int64
+// updateWorkers reports whether the set of workers that may get new work has changed,
+// and logs each change.
+func (c *control) updateWorkers(now time.Time) bool {
+	var changed []observer.State // new, or with a changed state
+	var unavailable int64
 	count := 0
 	for s := range c.observer.All(now) {
 		count++
 		if !s.Available {
-			away++
+			unavailable++
 		}
-		if before, known := c.present[workerName{s.Service, s.Name}]; !known || before != s.Available {
-			fresh = append(fresh, s)
+		if wasAvailable, known := c.present[workerName{s.Service, s.Name}]; !known || wasAvailable != s.Available {
+			changed = append(changed, s)
 		}
 	}
-	c.away.Store(away)
-	observer.Sort(fresh)
-	for _, s := range fresh {
-		c.note(s)
+	c.away.Store(unavailable)
+	observer.Sort(changed)
+	for _, s := range changed {
+		c.recordWorker(s)
 	}
-	return c.forget(now, count) || len(fresh) > 0
+	return c.forgetWorkers(now, count) || len(changed) > 0
 }
 
-// note takes a worker's new state.
-func (c *control) note(s observer.State) {
+// recordWorker records and logs a worker's new state.
+func (c *control) recordWorker(s observer.State) {
 	n := workerName{s.Service, s.Name}
 	_, known := c.present[n]
 	c.present[n] = s.Available
@@ -189,9 +189,9 @@
 	}
 }
 
-// forget drops the workers that are not among the count known now, and says
-// whether there were any.
-func (c *control) forget(now time.Time, count int) bool {
+// forgetWorkers removes the workers that are no longer among the count known now. It
+// reports whether there were any.
+func (c *control) forgetWorkers(now time.Time, count int) bool {
 	if len(c.present) == count {
 		return false
 	}
@@ -203,8 +203,8 @@
 	return true
 }
 
-// tellRefusal tells the dispatchers of a worker's cells that it refused a call.
-func (c *control) tellRefusal(now time.Time, address string) {
+// forwardRefusal reports a worker's refusal to the dispatchers of its cells.
+func (c *control) forwardRefusal(now time.Time, address string) {
 	c.observer.Refused(now, address)
 	for name, cell := range c.cells {
 		for _, w := range cell.Workers {
@@ -215,9 +215,9 @@
 	}
 }
 
-// wanted is the workers of the cells that this host dispatches.
-func (c *control) wanted() wanted {
-	var w wanted
+// pollTargets returns the workers of the cells that this host dispatches.
+func (c *control) pollTargets() pollTargets {
+	var w pollTargets
 	for name, cell := range c.cells {
 		if owner, ok := c.roster.Owner(name); !ok || owner.Name != c.self {
 			continue
@@ -234,7 +234,7 @@
 	return w
 }
 
-// filled is a cell with only the workers that may get new work.
-func (c *control) filled(now time.Time, cell dispatcher.Cell) dispatcher.Cell {
+// availableCell returns a cell with only the workers that may get new work.
+func (c *control) availableCell(now time.Time, cell dispatcher.Cell) dispatcher.Cell {
 	return c.observer.Available(now, cell)
 }
--- a/runner/observing_test.go
+++ b/runner/observing_test.go
@@ -13,11 +13,11 @@
 )
 
 var _ = Describe("A backend server that is leaving", func() {
-	// Story: a backend server is about to be replaced, and one source says so. A
-	// request sent there later would be cut with it. It must get nothing new within a
-	// few seconds, through any host, and keep what it has.
+	// Guards against requests sent to a backend server that is about to be replaced: they
+	// would be cut off with it. Within a few seconds of one source reporting that it leaves,
+	// it must get nothing new, through any host, and keep the requests that it has.
 	DescribeTable("gets nothing new",
-		func(say func(t *fixture)) {
+		func(announce func(t *fixture)) {
 			t := newFixture("lm1", "lm2")
 			t.platform.Hosts.Set([]faker.ListedHost{}, 0)
 			a, b := t.start("a", "z1", nil), t.start("b", "z2", nil)
@@ -29,9 +29,9 @@
 				return status
 			}
 			Eventually(func() int { send(a); return len(t.counters["lm1"].Counts()) }).WithTimeout(10 * time.Second).Should(BeNumerically(">", 0))
-			say(t)
-			gone := func() bool {
-				send(b) // a refusal is seen only by who sends
+			announce(t)
+			unavailable := func() bool {
+				send(b) // only the host that sent a request sees a refusal
 				owner, _ := registrar.NewRoster(a.state().Roster...).Owner("lm/0")
 				for _, w := range t.hosts[owner.Name].state().Workers {
 					if w.Name == "lm1" {
@@ -40,7 +40,7 @@
 				}
 				return false
 			}
-			Eventually(gone).WithTimeout(10 * time.Second).Should(BeTrue())
+			Eventually(unavailable).WithTimeout(10 * time.Second).Should(BeTrue())
 			before := len(t.counters["lm1"].Counts())
 			for range 10 {
 				Expect(send(a)).To(Equal(http.StatusOK))
@@ -49,19 +49,19 @@
 			Expect(t.counters["lm1"].Counts()).To(HaveLen(before))
 		},
 		Entry("by the host list", func(t *fixture) { t.list("lm1") }),
-		Entry("by its report and its refusal", func(t *fixture) { t.leave("lm1") }),
+		Entry("by its report and its refusal", func(t *fixture) { t.postLeave("lm1") }),
 		Entry("by its report and its refusal, with the platform down", Label(prover.Pair(prover.Granted, prover.StoreDown, prover.Granted, prover.LateList)), func(t *fixture) {
 			t.platform.SetFaults(faker.Faults{Down: true})
-			t.leave("lm1")
+			t.postLeave("lm1")
 		}),
 		Entry("by its report, with a host list that is late", Label(prover.Cell(prover.Granted, prover.LateList), prover.Cell(prover.Sent, prover.LateList)), func(t *fixture) {
 			t.list()
-			t.leave("lm1")
+			t.postLeave("lm1")
 		}),
 	)
 })
 
-// list sets the host list: both engines live, but for those that are leaving.
+// list sets the host list: both engines are live, except those that are leaving.
 func (t *fixture) list(leaving ...string) {
 	var hosts []faker.ListedHost
 	for name, address := range t.engines {
@@ -74,7 +74,7 @@
 	t.platform.Hosts.Set(hosts, 0)
 }
 
-func (t *fixture) leave(engine string) {
+func (t *fixture) postLeave(engine string) {
 	resp, err := http.Post("http://"+t.engines[engine]+"/leave", "", nil)
 	Expect(err).NotTo(HaveOccurred())
 	_ = resp.Body.Close()
--- a/runner/poison_test.go
+++ b/runner/poison_test.go
@@ -16,15 +16,15 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// Guards against a request that ends each backend server that runs it ending all of them,
-// again and again, as its caller sends it anew.
-var _ = Describe("A call that ends the backend servers that run it", func() {
+// Guards against a request that crashes every backend server that runs it, again and
+// again, because its caller retries it.
+var _ = Describe("A call that crashes the backend servers that run it", func() {
 	const (
-		endsMost = 3
-		underWay = 1 // a copy that was sent before all had heard
+		maxCrashes = 3
+		inFlight   = 1 // a copy that was sent before all hosts were notified
 	)
-	DescribeTable("is held back after the third, by all hosts", func(path string, keyed bool) {
-		var ends atomic.Int64
+	DescribeTable("is quarantined after the third crash, by all hosts", func(path string, keyed bool) {
+		var crashes atomic.Int64
 		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*running{}}
 		t.url = serve(t.platform.Handler())
 		var workers []string
@@ -34,8 +34,8 @@
 				body, _ := io.ReadAll(r.Body)
 				w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 				if strings.Contains(string(body), "poison") {
-					ends.Add(1)
-					s.CloseClientConnections() // it is back at once
+					crashes.Add(1)
+					s.CloseClientConnections() // a crash with an immediate restart
 					panic(http.ErrAbortHandler)
 				}
 				_, _ = io.WriteString(w, "done")
@@ -72,21 +72,21 @@
 				status, text = call(h, "poison")
 			}
 		}
-		AddReportEntry("ends", fmt.Sprint(ends.Load()))
-		Expect(ends.Load()).To(BeNumerically("<=", endsMost+underWay))
+		AddReportEntry("ends", fmt.Sprint(crashes.Load()))
+		Expect(crashes.Load()).To(BeNumerically("<=", maxCrashes+inFlight))
 		Expect(status).To(Equal(http.StatusServiceUnavailable), text)
 		Expect(text).To(And(ContainSubstring(`"quarantine"`), ContainSubstring(`"run":"no"`), ContainSubstring(`"retry_after_ms":`)))
 		for _, h := range t.hosts {
 			status, text = call(h, "sound")
 			Expect(status).To(Equal(http.StatusOK), text)
 		}
-		fresh := t.start("d", "a", nil)
+		started := t.start("d", "a", nil)
 		Eventually(t.settled(4), 20*time.Second, 50*time.Millisecond).Should(Succeed())
-		Eventually(func() int { return len(fresh.state().Quarantine) }, 2*time.Second, 20*time.Millisecond).Should(Equal(1))
-		before := ends.Load()
-		status, _ = call(fresh, "poison")
+		Eventually(func() int { return len(started.state().Quarantine) }, 2*time.Second, 20*time.Millisecond).Should(Equal(1))
+		before := crashes.Load()
+		status, _ = call(started, "poison")
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
-		Expect(ends.Load()).To(Equal(before), "through a host that has just started")
+		Expect(crashes.Load()).To(Equal(before), "through a host that has just started")
 	},
 		Entry("where it may be repeated", "/services/app/quote", false),
 		Entry("where it may not, and has no key", "/services/app/holds/1", false),
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -14,177 +14,179 @@
 )
 
 const (
-	// quarantineRole is the role whose owner keeps in the platform's store what is held
-	// back, and reads it there.
+	// quarantineRole is the role whose owner keeps the quarantine in the platform's store and
+	// reads it from there.
 	quarantineRole = "quarantine"
-	// tellers is how many owners in turn may tell a host that has started: the first of them
-	// that was there before does.
-	tellers = 5
+	// introducerCount is how many owners of the role, in order, may send the quarantine to a
+	// host that has started: the first of them that is not new does.
+	introducerCount = 5
 )
 
-// quarantining has a host's book of requests that end workers agree with those of the other
-// hosts, and with the platform's store. One goroutine owns it and the book.
-type quarantining struct {
-	self   string
-	sender sender
-	log    *zap.Logger
-	book   *quarantiner.Tracker
-	store  *quarantineStore
-	roster registrar.Roster
-	count  atomic.Int64 // requests that are held back
+// quarantineSync keeps a host's quarantine of requests that crash workers in step with
+// the other hosts and with the platform's store. One goroutine owns it and the tracker.
+type quarantineSync struct {
+	self    string
+	sender  sender
+	log     *zap.Logger
+	tracker *quarantiner.Tracker
+	store   *quarantineStore
+	roster  registrar.Roster
+	count   atomic.Int64 // quarantined requests
 
-	held atomic.Pointer[map[quarantiner.Fingerprint]time.Time] // until then, for other goroutines
-	due  time.Time                                             // when the next sweep is, where nothing else has it swept
+	published atomic.Pointer[map[quarantiner.Fingerprint]time.Time] // end of each quarantine, for other goroutines
+	sweepDue  time.Time                                             // when the next sweep is due, if nothing else calls sweep
 }
 
-func newQuarantining(self string, s sender, store storer.Store, b *quarantiner.Tracker, log *zap.Logger) *quarantining {
-	return &quarantining{self: self, sender: s, log: log, book: b, store: newQuarantineStore(store)}
+func newQuarantineSync(self string, s sender, store storer.Store, b *quarantiner.Tracker, log *zap.Logger) *quarantineSync {
+	return &quarantineSync{self: self, sender: s, log: log, tracker: b, store: newQuarantineStore(store)}
 }
 
-// quarantineHeard is what another host holds back.
-type quarantineHeard struct {
-	from string
-	held []quarantiner.Entry
+// quarantineReceived is what another host has quarantined.
+type quarantineReceived struct {
+	from    string
+	entries []quarantiner.Entry
 }
 
-// notice logs what is held back from now on, and tells all hosts: few may decide, or one
-// may have heard less than this one.
-func (q *quarantining) notice(now time.Time) {
-	caught := q.book.DrainQuarantined()
-	if len(caught) == 0 {
+// announceNew logs new entries and sends them to all hosts, not only to the deciders:
+// each of them may decide later, or may have received fewer reports than this one.
+func (q *quarantineSync) announceNew(now time.Time) {
+	added := q.tracker.DrainQuarantined()
+	if len(added) == 0 {
 		return
 	}
-	for _, h := range caught {
-		q.logHeld("its workers ended one after another", h)
+	for _, h := range added {
+		q.logQuarantined("its workers ended one after another", h)
 	}
-	q.tell(q.roster.Hosts(), caught)
-	q.recount(now)
+	q.send(q.roster.Hosts(), added)
+	q.publish(now)
 }
 
-// sweep looks whose time is over, and brings the store in step.
-func (q *quarantining) sweep(now time.Time) {
-	q.book.Sweep(now)
-	for _, f := range q.book.DrainReleased() {
-		q.log.Info("quarantine", zap.Stringer("fingerprint", f), zap.String("state", "let go"), zap.String("why", "its time is over"))
+// sweep releases entries that have expired and updates the store.
+func (q *quarantineSync) sweep(now time.Time) {
+	q.tracker.Sweep(now)
+	for _, f := range q.tracker.DrainReleased() {
+		q.log.Info("quarantine", zap.Stringer("fingerprint", f), zap.String("state", "released"), zap.String("why", "expired"))
 	}
-	q.recount(now)
-	q.store.sweep(now, q.owns(), q.book.List(now))
+	q.publish(now)
+	q.store.sweep(now, q.owns(), q.tracker.List(now))
 }
 
-// owns says that this host has the role.
-func (q *quarantining) owns() bool {
+// owns reports whether this host has the role.
+func (q *quarantineSync) owns() bool {
 	owner, ok := q.roster.Owner(quarantineRole)
 	return ok && owner.Name == q.self
 }
 
-// QuarantinedRequest is a request that is held back as it ended workers.
+// QuarantinedRequest is a request that is quarantined because it crashed workers.
 type QuarantinedRequest struct {
 	Fingerprint string        `json:"fingerprint"`
-	For         time.Duration `json:"for"`     // from now on
-	Workers     []string      `json:"workers"` // that it ended, the first ones
+	For         time.Duration `json:"for"`     // remaining time
+	Workers     []string      `json:"workers"` // first workers that it crashed
 }
 
-func (q *quarantining) state(now time.Time) []QuarantinedRequest {
+func (q *quarantineSync) state(now time.Time) []QuarantinedRequest {
 	if q == nil {
 		return nil
 	}
 	var out []QuarantinedRequest
-	for _, h := range q.book.List(now) {
+	for _, h := range q.tracker.List(now) {
 		out = append(out, QuarantinedRequest{Fingerprint: h.Fingerprint.String(), For: h.Remaining, Workers: h.Workers})
 	}
 	return out
 }
 
-// recount shows other goroutines what is held back.
-func (q *quarantining) recount(now time.Time) {
-	held := map[quarantiner.Fingerprint]time.Time{}
-	for _, h := range q.book.List(now) {
-		held[h.Fingerprint] = now.Add(h.Remaining)
+// publish makes the quarantine visible to other goroutines.
+func (q *quarantineSync) publish(now time.Time) {
+	until := map[quarantiner.Fingerprint]time.Time{}
+	for _, h := range q.tracker.List(now) {
+		until[h.Fingerprint] = now.Add(h.Remaining)
 	}
-	q.count.Store(int64(len(held)))
-	q.held.Store(&held)
+	q.count.Store(int64(len(until)))
+	q.published.Store(&until)
 }
 
 // Held implements server.Quarantine.
-func (q *quarantining) Held(f quarantiner.Fingerprint) (time.Duration, bool) {
-	held := q.held.Load()
-	if held == nil {
+func (q *quarantineSync) Held(f quarantiner.Fingerprint) (time.Duration, bool) {
+	published := q.published.Load()
+	if published == nil {
 		return 0, false
 	}
-	left := time.Until((*held)[f])
+	left := time.Until((*published)[f])
 	return left, left > 0
 }
 
-func (q *quarantining) logHeld(why string, h quarantiner.Entry) {
-	q.log.Warn("quarantine", zap.Stringer("fingerprint", h.Fingerprint), zap.String("state", "held back"), zap.String("why", why),
+func (q *quarantineSync) logQuarantined(why string, h quarantiner.Entry) {
+	q.log.Warn("quarantine", zap.Stringer("fingerprint", h.Fingerprint), zap.String("state", "quarantined"), zap.String("why", why),
 		zap.Strings("workers", h.Workers), zap.Duration("for", h.Remaining), zap.Duration("span", h.Duration))
 }
 
-// hear takes what another host holds back.
-func (q *quarantining) hear(now time.Time, e quarantineHeard) {
+// receive merges what another host has quarantined.
+func (q *quarantineSync) receive(now time.Time, e quarantineReceived) {
 	if q == nil {
 		return
 	}
-	q.hold(now, "another host holds it back: "+e.from, e.held)
+	q.merge(now, "another host holds it back: "+e.from, e.entries)
 }
 
-// hold holds back what others do, and returns what this host did not.
-func (q *quarantining) hold(now time.Time, why string, held []quarantiner.Entry) []quarantiner.Entry {
-	var news []quarantiner.Entry
-	for _, h := range held {
-		if q.book.Receive(now, h) {
-			q.logHeld(why, h)
-			news = append(news, h)
+// merge quarantines what others have quarantined, and returns the entries that are new to
+// this host.
+func (q *quarantineSync) merge(now time.Time, why string, entries []quarantiner.Entry) []quarantiner.Entry {
+	var added []quarantiner.Entry
+	for _, h := range entries {
+		if q.tracker.Receive(now, h) {
+			q.logQuarantined(why, h)
+			added = append(added, h)
 		}
 	}
-	q.recount(now)
-	return news
+	q.publish(now)
+	return added
 }
 
-// stored takes how a call of the store ended. All hosts are told what was read: they may
-// have started as this one did.
-func (q *quarantining) stored(now time.Time, e quarantineStored) {
-	if e.bad != nil {
-		q.log.Warn("quarantine store", zap.String("call", e.call), zap.NamedError("left_out", e.bad))
+// handleStoreResult handles the result of a call to the store. What was read is sent to
+// all hosts: they may have started at the same time as this one.
+func (q *quarantineSync) handleStoreResult(now time.Time, e quarantineStoreResult) {
+	if e.malformed != nil {
+		q.log.Warn("quarantine store", zap.String("call", e.call), zap.NamedError("left_out", e.malformed))
 	}
 	if e.err != nil {
 		q.log.Warn("quarantine store", zap.String("call", e.call), zap.Error(e.err))
 	}
-	if news := q.hold(now, "the store has it", q.store.done(now, e)); len(news) > 0 {
-		q.tell(q.roster.Hosts(), news)
+	if added := q.merge(now, "the store has it", q.store.done(now, e)); len(added) > 0 {
+		q.send(q.roster.Hosts(), added)
 	}
 }
 
-// restore takes that the store came back from an older copy of itself.
-func (q *quarantining) restore() {
+// storeRestored handles that the store was restored from an older snapshot.
+func (q *quarantineSync) storeRestored() {
 	if q != nil {
-		q.store.restore()
+		q.store.storeRestored()
 	}
 }
 
-// enroll takes a new roster, and has hosts told that have just started.
-func (q *quarantining) enroll(now time.Time, r registrar.Roster) {
+// setRoster applies a new roster, and sends the quarantine to hosts that have just started.
+func (q *quarantineSync) setRoster(now time.Time, r registrar.Roster) {
 	if q == nil {
 		return
 	}
 	before := q.roster
 	q.roster = r
-	held := q.book.List(now)
-	if len(held) == 0 || !q.introduces(before) {
+	entries := q.tracker.List(now)
+	if len(entries) == 0 || !q.introducesHosts(before) {
 		return
 	}
-	var fresh []registrar.Record
+	var started []registrar.Record
 	for _, h := range r.Hosts() {
 		if _, old := before.Find(h.Name); !old {
-			fresh = append(fresh, h)
+			started = append(started, h)
 		}
 	}
-	q.tell(fresh, held)
+	q.send(started, entries)
 }
 
-// introduces says that this is the first owner of the role that was there before.
-func (q *quarantining) introduces(before registrar.Roster) bool {
-	for _, h := range q.roster.Owners(quarantineRole, tellers) {
+// introducesHosts reports whether this host is the first owner of the role that was on the
+// previous roster.
+func (q *quarantineSync) introducesHosts(before registrar.Roster) bool {
+	for _, h := range q.roster.Owners(quarantineRole, introducerCount) {
 		if _, old := before.Find(h.Name); old {
 			return h.Name == q.self
 		}
@@ -192,10 +194,10 @@
 	return false
 }
 
-// tell tells hosts what is held back.
-func (q *quarantining) tell(hosts []registrar.Record, held []quarantiner.Entry) {
+// send sends entries to hosts.
+func (q *quarantineSync) send(hosts []registrar.Record, entries []quarantiner.Entry) {
 	var m messenger.Quarantine
-	for _, h := range held {
+	for _, h := range entries {
 		m.Entries = append(m.Entries, messenger.QuarantineEntry{Fingerprint: uint64(h.Fingerprint), For: h.Remaining, Span: h.Duration, Workers: h.Workers})
 	}
 	var addresses []string
@@ -205,11 +207,11 @@
 		}
 	}
 	if err := q.sender.SendAll(addresses, m); err != nil {
-		q.log.Warn("tell quarantine", zap.Error(err))
+		q.log.Warn("sending quarantine failed", zap.Error(err))
 	}
 }
 
-func heldOf(m messenger.Quarantine) []quarantiner.Entry {
+func decodeQuarantine(m messenger.Quarantine) []quarantiner.Entry {
 	var out []quarantiner.Entry
 	for _, h := range m.Entries {
 		out = append(out, quarantiner.Entry{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), Remaining: h.For, Duration: h.Span, Workers: h.Workers})
@@ -217,11 +219,11 @@
 	return out
 }
 
-// register registers how many requests are held back.
-func (q *quarantining) register(r prometheus.Registerer) {
+// register registers the metric of quarantined requests.
+func (q *quarantineSync) register(r prometheus.Registerer) {
 	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "cicadawood_quarantined_requests", Help: "Requests that are held back as they ended workers.",
 	}, func() float64 { return float64(q.count.Load()) }))
 }
 
-func (quarantineHeard) event() {}
+func (quarantineReceived) event() {}
--- a/runner/quarantining_store.go
+++ b/runner/quarantining_store.go
@@ -13,114 +13,118 @@
 )
 
 const (
-	// quarantinePrefix is where the platform's store has what is held back, an object each.
+	// quarantinePrefix is the prefix of the quarantine's objects in the platform's store, one
+	// for each entry.
 	quarantinePrefix = "quarantine/"
-	// ownFor is how long a host owns the role before it calls the store: one that starts
-	// knows only itself at first.
-	ownFor = time.Second
-	// storeRetry is the pause after a failed call.
-	storeRetry = time.Second
+	// minOwnership is how long a host must own the role before it calls the store: a host that
+	// starts knows only itself at first, and so owns every role.
+	minOwnership = time.Second
+	// storeRetryDelay is the pause after a failed call.
+	storeRetryDelay = time.Second
 )
 
-// quarantineStore keeps the platform's store in step with what is held back, a call at a
-// time. Failure: all hosts lose power, and each request that is held back ends three
-// workers more. Only the goroutine of choosing touches it, but for jobs.
+// quarantineStore keeps the quarantine in the platform's store, one call at a time.
+// Without it, after a power failure of all hosts, each quarantined request would crash
+// three more workers. Only the goroutine that owns the quarantineSync accesses it, except
+// for jobs.
 type quarantineStore struct {
-	store  storer.Store
-	jobs   chan quarantineJob
-	tell   func(quarantineStored)
-	since  time.Time // that the host owns the role; zero where it does not
-	again  time.Time // no call before
-	busy   bool
-	stale  bool // the call under way began before the store came back
-	read   bool // what the store has is known
-	ours   bool // what it should have is known: this owner has read it before
-	stored []quarantiner.Fingerprint
+	store      storer.Store
+	jobs       chan quarantineJob
+	report     func(quarantineStoreResult)
+	ownedSince time.Time // when this host became the owner of the role; zero if it is not
+	retryAt    time.Time // no call before
+	busy       bool
+	stale      bool                      // the call under way began before the store was restored
+	loaded     bool                      // stored is known
+	adopted    bool                      // the stored entries were merged since this host became the owner
+	stored     []quarantiner.Fingerprint // fingerprints of the entries in the store
 }
 
-// quarantineJob is one call: what to write or remove, or to read all where neither is set.
+// quarantineJob is one call: an entry to write or one to remove; if neither is set, all
+// entries are read.
 type quarantineJob struct {
 	write  *quarantiner.Entry
 	remove quarantiner.Fingerprint
 }
 
-// quarantineStored is how a call ended.
-type quarantineStored struct {
+// quarantineStoreResult is the result of a call.
+type quarantineStoreResult struct {
 	quarantineJob
-	call string
-	held []quarantiner.Entry // that were read
-	bad  error               // of objects that can't be read; they are left out
-	err  error
+	call      string
+	entries   []quarantiner.Entry // entries read
+	malformed error               // errors of objects that can't be decoded; they are left out
+	err       error
 }
 
 func newQuarantineStore(s storer.Store) *quarantineStore {
 	return &quarantineStore{store: s, jobs: make(chan quarantineJob, 1)}
 }
 
-// sweep makes the next call that is due, where the host owns the role.
-func (q *quarantineStore) sweep(now time.Time, owns bool, held []quarantiner.Entry) {
+// sweep starts the next call that is due, if the host owns the role.
+func (q *quarantineStore) sweep(now time.Time, owns bool, entries []quarantiner.Entry) {
 	switch {
 	case !owns:
-		q.since, q.read, q.ours, q.stored = time.Time{}, false, false, nil
+		q.ownedSince, q.loaded, q.adopted, q.stored = time.Time{}, false, false, nil
 		return
-	case q.since.IsZero():
-		q.since = now
+	case q.ownedSince.IsZero():
+		q.ownedSince = now
 		return
-	case q.busy, now.Sub(q.since) < ownFor, now.Before(q.again):
+	case q.busy, now.Sub(q.ownedSince) < minOwnership, now.Before(q.retryAt):
 		return
 	}
-	if job, due := q.next(held); due {
+	if job, due := q.nextJob(entries); due {
 		q.busy = true
 		q.jobs <- job
 	}
 }
 
-// next is the first call that brings the store in step; false where it is.
-func (q *quarantineStore) next(held []quarantiner.Entry) (quarantineJob, bool) {
-	if !q.read {
+// nextJob returns the next call that brings the store in step, or false if it is.
+func (q *quarantineStore) nextJob(entries []quarantiner.Entry) (quarantineJob, bool) {
+	if !q.loaded {
 		return quarantineJob{}, true
 	}
-	for i := range held {
-		if !slices.Contains(q.stored, held[i].Fingerprint) {
-			return quarantineJob{write: &held[i]}, true
+	for i := range entries {
+		if !slices.Contains(q.stored, entries[i].Fingerprint) {
+			return quarantineJob{write: &entries[i]}, true
 		}
 	}
 	for _, f := range q.stored {
-		if !slices.ContainsFunc(held, func(h quarantiner.Entry) bool { return h.Fingerprint == f }) {
+		if !slices.ContainsFunc(entries, func(h quarantiner.Entry) bool { return h.Fingerprint == f }) {
 			return quarantineJob{remove: f}, true
 		}
 	}
 	return quarantineJob{}, false
 }
 
-// restore takes that the store came back from an older copy: what it has is to be read
-// anew. What was written last is then written again, and what was removed is removed.
-func (q *quarantineStore) restore() {
-	q.read, q.stored, q.stale = false, nil, q.busy
+// storeRestored handles that the store was restored from an older snapshot: the entries
+// are read again. Entries written since that snapshot are then written again, and those
+// removed since are removed again.
+func (q *quarantineStore) storeRestored() {
+	q.loaded, q.stored, q.stale = false, nil, q.busy
 }
 
-// done takes how a call ended, and returns what is held back by the store's word.
-func (q *quarantineStore) done(now time.Time, e quarantineStored) []quarantiner.Entry {
+// done handles the result of a call, and returns the entries to merge.
+func (q *quarantineStore) done(now time.Time, e quarantineStoreResult) []quarantiner.Entry {
 	q.busy = false
 	if q.stale {
-		q.stale = false // of before the store came back, or after: not known
+		q.stale = false // the call may have reached the store before or after it was restored
 		return nil
 	}
 	switch {
 	case e.err != nil:
-		q.again = now.Add(storeRetry)
+		q.retryAt = now.Add(storeRetryDelay)
 	case e.write != nil:
 		q.stored = append(q.stored, e.write.Fingerprint)
 	case e.remove != 0:
 		q.stored = slices.DeleteFunc(q.stored, func(f quarantiner.Fingerprint) bool { return f == e.remove })
 	default:
-		q.read = true
-		for _, h := range e.held {
+		q.loaded = true
+		for _, h := range e.entries {
 			q.stored = append(q.stored, h.Fingerprint)
 		}
-		if !q.ours {
-			q.ours = true
-			return e.held
+		if !q.adopted {
+			q.adopted = true
+			return e.entries
 		}
 	}
 	return nil
@@ -133,25 +137,25 @@
 		case <-ctx.Done():
 			return
 		case job := <-q.jobs:
-			q.tell(q.call(ctx, job))
+			q.report(q.call(ctx, job))
 		}
 	}
 }
 
-// storedHeld is a request that is held back, as the store has it. For how much longer is
-// not kept, as clocks may differ: it counts anew from the time that it is read.
-type storedHeld struct {
+// storedEntry is a quarantined request as it is stored. The remaining time is not stored,
+// as clocks may differ: the quarantine starts again in full when the entry is read.
+type storedEntry struct {
 	Fingerprint quarantiner.Fingerprint `json:"fingerprint"`
-	Span        time.Duration           `json:"span"` // nanoseconds
+	Span        time.Duration           `json:"span"` // in nanoseconds
 	Workers     []string                `json:"workers"`
 }
 
-func (q *quarantineStore) call(ctx context.Context, job quarantineJob) quarantineStored {
-	done := quarantineStored{quarantineJob: job}
+func (q *quarantineStore) call(ctx context.Context, job quarantineJob) quarantineStoreResult {
+	done := quarantineStoreResult{quarantineJob: job}
 	switch {
 	case job.write != nil:
 		done.call = "write"
-		value, err := json.Marshal(storedHeld{job.write.Fingerprint, job.write.Duration, job.write.Workers})
+		value, err := json.Marshal(storedEntry{job.write.Fingerprint, job.write.Duration, job.write.Workers})
 		if err == nil {
 			_, err = q.store.Put(ctx, quarantinePrefix+job.write.Fingerprint.String(), value, storer.Condition{})
 		}
@@ -163,26 +167,26 @@
 		}
 	default:
 		done.call = "read"
-		done.held, done.bad, done.err = q.list(ctx)
+		done.entries, done.malformed, done.err = q.list(ctx)
 	}
 	return done
 }
 
-// list reads what the store has, and says which objects can't be read.
-func (q *quarantineStore) list(ctx context.Context) (held []quarantiner.Entry, bad, err error) {
+// list reads the entries in the store, and reports objects that can't be decoded.
+func (q *quarantineStore) list(ctx context.Context) (entries []quarantiner.Entry, malformed, err error) {
 	objects, _, err := q.store.List(ctx, quarantinePrefix)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, o := range objects {
-		var h storedHeld
+		var h storedEntry
 		if err := json.Unmarshal(o.Value, &h); err != nil {
-			bad = errors.Join(bad, fmt.Errorf("%s: %w", o.Key, err))
+			malformed = errors.Join(malformed, fmt.Errorf("%s: %w", o.Key, err))
 			continue
 		}
-		held = append(held, quarantiner.Entry{Fingerprint: h.Fingerprint, Remaining: h.Span, Duration: h.Span, Workers: h.Workers})
+		entries = append(entries, quarantiner.Entry{Fingerprint: h.Fingerprint, Remaining: h.Span, Duration: h.Span, Workers: h.Workers})
 	}
-	return held, bad, nil
+	return entries, malformed, nil
 }
 
-func (quarantineStored) event() {}
+func (quarantineStoreResult) event() {}
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -22,18 +22,18 @@
 
 // routing is the parts of a host that answer host routes.
 type routing struct {
-	choosing *choosing
-	listing  *listing
+	choosing *selector
+	listing  *storeWatch
 	router   *router.Router
 	pool     *connector.Pool
 	close    func()
 }
 
 func newRouting(s loader.Host, store storer.Store, m sender, f *following, log *zap.Logger, registry prometheus.Registerer) *routing {
-	g := &routing{choosing: newChoosing(s.Name, s.Zone, m, store, s.Repeat, log)}
+	g := &routing{choosing: newSelector(s.Name, s.Zone, m, store, s.Repeat, log)}
 	g.choosing.quarantine.register(registry)
 	g.pool, g.close = connector.New()
-	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.choosing.post(e) }, next: g.choosing.next}
+	g.listing = &storeWatch{store: store, log: log, report: func(e storeResult) { g.choosing.post(e) }, nextCall: g.choosing.nextCall}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.choosing, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
 		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
@@ -48,17 +48,17 @@
 	}
 	switch m := m.(type) {
 	case messenger.FlightUpdate:
-		g.choosing.post(sharedHeard{from: from, shared: m})
+		g.choosing.post(flightsReceived{from: from, update: m})
 	case messenger.PlacementRequest:
-		g.choosing.post(seekHeard{from: from, seek: m})
+		g.choosing.post(placementRequested{from: from, request: m})
 	case messenger.PlacementReply:
-		g.choosing.post(soughtHeard{from: from, sought: m})
+		g.choosing.post(placementReplied{from: from, reply: m})
 	case messenger.Quarantine:
-		g.choosing.post(quarantineHeard{from: from, held: heldOf(m)})
+		g.choosing.post(quarantineReceived{from: from, entries: decodeQuarantine(m)})
 	case messenger.ListUpdate:
-		g.choosing.post(wordHeard{from: from, word: m})
+		g.choosing.post(listUpdateReceived{from: from, update: m})
 	case messenger.ListSnapshot:
-		g.choosing.post(entriesHeard{from: from, entries: m})
+		g.choosing.post(listSnapshotReceived{from: from, snapshot: m})
 	default:
 		return false
 	}
@@ -107,7 +107,7 @@
 func (h *Host) ready() http.Handler {
 	own := h.server.ReadyHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !h.routing.choosing.known.Load() {
+		if !h.routing.choosing.loaded.Load() {
 			http.Error(w, "no workers known", http.StatusServiceUnavailable)
 			return
 		}
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -12,63 +12,65 @@
 )
 
 const (
-	// sentWithin is how long what this host sent to a worker waits to be told to the
-	// others. Until they hear of it they pick the same worker: with 74 hosts and 590
-	// requests a second that is a dozen at once at 20 ms, and plans in time fall from
-	// 85 to 65 of 100 in the stand-in.
-	sentWithin = time.Millisecond
-	// restWithin is how long first events and ends wait: the same message takes all
-	// that happened meanwhile. Later than that costs less than one plan in 100.
-	restWithin = 20 * time.Millisecond
-	// restToDeciders is the same where a few decide for all. Failure: a listener gets
-	// such a message from every host; at 64 hosts and 20 ms these are 3,200 a second,
-	// and in a burst deciders on small hosts fell silent.
-	restToDeciders = 50 * time.Millisecond
-	// sentByDeciders is how long what was sent waits there: a decider tells four others.
-	sentByDeciders = 3 * time.Millisecond
+	// sentDelay is how long a request that this host sent to a worker waits to be reported
+	// to the other hosts. Until they receive it they select the same worker: with 74 hosts
+	// and 590 requests a second, 20 ms let a dozen requests go to one worker at once, and
+	// plans that met their deadline fell from 85 to 65 of 100 with stand-in workers.
+	sentDelay = time.Millisecond
+	// updateDelay is how long first events and ends wait, so that one message reports all
+	// that happens in that time. This delay costs less than one plan in 100.
+	updateDelay = 20 * time.Millisecond
+	// updateDelayToListeners is updateDelay where a few hosts decide for all. A listener
+	// receives such a message from every host: with 64 hosts and 20 ms that is 3,200 a
+	// second, and in a burst deciders on small hosts stopped replying.
+	updateDelayToListeners = 50 * time.Millisecond
+	// sentDelayToListeners is sentDelay where a few hosts decide for all: a decider reports
+	// only to the four other listeners.
+	sentDelayToListeners = 3 * time.Millisecond
 )
 
-// sharedHeard is what another host sent to workers.
-type sharedHeard struct {
+// flightsReceived is another host's update of the requests it sent to workers.
+type flightsReceived struct {
 	from   string
-	shared messenger.FlightUpdate
+	update messenger.FlightUpdate
 }
 
-// tellSent has the others told of a request that a host sends to a worker.
-func (p *choosing) tellSent(now time.Time, host string, f placer.Flight) {
-	s := sendingOf(f)
+// addSent adds a request that a host sends to a worker to the next update.
+func (p *selector) addSent(now time.Time, host string, f placer.Flight) {
+	s := encodeFlight(f)
 	s.Host = host
-	p.shared.Sent = append(p.shared.Sent, s)
-	p.tellWithin(now, p.within(sentWithin, sentByDeciders))
+	p.pendingUpdate.Sent = append(p.pendingUpdate.Sent, s)
+	p.scheduleUpdate(now, p.delayFor(sentDelay, sentDelayToListeners))
 }
 
-// tellEnded has the others told how a request at a worker ended. Failure: short requests
-// come faster than it is told that they ended. Each counts until then, all slots seem
-// taken, and callers are refused before idle workers. So the end of what was sent to a
-// worker that is filling is told as soon as what is sent.
-func (p *choosing) tellEnded(now time.Time, e sendEnded) {
-	p.shared.Ended = append(p.shared.Ended, messenger.FlightEnd{ID: e.id, Outcome: int(e.outcome)})
-	within := p.within(restWithin, restToDeciders)
-	if e.filling || e.outcome == placer.Disconnected {
-		within = p.within(sentWithin, sentByDeciders)
+// addEnded adds the end of a request at a worker to the next update. Short requests may
+// arrive faster than their ends are reported. Each counts until then, so that all slots
+// seem taken and callers are refused although workers are idle. So the end of a request
+// to a worker that is at least half full is reported with the short delay of sent
+// requests.
+func (p *selector) addEnded(now time.Time, e flightEnded) {
+	p.pendingUpdate.Ended = append(p.pendingUpdate.Ended, messenger.FlightEnd{ID: e.id, Outcome: int(e.outcome)})
+	delay := p.delayFor(updateDelay, updateDelayToListeners)
+	if e.halfFull || e.outcome == placer.Disconnected {
+		delay = p.delayFor(sentDelay, sentDelayToListeners)
 	}
-	p.tellWithin(now, within)
+	p.scheduleUpdate(now, delay)
 }
 
-func sendingOf(f placer.Flight) messenger.Flight {
+func encodeFlight(f placer.Flight) messenger.Flight {
 	s := messenger.Flight{ID: f.ID, Worker: f.Worker, Read: f.Prefill, Hold: f.Hold, Left: f.Left, Gap: f.Gap, Rank: f.Rank, Fetch: f.Fetch, Tier: f.Tier, Output: f.Output, Fingerprint: uint64(f.Fingerprint)}
-	s.Keys, s.Tokens = keysOf(f.Parts)
+	s.Keys, s.Tokens = splitParts(f.Parts)
 	return s
 }
 
-func flightOf(s messenger.Flight) placer.Flight {
+func decodeFlight(s messenger.Flight) placer.Flight {
 	return placer.Flight{
-		ID: s.ID, Worker: s.Worker, Parts: partsOf(s.Keys, s.Tokens), Prefill: s.Read, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
+		ID: s.ID, Worker: s.Worker, Parts: joinParts(s.Keys, s.Tokens), Prefill: s.Read, Hold: s.Hold, Left: s.Left, Gap: s.Gap, Rank: s.Rank, Fetch: s.Fetch, Tier: s.Tier, Output: s.Output,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
 
-func offersOf(list []placer.OfferedLoad) []messenger.Offer {
+func encodeOffers(list []placer.OfferedLoad) []messenger.Offer {
 	var out []messenger.Offer
 	for _, x := range list {
 		out = append(out, messenger.Offer{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Read: x.Prefill})
@@ -76,7 +78,7 @@
 	return out
 }
 
-func takenOf(list []messenger.Offer) []placer.OfferedLoad {
+func decodeOffers(list []messenger.Offer) []placer.OfferedLoad {
 	var out []placer.OfferedLoad
 	for _, x := range list {
 		out = append(out, placer.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Read})
@@ -84,40 +86,41 @@
 	return out
 }
 
-// within is a wait where each host decides for itself, or where few do for all.
-func (p *choosing) within(each, few time.Duration) time.Duration {
-	if len(p.deciding.deciders) == 0 {
+// delayFor returns the delay that applies: each where each host decides for itself,
+// few where a few hosts decide for all.
+func (p *selector) delayFor(each, few time.Duration) time.Duration {
+	if len(p.deciderSet.deciders) == 0 {
 		return each
 	}
 	return few
 }
 
-// tellWithin has the other hosts told of what happened within a time.
-func (p *choosing) tellWithin(now time.Time, within time.Duration) {
-	at := now.Add(within)
-	if p.shareAt.IsZero() || at.Before(p.shareAt) {
-		p.shareAt = at
-		p.share.Reset(within)
+// scheduleUpdate makes the next update leave within the given time at the latest.
+func (p *selector) scheduleUpdate(now time.Time, delay time.Duration) {
+	at := now.Add(delay)
+	if p.updateDue.IsZero() || at.Before(p.updateDue) {
+		p.updateDue = at
+		p.updateTimer.Reset(delay)
 	}
 }
 
-// tell tells the other hosts of what happened here.
-func (p *choosing) tell() {
-	p.shareAt = time.Time{}
-	m := p.shared
-	m.Refused = offersOf(p.view.DrainRefused())
-	p.shared = messenger.FlightUpdate{}
-	if len(p.deciding.deciders) == 0 {
-		p.toOthers(m)
+// sendUpdate sends what happened on this host since the last update to the other hosts.
+func (p *selector) sendUpdate() {
+	p.updateDue = time.Time{}
+	m := p.pendingUpdate
+	m.Refused = encodeOffers(p.view.DrainRefused())
+	p.pendingUpdate = messenger.FlightUpdate{}
+	if len(p.deciderSet.deciders) == 0 {
+		p.broadcast(m)
 		return
 	}
-	if err := p.sender.SendAll(p.deciding.others(p.self), m); err != nil {
-		p.log.Debug("tell deciders", zap.Error(err))
+	if err := p.sender.SendAll(p.deciderSet.otherListeners(p.self), m); err != nil {
+		p.log.Debug("sending flight update to deciders failed", zap.Error(err))
 	}
 }
 
-// toOthers sends a message to every other host that can be reached.
-func (p *choosing) toOthers(m messenger.Message) {
+// broadcast sends a message to every other reachable host.
+func (p *selector) broadcast(m messenger.Message) {
 	var addresses []string
 	for _, h := range p.roster.Hosts() {
 		if h.Name != p.self && !h.Unreachable {
@@ -125,30 +128,30 @@
 		}
 	}
 	if err := p.sender.SendAll(addresses, m); err != nil {
-		p.log.Debug("tell hosts", zap.Error(err))
+		p.log.Debug("sending to hosts failed", zap.Error(err))
 	}
 }
 
-// hear takes what another host sent to workers.
-func (p *choosing) hear(now time.Time, e sharedHeard) {
-	p.hearLimits(now, e.from, e.shared.Limits)
-	for _, s := range e.shared.Sent {
-		p.view.Receive(now, cmp.Or(s.Host, e.from), flightOf(s))
+// receiveFlights applies another host's flight update to the view.
+func (p *selector) receiveFlights(now time.Time, e flightsReceived) {
+	p.hearLimits(now, e.from, e.update.Limits)
+	for _, s := range e.update.Sent {
+		p.view.Receive(now, cmp.Or(s.Host, e.from), decodeFlight(s))
 	}
-	for i, id := range e.shared.Begun {
-		took := time.Duration(0) // a host of an older version does not say
-		if i < len(e.shared.Took) {
-			took = e.shared.Took[i]
+	for i, id := range e.update.Begun {
+		took := time.Duration(0) // hosts of an older version don't report it
+		if i < len(e.update.Took) {
+			took = e.update.Took[i]
 		}
 		p.view.BegunAfter(now, id, took)
 	}
-	p.view.ReceiveOffered(now, takenOf(e.shared.Refused))
-	for _, s := range e.shared.Running {
-		p.view.ReceiveRunning(now, cmp.Or(s.Host, e.from), placer.RunningFlight{Flight: flightOf(s), Begun: s.Begun})
+	p.view.ReceiveOffered(now, decodeOffers(e.update.Refused))
+	for _, s := range e.update.Running {
+		p.view.ReceiveRunning(now, cmp.Or(s.Host, e.from), placer.RunningFlight{Flight: decodeFlight(s), Begun: s.Begun})
 	}
-	for _, x := range e.shared.Ended {
+	for _, x := range e.update.Ended {
 		p.view.Ended(now, x.ID, placer.Outcome(x.Outcome))
 	}
 }
 
-func (sharedHeard) event() {}
+func (flightsReceived) event() {}
