--- a/runner/allocator.go
+++ b/runner/allocator.go
@@ -38,7 +38,7 @@
 
 // stoppingRefusal is the refusal of requests after the control goroutine has ended.
 func stoppingRefusal() server.Refusal {
-	return server.Refusal{Reason: "host_stopping", After: time.Second}
+	return server.Refusal{Reason: "host_stopping", RetryAfter: time.Second}
 }
 
 // post sends an event to the control goroutine. It returns false if that has ended:
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -195,7 +195,7 @@
 		return nil
 	}
 	if !w.Take(now, p.retryPolicy, p.maxHosts) {
-		return &router.Refused{Reason: "retry_budget", After: time.Second}
+		return &router.Refused{Reason: "retry_budget", RetryAfter: time.Second}
 	}
 	return nil
 }
@@ -235,7 +235,7 @@
 	var workers []placer.Worker
 	for _, e := range p.directory.Available() {
 		w := placer.Worker{
-			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, ColdFor: e.WarmUp, Instance: e.Incarnation,
+			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, WarmUp: e.WarmUp, Incarnation: e.Incarnation,
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -14,7 +14,7 @@
 func (p *selector) Place(ctx context.Context, a placer.Request, retry bool) (router.Placement, error) {
 	reply := make(chan workerReply, 1)
 	if !p.post(workerRequested{request: a, retry: retry, reply: reply}) {
-		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
+		return router.Placement{}, router.Refused{Reason: "host_stopping", RetryAfter: time.Second}
 	}
 	select {
 	case r := <-reply:
@@ -27,7 +27,7 @@
 		go p.giveBack(reply)
 		return router.Placement{}, ctx.Err()
 	case <-p.ended:
-		return router.Placement{}, router.Refused{Reason: "host_stopping", After: time.Second}
+		return router.Placement{}, router.Refused{Reason: "host_stopping", RetryAfter: time.Second}
 	}
 }
 
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -206,12 +206,12 @@
 	reply := messenger.PlacementReply{ID: s.ID}
 	choice, refusal := p.view.PlaceFor(now, e.from, rand.Uint64(), decodeRequest(s))
 	if refusal != nil {
-		reply.Why, reply.After, reply.Basis = refusal.Reason, refusal.RetryAfter, encodeBasis(choice.Basis)
+		reply.Reason, reply.RetryAfter, reply.Basis = refusal.Reason, refusal.RetryAfter, encodeBasis(choice.Basis)
 		p.scheduleUpdate(now, p.delayFor(updateDelay, updateDelayToListeners))
 	} else {
 		reply.Flight, reply.Worker, reply.Wait = choice.Flight.ID, choice.Worker.Name, choice.Wait
-		reply.Pause, reply.Read, reply.Source, reply.Filling = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
-		reply.Limit = p.view.RateLimit(choice.Worker.Name)
+		reply.Delay, reply.Prefill, reply.Source, reply.HalfFull = choice.Delay, choice.Flight.Prefill, choice.Source, choice.Filling
+		reply.RateLimit = p.view.RateLimit(choice.Worker.Name)
 		p.addSent(now, e.from, choice.Flight)
 	}
 	if err := p.sender.Send(s.Reply, reply); err != nil {
@@ -231,11 +231,11 @@
 	w, available := p.view.Worker(s.Worker)
 	switch {
 	case s.Flight == 0 && waiting:
-		x.requested.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Why, RetryAfter: s.After}, decodeBasis(s.Basis))
+		x.requested.reply <- refusedBy(e.from, placer.Refusal{Reason: s.Reason, RetryAfter: s.RetryAfter}, decodeBasis(s.Basis))
 	case s.Flight == 0:
 	case waiting && available:
 		x.requested.reply <- workerReply{placement: router.Placement{
-			ID: s.Flight, Service: x.requested.request.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Pause, Source: s.Source, PromptTokens: s.Read, HalfFull: s.Filling, ListAge: now.Sub(p.updatedAt), PlacedBy: e.from, RateLimit: s.Limit,
+			ID: s.Flight, Service: x.requested.request.Service, Worker: w, ExpectedWait: s.Wait, Delay: s.Delay, Source: s.Source, PromptTokens: s.Prefill, HalfFull: s.HalfFull, ListAge: now.Sub(p.updatedAt), PlacedBy: e.from, RateLimit: s.RateLimit,
 		}}
 	default:
 		p.addEnded(now, flightEnded{id: s.Flight, outcome: placer.Canceled})
@@ -248,7 +248,7 @@
 // refusedBy returns the reply to a request that a view refused. The retry time is
 // jittered, so that callers refused together don't return together.
 func refusedBy(host string, r placer.Refusal, b placer.Basis) workerReply {
-	return workerReply{refused: &router.Refused{Reason: r.Reason, After: retrier.Jitter(r.RetryAfter, rand.Float64()), RefusedBy: host, Basis: b}}
+	return workerReply{refused: &router.Refused{Reason: r.Reason, RetryAfter: retrier.Jitter(r.RetryAfter, rand.Float64()), RefusedBy: host, Basis: b}}
 }
 
 // decodeBasis returns the figures on which another host refused a request. Hosts of an
@@ -268,7 +268,7 @@
 func encodeRequest(id uint64, self registrar.Record, a placer.Request) messenger.PlacementRequest {
 	s := messenger.PlacementRequest{
 		ID: id, Reply: self.Control, Zone: self.Zone, Service: a.Service, Prompt: a.Prompt, Output: a.Output, Rank: a.Rank,
-		Left: a.Left, Patience: a.FirstEventTimeout, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
+		Left: a.Left, FirstEventTimeout: a.FirstEventTimeout, Target: a.Target, Gap: a.Gap, Exclude: a.Exclude, Tier: a.Tier, Expected: a.Expected,
 		Fingerprint: uint64(a.Fingerprint),
 	}
 	s.Keys, s.Tokens = splitParts(a.Parts)
@@ -278,7 +278,7 @@
 func decodeRequest(s messenger.PlacementRequest) placer.Request {
 	return placer.Request{
 		Service: s.Service, Zone: s.Zone, Parts: joinParts(s.Keys, s.Tokens), Prompt: s.Prompt, Output: s.Output, Rank: s.Rank,
-		Left: s.Left, FirstEventTimeout: s.Patience, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
+		Left: s.Left, FirstEventTimeout: s.FirstEventTimeout, Target: s.Target, Gap: s.Gap, Exclude: s.Exclude, Tier: s.Tier, Expected: s.Expected,
 		Fingerprint: quarantiner.Fingerprint(s.Fingerprint),
 	}
 }
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -63,7 +63,7 @@
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 		got = c.Ask(now, quote)
 		to, s = lastRequest()
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Why: "overload", After: time.Second})
+		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Reason: "overload", RetryAfter: time.Second})
 		Eventually(got).Should(Receive(Equal("refused overload")))
 	})
 
@@ -106,7 +106,7 @@
 		}
 		minTimeout := c.Patience()
 		for name, id := range late {
-			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Why: "slots", After: time.Second})
+			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
 		}
 		Expect(c.Patience()).To(And(BeNumerically(">", minTimeout), BeNumerically("<=", 200*time.Millisecond)))
 		before := len(out)
@@ -182,7 +182,7 @@
 		}
 		// The decider reports to the host that asked that the worker is half full.
 		decider.Hear(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
-		Expect(out[len(out)-1].m.(messenger.PlacementReply).Filling).To(BeTrue())
+		Expect(out[len(out)-1].m.(messenger.PlacementReply).HalfFull).To(BeTrue())
 	})
 
 	// Guards against parts of a request that are lost on the way to the decider, which would
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -39,7 +39,7 @@
 	succeeded := u.FirstByte > 0 && !u.Failed
 	switch {
 	case u.ClosedByPeer:
-		m.Event = messenger.WorkerEnded
+		m.Event = messenger.WorkerCrashed
 	case succeeded && q.tracker.Suspected(u.Fingerprint):
 		m.Event, m.Took = messenger.WorkerAnswered, u.Took-u.FirstByte
 	case succeeded && q.tracker.Alive(now, worker, now.Add(u.FirstByte-u.Took)):
@@ -63,7 +63,7 @@
 	}
 	f := quarantiner.Fingerprint(m.Fingerprint)
 	switch m.Event {
-	case messenger.WorkerEnded:
+	case messenger.WorkerCrashed:
 		q.tracker.WorkerCrashed(now, f, m.Worker, now.Add(-m.Took))
 	case messenger.WorkerAnswered:
 		q.tracker.Answered(f)
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -105,8 +105,8 @@
 	q.published.Store(&until)
 }
 
-// Held implements server.Quarantine.
-func (q *quarantineSync) Held(f quarantiner.Fingerprint) (time.Duration, bool) {
+// Quarantined implements server.Quarantine.
+func (q *quarantineSync) Quarantined(f quarantiner.Fingerprint) (time.Duration, bool) {
 	published := q.published.Load()
 	if published == nil {
 		return 0, false
@@ -198,7 +198,7 @@
 func (q *quarantineSync) send(hosts []registrar.Record, entries []quarantiner.Entry) {
 	var m messenger.Quarantine
 	for _, h := range entries {
-		m.Entries = append(m.Entries, messenger.QuarantineEntry{Fingerprint: uint64(h.Fingerprint), For: h.Remaining, Span: h.Duration, Workers: h.Workers})
+		m.Entries = append(m.Entries, messenger.QuarantineEntry{Fingerprint: uint64(h.Fingerprint), Remaining: h.Remaining, Duration: h.Duration, Workers: h.Workers})
 	}
 	var addresses []string
 	for _, h := range hosts {
@@ -214,7 +214,7 @@
 func decodeQuarantine(m messenger.Quarantine) []quarantiner.Entry {
 	var out []quarantiner.Entry
 	for _, h := range m.Entries {
-		out = append(out, quarantiner.Entry{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), Remaining: h.For, Duration: h.Span, Workers: h.Workers})
+		out = append(out, quarantiner.Entry{Fingerprint: quarantiner.Fingerprint(h.Fingerprint), Remaining: h.Remaining, Duration: h.Duration, Workers: h.Workers})
 	}
 	return out
 }
