--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -43,7 +43,7 @@
 	view          *placer.View
 	directory     observer.Directory
 	relay         *relayer.Relay
-	onEra         func(era uint64, source string) // if set, receives the store's era of each list
+	onEra         func(era uint64, source string) // if set, receives the era of each list that another host sent
 	lastHeartbeat time.Time                       // when this host last announced that its list is up to date
 	announced     bool                            // it announced so and has not withdrawn it
 	updatedAt     time.Time                       // when the store, or a host that watches it, last sent the list or its changes
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -156,8 +156,7 @@
 // workerName identifies a worker.
 type workerName struct{ service, name string }
 
-// updateWorkers reports whether the set of workers that may get new work has changed,
-// and logs each change.
+// updateWorkers records which workers may get new work, and reports whether that changed.
 func (c *control) updateWorkers(now time.Time) bool {
 	var changed []observer.State // new, or with a changed state
 	var unavailable int64
@@ -179,7 +178,8 @@
 	return c.forgetWorkers(now, count) || len(changed) > 0
 }
 
-// recordWorker records and logs a worker's new state.
+// recordWorker records a worker's new state, and logs it unless the worker is new and
+// available.
 func (c *control) recordWorker(s observer.State) {
 	n := workerName{s.Service, s.Name}
 	_, known := c.present[n]
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -37,8 +37,8 @@
 	sweepDue  time.Time                                             // when the next sweep is due, if nothing else calls sweep
 }
 
-func newQuarantineSync(self string, s sender, store storer.Store, b *quarantiner.Tracker, log *zap.Logger) *quarantineSync {
-	return &quarantineSync{self: self, sender: s, log: log, tracker: b, store: newQuarantineStore(store)}
+func newQuarantineSync(self string, s sender, store storer.Store, tracker *quarantiner.Tracker, log *zap.Logger) *quarantineSync {
+	return &quarantineSync{self: self, sender: s, log: log, tracker: tracker, store: newQuarantineStore(store)}
 }
 
 // quarantineReceived is what another host has quarantined.
--- a/runner/quarantining_test.go
+++ b/runner/quarantining_test.go
@@ -27,14 +27,14 @@
 	})
 	// sweep advances the time and makes the call that is due. It returns what was read, and
 	// whether a call was made and succeeded.
-	sweep := func(d time.Duration, owns bool, held ...quarantiner.Entry) ([]quarantiner.Entry, bool) {
+	sweep := func(d time.Duration, owns bool, entries ...quarantiner.Entry) ([]quarantiner.Entry, bool) {
 		now = now.Add(d)
-		read, _, err, due := q.Sweep(now, owns, held)
+		read, _, err, due := q.Sweep(now, owns, entries)
 		return read, due && err == nil
 	}
-	own := func(held ...quarantiner.Entry) []quarantiner.Entry {
-		sweep(0, true, held...)
-		read, ok := sweep(time.Second, true, held...)
+	own := func(entries ...quarantiner.Entry) []quarantiner.Entry {
+		sweep(0, true, entries...)
+		read, ok := sweep(time.Second, true, entries...)
 		Expect(ok).To(BeTrue())
 		return read
 	}
@@ -43,11 +43,11 @@
 		_, called := sweep(0, false, entry)
 		Expect(called).To(BeFalse(), "another owns the role")
 		Expect(own(entry)).To(BeEmpty())
-		for _, held := range [][]quarantiner.Entry{{entry}, nil} {
-			_, called = sweep(time.Second, true, held...)
+		for _, entries := range [][]quarantiner.Entry{{entry}, nil} {
+			_, called = sweep(time.Second, true, entries...)
 			Expect(called).To(BeTrue())
-			Expect(fake.Has("quarantine")).To(Equal(len(held) > 0))
-			_, called = sweep(time.Second, true, held...)
+			Expect(fake.Has("quarantine")).To(Equal(len(entries) > 0))
+			_, called = sweep(time.Second, true, entries...)
 			Expect(called).To(BeFalse(), "no change")
 		}
 	})
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func encodeOffers(list []placer.OfferedLoad) []messenger.OfferedLoad {
+func encodeOfferedLoads(list []placer.OfferedLoad) []messenger.OfferedLoad {
 	var out []messenger.OfferedLoad
 	for _, x := range list {
 		out = append(out, messenger.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Prefill})
@@ -78,7 +78,7 @@
 	return out
 }
 
-func decodeOffers(list []messenger.OfferedLoad) []placer.OfferedLoad {
+func decodeOfferedLoads(list []messenger.OfferedLoad) []placer.OfferedLoad {
 	var out []placer.OfferedLoad
 	for _, x := range list {
 		out = append(out, placer.OfferedLoad{Service: x.Service, Tier: x.Tier, Count: x.Count, Output: x.Output, Prefill: x.Prefill})
@@ -108,7 +108,7 @@
 func (p *selector) sendUpdate() {
 	p.updateDue = time.Time{}
 	m := p.pendingUpdate
-	m.Refused = encodeOffers(p.view.DrainRefused())
+	m.Refused = encodeOfferedLoads(p.view.DrainRefused())
 	p.pendingUpdate = messenger.FlightUpdate{}
 	if len(p.deciderSet.deciders) == 0 {
 		p.broadcast(m)
@@ -145,7 +145,7 @@
 		}
 		p.view.BegunAfter(now, id, took)
 	}
-	p.view.ReceiveOffered(now, decodeOffers(e.update.Refused))
+	p.view.ReceiveOffered(now, decodeOfferedLoads(e.update.Refused))
 	for _, s := range e.update.Running {
 		p.view.ReceiveRunning(now, cmp.Or(s.Host, e.from), placer.RunningFlight{Flight: decodeFlight(s), Begun: s.Begun})
 	}
