--- a/router/index.go
+++ b/router/index.go
@@ -100,8 +100,8 @@
 // ranks returns the number of ranks.
 func (x *index) ranks() int { return len(x.tiers) * len(x.routeTiers) }
 
-// pickService picks one of the route's services by weight. share is in [0, 1).
-func (t target) pickService(share float64) string {
+// service picks one of the route's services by weight. share is in [0, 1).
+func (t target) service(share float64) string {
 	sum := 0
 	for _, s := range t.Services {
 		sum += s.Weight
--- a/router/router.go
+++ b/router/router.go
@@ -200,7 +200,7 @@
 		return f
 	}
 	q.fingerprint = quarantiner.FingerprintOf(q.organisation, q.method, q.uri, q.body)
-	q.service = q.target.pickService(rand.Float64())
+	q.service = q.target.service(rand.Float64())
 	q.placement = r.placementRequest(q)
 	return nil
 }
