--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -65,7 +65,7 @@
 func (q *quarantineSync) sweep(now time.Time) {
 	q.tracker.Sweep(now)
 	for _, f := range q.tracker.DrainReleased() {
-		q.log.Info("quarantine", zap.Stringer("fingerprint", f), zap.String("state", "released"), zap.String("why", "expired"))
+		q.log.Info("quarantine", zap.Stringer("fingerprint", f), zap.String("state", "let go"), zap.String("why", "its time is over"))
 	}
 	q.publish(now)
 	q.store.sweep(now, q.owns(), q.tracker.List(now))
@@ -116,7 +116,7 @@
 }
 
 func (q *quarantineSync) logQuarantined(why string, h quarantiner.Entry) {
-	q.log.Warn("quarantine", zap.Stringer("fingerprint", h.Fingerprint), zap.String("state", "quarantined"), zap.String("why", why),
+	q.log.Warn("quarantine", zap.Stringer("fingerprint", h.Fingerprint), zap.String("state", "held back"), zap.String("why", why),
 		zap.Strings("workers", h.Workers), zap.Duration("for", h.Remaining), zap.Duration("span", h.Duration))
 }
 
