--- a/messenger/message_config.go
+++ b/messenger/message_config.go
@@ -15,7 +15,7 @@
 }
 
 // ConfigReply answers a ConfigRequest with the packed configuration in force,
-// of at most publisher.MaxObject bytes, which fits into one frame. Packed is
+// of at most publisher.MaxObjectBytes bytes, which fits into one frame. Packed is
 // empty if the sender has nothing newer than the request named.
 type ConfigReply struct {
 	Packed []byte `msgpack:"packed"`
