--- a/bencher/worker.go
+++ b/bencher/worker.go
@@ -58,7 +58,7 @@
 		prefill += c.prefill
 	}
 	m := w.model
-	m.Slow = w.slow
+	m.SlowFactor = w.slow
 	return m.StepTime(len(w.batch), prefill)
 }
 
--- a/cmd/faker/cmd_link.go
+++ b/cmd/faker/cmd_link.go
@@ -20,7 +20,7 @@
 		m := http.NewServeMux()
 		m.HandleFunc("PUT /{mode}", func(_ http.ResponseWriter, r *http.Request) {
 			delay, _ := time.ParseDuration(r.URL.Query().Get("delay"))
-			k.Set(faker.Mode(r.PathValue("mode")), delay)
+			k.Set(faker.LinkMode(r.PathValue("mode")), delay)
 		})
 		return serve(c.Context(), args[2], m)
 	}}
--- a/cmd/faker/cmd_sample.go
+++ b/cmd/faker/cmd_sample.go
@@ -30,10 +30,10 @@
 		if err != nil {
 			return err
 		}
-		rate := after.Rate(before, time.Since(started))
-		return json.NewEncoder(c.OutOrStdout()).Encode(driver.NewPoint(series, size, rate, len(s.Processes)))
+		rate := after.RateSince(before, time.Since(started))
+		return json.NewEncoder(c.OutOrStdout()).Encode(driver.NewPoint(series, size, rate, len(s.PIDs)))
 	}}
-	c.Flags().IntSliceVar(&s.Processes, "process", nil, "process id of a host; may be repeated")
+	c.Flags().IntSliceVar(&s.PIDs, "process", nil, "process id of a host; may be repeated")
 	c.Flags().StringSliceVar(&s.Admins, "admin", nil, "admin address of a host; may be repeated")
 	c.Flags().StringVar(&s.Platform, "platform", "", "address of the fake platform")
 	c.Flags().DurationVar(&length, "length", 8*time.Second, "how long to measure")
--- a/cmd/faker/cmd_traffic.go
+++ b/cmd/faker/cmd_traffic.go
@@ -20,7 +20,7 @@
 		if err := report.Print(c.OutOrStdout()); err != nil {
 			return err
 		}
-		if !report.Good() {
+		if !report.Passed() {
 			return fmt.Errorf("requests were lost or doubled")
 		}
 		return nil
--- a/cmd/oncebench/simulation.go
+++ b/cmd/oncebench/simulation.go
@@ -42,7 +42,7 @@
 	rate    float64
 	random  *rand.Rand
 	keeper  *keeper.Keeper
-	agenda  faker.Agenda
+	agenda  faker.EventQueue
 	version storer.Version
 	began   map[string]time.Time
 	figures figures
--- a/commander/cmd_push.go
+++ b/commander/cmd_push.go
@@ -66,7 +66,7 @@
 	case errors.As(err, &clash), errors.Is(err, publisher.ErrRaced), errors.Is(err, publisher.ErrRestored), errors.Is(err, publisher.ErrMerged):
 		return exitError{code: ExitConflict, err: err}
 	case errors.Is(err, publisher.ErrUnsettled):
-		return exitError{code: ExitUnsettled, err: err}
+		return exitError{code: ExitOutcomeUnknown, err: err}
 	case errors.Is(err, publisher.ErrTooLarge):
 		return usage(err)
 	}
--- a/commander/command.go
+++ b/commander/command.go
@@ -22,8 +22,8 @@
 	ExitUsage    = 2 // the call or a settings file is wrong
 	ExitConflict = 3 // another operator's change stands in the way
 	ExitDiffers  = 4 // diff found differences
-	// ExitUnsettled is a push that may have landed: push again.
-	ExitUnsettled = 5
+	// ExitOutcomeUnknown is a push that may have landed: push again.
+	ExitOutcomeUnknown = 5
 )
 
 // command is one command of the program.
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -119,7 +119,7 @@
 		write(ben, "20.json", `{"classes": {"chat": {"tier": 1, "whole": "9s"}}}`)
 		trap = true
 		_, stderr, code := run("", "push", ben)
-		Expect(code).To(Equal(commander.ExitUnsettled))
+		Expect(code).To(Equal(commander.ExitOutcomeUnknown))
 		Expect(stderr).To(ContainSubstring("the push may have landed; push again"))
 		platform.SetFaults(faker.Faults{})
 		out, _, code := run("", "push", ben)
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -41,7 +41,7 @@
 		t := driver.Traffic{Hosts: []string{host.Listener.Addr().String()}, Length: 100 * time.Millisecond, Rate: 400}
 		r, err := t.Run(context.Background())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(r.Good()).To(Equal(good))
+		Expect(r.Passed()).To(Equal(good))
 	},
 	Entry("whole", true, faker.Token("cw-1", 0), faker.Token("cw-1", 1)),
 	Entry("doubled", false, faker.Token("cw-1", 0), faker.Token("cw-1", 0), faker.Token("cw-1", 1)),
--- a/driver/histogram_test.go
+++ b/driver/histogram_test.go
@@ -13,8 +13,8 @@
 // slowest call is missing from the very figure that it should show in.
 var _ = Describe("Times of calls", func() {
 	It("count one beyond the longest as the longest", func() {
-		longest := driver.TimesAt(100, time.Millisecond, time.Hour)
+		longest := driver.TimeAtPercentile(100, time.Millisecond, time.Hour)
 		Expect(longest).To(BeNumerically("~", 2*time.Minute, 200*time.Millisecond))
-		Expect(driver.TimesAt(50, time.Millisecond, time.Hour)).To(BeNumerically("~", time.Millisecond, time.Microsecond))
+		Expect(driver.TimeAtPercentile(50, time.Millisecond, time.Hour)).To(BeNumerically("~", time.Millisecond, time.Microsecond))
 	})
 })
--- a/driver/path.go
+++ b/driver/path.go
@@ -18,18 +18,18 @@
 // openAtOnce bounds the streams that wait for their first token together.
 const openAtOnce = 3000
 
-// Path measures what a host adds to a call: the same calls through the host and
+// PathBenchmark measures what a host adds to a call: the same calls through the host and
 // directly to the engine, in turns, in one run.
-type Path struct {
-	Host    string // IP:port of the host's entry
-	Engine  string // IP:port of the engine
-	Key     string // API key
-	Process int    // process id of the host
-	Rounds  int    // of each way
-	Calls   int    // a round
-	Workers int    // calls at once in the throughput part
-	Tokens  int    // at most, a call
-	Streams int    // open at once in the memory part; 0 leaves it out
+type PathBenchmark struct {
+	Host          string // IP:port of the host's entry
+	Engine        string // IP:port of the engine
+	Key           string // API key
+	HostPID       int    // process id of the host
+	Rounds        int    // of each way
+	CallsPerRound int    // a round
+	Concurrency   int    // calls at once in the throughput part
+	Tokens        int    // at most, a call
+	Streams       int    // open at once in the memory part; 0 leaves it out
 }
 
 // way is one of the two paths, and what its rounds measured.
@@ -46,8 +46,8 @@
 }
 
 // Run measures and prints.
-func (p Path) Run(ctx context.Context, out io.Writer) error {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.Workers + 4}}
+func (p PathBenchmark) Run(ctx context.Context, out io.Writer) error {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.Concurrency + 4}}
 	ways := []*way{{name: "direct", address: p.Engine}, {name: "host", address: p.Host}}
 	for range p.Rounds {
 		for _, w := range ways {
@@ -71,9 +71,9 @@
 }
 
 // latency runs a round of calls one after the other.
-func (p Path) latency(ctx context.Context, client *http.Client, w *way) error {
+func (p PathBenchmark) latency(ctx context.Context, client *http.Client, w *way) error {
 	first, whole := newTimes(), newTimes()
-	for i := range p.Calls {
+	for i := range p.CallsPerRound {
 		f, all, _, err := p.call(ctx, client, w.address, p.Tokens, fmt.Sprint(i))
 		if err != nil {
 			return err
@@ -90,17 +90,17 @@
 }
 
 // throughput runs a round of calls from many workers at once.
-func (p Path) throughput(ctx context.Context, client *http.Client, w *way) error {
-	before, _, err := usage(p.Process)
+func (p PathBenchmark) throughput(ctx context.Context, client *http.Client, w *way) error {
+	before, _, err := usage(p.HostPID)
 	if err != nil {
 		return err
 	}
 	started := time.Now()
 	var left, tokens atomic.Int64
-	left.Store(int64(p.Calls * 4))
+	left.Store(int64(p.CallsPerRound * 4))
 	var failed atomic.Value
 	var tasks sync.WaitGroup
-	for range p.Workers {
+	for range p.Concurrency {
 		tasks.Go(func() {
 			for left.Add(-1) >= 0 {
 				_, _, n, err := p.call(ctx, client, w.address, p.Tokens, "load")
@@ -117,11 +117,11 @@
 		return err
 	}
 	took := time.Since(started).Seconds()
-	after, _, err := usage(p.Process)
+	after, _, err := usage(p.HostPID)
 	if err != nil {
 		return err
 	}
-	w.rate = append(w.rate, float64(p.Calls*4)/took)
+	w.rate = append(w.rate, float64(p.CallsPerRound*4)/took)
 	w.tokens = append(w.tokens, float64(tokens.Load())/took)
 	w.core = append(w.core, (after-before)/took)
 	return nil
@@ -129,7 +129,7 @@
 
 // call makes one streamed call and returns the time to its first event, to its
 // end, and its tokens.
-func (p Path) call(ctx context.Context, client *http.Client, address string, tokens int, id string) (first, whole time.Duration, n int, err error) {
+func (p PathBenchmark) call(ctx context.Context, client *http.Client, address string, tokens int, id string) (first, whole time.Duration, n int, err error) {
 	started := time.Now()
 	resp, err := p.open(ctx, client, address, tokens, id)
 	if err != nil {
@@ -156,7 +156,7 @@
 	return first, time.Since(started), n, nil
 }
 
-func (p Path) open(ctx context.Context, client *http.Client, address string, tokens int, id string) (*http.Response, error) {
+func (p PathBenchmark) open(ctx context.Context, client *http.Client, address string, tokens int, id string) (*http.Response, error) {
 	body := fmt.Sprintf(`{"model":"cicada-lm","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -172,10 +172,10 @@
 }
 
 // memory opens many streams and reads the host's memory before and after.
-func (p Path) memory(ctx context.Context, out io.Writer) error {
+func (p PathBenchmark) memory(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	_, before, err := usage(p.Process)
+	_, before, err := usage(p.HostPID)
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 		})
 	}
 	tasks.Wait()
-	_, after, err := usage(p.Process)
+	_, after, err := usage(p.HostPID)
 	if err != nil {
 		return err
 	}
@@ -208,7 +208,7 @@
 	return nil
 }
 
-func (p Path) print(out io.Writer, ways []*way) error {
+func (p PathBenchmark) print(out io.Writer, ways []*way) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "median of %d rounds (lowest to highest)\tdirect\thost\thost-direct\thost/direct\t\n", p.Rounds)
 	d, h := ways[0], ways[1]
--- a/driver/report.go
+++ b/driver/report.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Good says that no request was lost, doubled or answered wrongly, and no "not run" was untrue.
-func (r *Report) Good() bool {
+// Passed says that no request was lost, doubled or answered wrongly, and no "not run" was untrue.
+func (r *Report) Passed() bool {
 	return r.count(lost) == 0 && r.count(wrong) == 0 && r.doubled == 0 && r.untrue == 0
 }
 
--- a/driver/sampler.go
+++ b/driver/sampler.go
@@ -29,15 +29,15 @@
 
 // Sampler reads samples of hosts.
 type Sampler struct {
-	Processes []int    // process ids
-	Admins    []string // admin addresses, for control bytes
-	Platform  string   // address of the fake platform, for its calls
+	PIDs     []int    // process ids
+	Admins   []string // admin addresses, for control bytes
+	Platform string   // address of the fake platform, for its calls
 }
 
 // Take reads one sample.
 func (s Sampler) Take(ctx context.Context) (Sample, error) {
 	var out Sample
-	for _, p := range s.Processes {
+	for _, p := range s.PIDs {
 		cpu, resident, err := usage(p)
 		if err != nil {
 			return out, err
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// Rate is what was used a second between two samples, and the memory at the later.
-func (s Sample) Rate(earlier Sample, took time.Duration) Sample {
+// RateSince is what was used a second between two samples, and the memory at the later.
+func (s Sample) RateSince(earlier Sample, took time.Duration) Sample {
 	t := took.Seconds()
 	return Sample{
 		CPU: (s.CPU - earlier.CPU) / t, Resident: s.Resident,
--- a/driver/slope.go
+++ b/driver/slope.go
@@ -15,14 +15,14 @@
 
 // Point is what one host used a second while one thing had a certain size.
 type Point struct {
-	Series string  `json:"series"` // what grew
-	Size   float64 `json:"size"`
-	CPU    float64 `json:"cpu"`      // microseconds of processor a second
-	Memory float64 `json:"memory"`   // bytes, resident
-	Sent   float64 `json:"sent"`     // bytes a second to other hosts
-	Got    float64 `json:"received"` // bytes a second from other hosts
-	Reads  float64 `json:"reads"`    // of the Object API a second, all hosts together
-	Writes float64 `json:"writes"`   // of the Object API a second, all hosts together
+	Series   string  `json:"series"` // what grew
+	Size     float64 `json:"size"`
+	CPU      float64 `json:"cpu"`      // microseconds of processor a second
+	Memory   float64 `json:"memory"`   // bytes, resident
+	Sent     float64 `json:"sent"`     // bytes a second to other hosts
+	Received float64 `json:"received"` // bytes a second from other hosts
+	Reads    float64 `json:"reads"`    // of the Object API a second, all hosts together
+	Writes   float64 `json:"writes"`   // of the Object API a second, all hosts together
 }
 
 // NewPoint is a sample's rate, shared out over hosts.
@@ -30,7 +30,7 @@
 	n := float64(hosts)
 	return Point{
 		Series: series, Size: size, CPU: rate.CPU * 1e6 / n, Memory: rate.Resident / n,
-		Sent: rate.Sent / n, Got: rate.Received / n, Reads: rate.Reads, Writes: rate.Writes,
+		Sent: rate.Sent / n, Received: rate.Received / n, Reads: rate.Reads, Writes: rate.Writes,
 	}
 }
 
@@ -42,7 +42,7 @@
 	{"cpu us/s a host", func(p Point) float64 { return p.CPU }},
 	{"memory KB a host", func(p Point) float64 { return p.Memory / 1e3 }},
 	{"sent B/s a host", func(p Point) float64 { return p.Sent }},
-	{"received B/s a host", func(p Point) float64 { return p.Got }},
+	{"received B/s a host", func(p Point) float64 { return p.Received }},
 	{"store reads/s in all", func(p Point) float64 { return p.Reads }},
 	{"store writes/s in all", func(p Point) float64 { return p.Writes }},
 }
--- a/faker/agenda.go
+++ b/faker/agenda.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Agenda is what happens at which virtual time. What is due at one time happens
+// EventQueue is what happens at which virtual time. What is due at one time happens
 // in the order in which it was added, so that a run is the same each time. The
 // zero value is empty.
-type Agenda struct {
+type EventQueue struct {
 	items  agendaItems
 	serial int
 }
 
 // Add has do happen at a time.
-func (a *Agenda) Add(at time.Time, do func()) {
+func (a *EventQueue) Add(at time.Time, do func()) {
 	a.serial++
 	heap.Push(&a.items, agendaItem{at: at, serial: a.serial, do: do})
 }
 
 // Next takes out what is due first, where that is not after until.
-func (a *Agenda) Next(until time.Time) (at time.Time, do func(), ok bool) {
+func (a *EventQueue) Next(until time.Time) (at time.Time, do func(), ok bool) {
 	if len(a.items) == 0 || a.items[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
--- a/faker/answer.go
+++ b/faker/answer.go
@@ -71,7 +71,7 @@
 	}
 	fmt.Fprintf(a.w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"total_tokens\":%d}}\n\n", a.id, a.model, a.prompt, n, a.prompt+n)
 	flush(a.w)
-	if a.point(AtMark) {
+	if a.point(AtDone) {
 		fmt.Fprint(a.w, "data: [DONE]\n\n")
 	}
 }
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -27,7 +27,7 @@
 	name   string
 	model  Model
 	calls  *Counter
-	faults *Failures
+	faults *FaultInjector
 
 	mu       sync.Mutex
 	waiting  []*sequence
@@ -62,15 +62,15 @@
 
 // NewEngine returns a fake engine.
 func NewEngine(name string, m Model, c *Counter) *Engine {
-	return &Engine{name: name, model: m, calls: c, faults: &Failures{}}
+	return &Engine{name: name, model: m, calls: c, faults: &FaultInjector{}}
 }
 
-// Failures is the faults in force.
-func (e *Engine) Failures() *Failures { return e.faults }
+// Injector is the faults in force.
+func (e *Engine) Injector() *FaultInjector { return e.faults }
 
-// SetFaults shares the faults of others, so that a plan hits their calls in the
+// ShareInjector shares the faults of others, so that a plan hits their calls in the
 // order in which they come. It comes before the first call.
-func (e *Engine) SetFaults(f *Failures) { e.faults = f }
+func (e *Engine) ShareInjector(f *FaultInjector) { e.faults = f }
 
 // SetFencing sets whether old fencing numbers are refused, from now on.
 func (e *Engine) SetFencing(on bool) {
@@ -86,22 +86,22 @@
 	e.deaf = !on
 }
 
-// SetSlow sets the factor on all times.
-func (e *Engine) SetSlow(factor float64) {
+// SetSlowFactor sets the factor on all times.
+func (e *Engine) SetSlowFactor(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.model.Slow = factor
+	e.model.SlowFactor = factor
 }
 
-// SetLag sets how old a load report may be.
-func (e *Engine) SetLag(d time.Duration) {
+// SetReportLag sets how old a load report may be.
+func (e *Engine) SetReportLag(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lag = d
 }
 
-// Busy is the number of sequences in the engine.
-func (e *Engine) Busy() int {
+// ActiveSequences is the number of sequences in the engine.
+func (e *Engine) ActiveSequences() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
@@ -149,7 +149,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.SetSlow(factor)
+	e.SetSlowFactor(factor)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/faker/fault.go
+++ b/faker/fault.go
@@ -15,20 +15,20 @@
 
 // Kinds of fault.
 const (
-	Crash   FaultKind = "crash"   // drops the connection
-	Silent  FaultKind = "silent"  // sends nothing more and keeps the connection
-	Short   FaultKind = "short"   // ends the answer early, cleanly where the framing allows
-	Crossed FaultKind = "crossed" // goes on with the answer of another request
-	Late    FaultKind = "late"    // waits for Delay first
-	Trip    FaultKind = "trip"    // calls Hook; the answer goes on
-	Refuse  FaultKind = "refuse"  // refuses, and says that the call was not run
+	Crash      FaultKind = "crash"   // drops the connection
+	Silent     FaultKind = "silent"  // sends nothing more and keeps the connection
+	Truncated  FaultKind = "short"   // ends the answer early, cleanly where the framing allows
+	Mismatched FaultKind = "crossed" // goes on with the answer of another request
+	Delayed    FaultKind = "late"    // waits for Delay first
+	CallHook   FaultKind = "trip"    // calls Hook; the answer goes on
+	Refuse     FaultKind = "refuse"  // refuses, and says that the call was not run
 )
 
 // Points of an answer, beside a number of tokens.
 const (
 	AtHead = -1 // before the answer's head
 	AtEnd  = -2 // after the last token, before the engine says why it ends
-	AtMark = -3 // before the end mark
+	AtDone = -3 // before the end mark
 )
 
 // Fault hits calls at a point of their answer.
@@ -42,29 +42,29 @@
 	Hook func(server string) `json:"-"`
 }
 
-// Failures is the faults in force at one backend server. The zero value has none.
-type Failures struct {
+// FaultInjector is the faults in force at one backend server. The zero value has none.
+type FaultInjector struct {
 	mu   sync.Mutex
 	list []Fault
 	plan [][]Fault
 }
 
 // Plan gives the next calls their faults one by one, beside those of Set.
-func (f *Failures) Plan(calls ...[]Fault) {
+func (f *FaultInjector) Plan(calls ...[]Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plan = calls
 }
 
 // Set replaces the faults in force.
-func (f *Failures) Set(list ...Fault) {
+func (f *FaultInjector) Set(list ...Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list = append([]Fault(nil), list...)
 }
 
 // ServeHTTP takes a JSON list of faults.
-func (f *Failures) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *FaultInjector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var list []Fault
 	if err := json.NewDecoder(r.Body).Decode(&list); err != nil {
 		http.Error(w, fmt.Sprintf("faults: %v", err), http.StatusBadRequest)
@@ -75,7 +75,7 @@
 }
 
 // next is the faults that hit the call which begins now.
-func (f *Failures) next() hits {
+func (f *FaultInjector) next() hits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := append(hits(nil), f.list...)
@@ -116,11 +116,11 @@
 		case Silent:
 			<-ctx.Done()
 			return id, false
-		case Short:
+		case Truncated:
 			return id, false
-		case Crossed:
+		case Mismatched:
 			id = otherID(id)
-		case Late:
+		case Delayed:
 			select {
 			case <-ctx.Done():
 			case <-time.After(f.Delay):
--- a/faker/link.go
+++ b/faker/link.go
@@ -14,21 +14,21 @@
 	target   string
 
 	mu    sync.Mutex
-	mode  Mode
+	mode  LinkMode
 	delay time.Duration
 	conns map[*conn]bool
 }
 
-// Mode is what a Link does with bytes.
-type Mode string
+// LinkMode is what a Link does with bytes.
+type LinkMode string
 
 // Modes of a Link.
 const (
-	Pass       Mode = "pass"        // as they come
-	Cut        Mode = "cut"         // every connection closed, none accepted
-	SilentOpen Mode = "silent-open" // connections open now carry nothing more; new ones work
-	Forward    Mode = "forward"     // towards the target only
-	Backward   Mode = "backward"    // from the target only
+	Pass         LinkMode = "pass"        // as they come
+	Cut          LinkMode = "cut"         // every connection closed, none accepted
+	SilenceOpen  LinkMode = "silent-open" // connections open now carry nothing more; new ones work
+	ForwardOnly  LinkMode = "forward"     // towards the target only
+	BackwardOnly LinkMode = "backward"    // from the target only
 )
 
 // conn is one connection through a Link, and the way it was silenced.
@@ -56,7 +56,7 @@
 func (k *Link) Address() string { return k.listener.Addr().String() }
 
 // Set changes what the link does, at once.
-func (k *Link) Set(m Mode, delay time.Duration) {
+func (k *Link) Set(m LinkMode, delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.mode, k.delay = m, delay
@@ -65,11 +65,11 @@
 		case Cut:
 			_ = c.near.Close()
 			_ = c.far.Close()
-		case SilentOpen:
+		case SilenceOpen:
 			c.silent = true
 		}
 	}
-	if m == SilentOpen {
+	if m == SilenceOpen {
 		k.mode = Pass
 	}
 }
@@ -102,8 +102,8 @@
 	k.conns[c] = true
 	k.mu.Unlock()
 	var ends sync.WaitGroup
-	ends.Go(func() { k.pump(c, far, near, Backward) })
-	ends.Go(func() { k.pump(c, near, far, Forward) })
+	ends.Go(func() { k.pump(c, far, near, BackwardOnly) })
+	ends.Go(func() { k.pump(c, near, far, ForwardOnly) })
 	ends.Wait()
 	k.mu.Lock()
 	delete(k.conns, c)
@@ -112,7 +112,7 @@
 
 // pump copies until either end closes. A silenced connection swallows bytes
 // without an error, as a middlebox does that has forgotten it.
-func (k *Link) pump(c *conn, dst, src net.Conn, blocked Mode) {
+func (k *Link) pump(c *conn, dst, src net.Conn, blocked LinkMode) {
 	defer dst.Close()
 	defer src.Close()
 	buf := make([]byte, 32<<10)
--- a/faker/model.go
+++ b/faker/model.go
@@ -13,11 +13,11 @@
 // Model is how long an engine's work takes. The zero value is not useful; see
 // DefaultModel.
 type Model struct {
-	Step     time.Duration // one batch step, whatever the batch
-	Sequence time.Duration // added to a step by each sequence in the batch
-	Prefill  time.Duration // added by each prompt token that is not cached
-	Slots    int           // sequences in a batch; more wait inside the engine
-	Slow     float64       // factor on all times; 0 is 1
+	Step       time.Duration // one batch step, whatever the batch
+	Sequence   time.Duration // added to a step by each sequence in the batch
+	Prefill    time.Duration // added by each prompt token that is not cached
+	Slots      int           // sequences in a batch; more wait inside the engine
+	SlowFactor float64       // factor on all times; 0 is 1
 }
 
 // DefaultModel is a small engine: 8 sequences at about 20 ms a token.
@@ -29,8 +29,8 @@
 // ones bring prefill uncached prompt tokens.
 func (m Model) StepTime(n, prefill int) time.Duration {
 	t := m.Step + time.Duration(n)*m.Sequence + time.Duration(prefill)*m.Prefill
-	if m.Slow > 0 {
-		t = time.Duration(float64(t) * m.Slow)
+	if m.SlowFactor > 0 {
+		t = time.Duration(float64(t) * m.SlowFactor)
 	}
 	return t
 }
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -27,8 +27,8 @@
 type Platform struct {
 	// Hosts is the host list.
 	Hosts HostList
-	// Page is the most objects of one answer; 0 is 500.
-	Page int
+	// PageSize is the most objects of one answer; 0 is 500.
+	PageSize int
 
 	mu       sync.Mutex
 	revision uint64
@@ -77,8 +77,8 @@
 	return p.reads, p.writes
 }
 
-// CallsOf is the calls so far by method and kind of object, such as "GET hosts".
-func (p *Platform) CallsOf() map[string]int {
+// CallsByKind is the calls so far by method and kind of object, such as "GET hosts".
+func (p *Platform) CallsByKind() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.kinds)
@@ -92,7 +92,7 @@
 	m.HandleFunc("GET /objects/{kind}/{name}", p.guard(p.get))
 	m.HandleFunc("PUT /objects/{kind}/{name}", p.guard(p.replace))
 	m.HandleFunc("DELETE /objects/{kind}/{name}", p.guard(p.remove))
-	m.HandleFunc("POST /forget", func(http.ResponseWriter, *http.Request) { p.Forget() })
+	m.HandleFunc("POST /forget", func(http.ResponseWriter, *http.Request) { p.DropHistory() })
 	m.HandleFunc("GET /hosts", p.guard(p.Hosts.get))
 	m.HandleFunc("PUT /hosts", p.Hosts.put)
 	m.HandleFunc("POST /faults", p.setFaults)
@@ -176,8 +176,8 @@
 	p.drop(kind, name)
 }
 
-// Forget drops the history: watches from before are told so.
-func (p *Platform) Forget() {
+// DropHistory drops the history: watches from before are told so.
+func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.history, p.forgot = nil, p.revision
@@ -343,7 +343,7 @@
 		return
 	}
 	prefix := r.PathValue("kind") + "/"
-	most := p.Page
+	most := p.PageSize
 	if most == 0 {
 		most = pageMost
 	}
--- a/faker/service.go
+++ b/faker/service.go
@@ -51,21 +51,21 @@
 	name   string
 	took   time.Duration
 	calls  *Counter
-	faults *Failures
+	faults *FaultInjector
 	load   serviceLoad
 }
 
 // NewService returns a fake plain service whose calls take took.
 func NewService(name string, took time.Duration, c *Counter) *Service {
-	return &Service{name: name, took: took, calls: c, faults: &Failures{}}
+	return &Service{name: name, took: took, calls: c, faults: &FaultInjector{}}
 }
 
-// Failures is the faults in force. A call that they hit has run, but for Refuse.
-func (s *Service) Failures() *Failures { return s.faults }
+// Injector is the faults in force. A call that they hit has run, but for Refuse.
+func (s *Service) Injector() *FaultInjector { return s.faults }
 
-// SetFaults shares the faults of others, so that a plan hits their calls in the
+// ShareInjector shares the faults of others, so that a plan hits their calls in the
 // order in which they come.
-func (s *Service) SetFaults(f *Failures) { s.faults = f }
+func (s *Service) ShareInjector(f *FaultInjector) { s.faults = f }
 
 // sizeMost bounds the padding that a caller asks for with ?size=BYTES.
 const sizeMost = 64 << 20
--- a/faker/worker.go
+++ b/faker/worker.go
@@ -19,19 +19,19 @@
 // id, vouches for its answers, answers by one body or by a stream of events that
 // it can take up again, and does wrong what its Flaws say.
 type Worker struct {
-	ID      string
-	Service string
-	Zone    string
-	Slots   int
-	Events  int           // of a stream; 0 answers by one body
-	Work    time.Duration // before the answer, or before each event
-	Address string        // IP:port, once started; what callers are told
-	Born    int           // differs after a restart
-	Poison  string        // in a body: the worker ends as it begins to run it; "" is none
-	Ended   func()        // is told of such an end, if it is set
+	ID          string
+	Service     string
+	Zone        string
+	Slots       int
+	Events      int           // of a stream; 0 answers by one body
+	Delay       time.Duration // before the answer, or before each event
+	Address     string        // IP:port, once started; what callers are told
+	Incarnation int           // differs after a restart
+	Poison      string        // in a body: the worker ends as it begins to run it; "" is none
+	OnCrash     func()        // is told of such an end, if it is set
 
 	mu    sync.Mutex
-	flaws Flaws
+	flaws WorkerFaults
 	runs  map[string]int         // by request
 	heads map[string]http.Header // of the last run of a request
 	limit float64                // requests a second that it names; 0 names none
@@ -42,15 +42,15 @@
 	end   func() // ends the process, as if it crashed
 }
 
-// Flaws are what a Worker does wrong.
-type Flaws struct {
-	Full     bool // refuses, and says that it did not run the request
-	Lose     bool // runs the request and breaks the connection
-	Mute     bool // runs the request and never answers
-	Unsealed bool // answers without vouching for it
-	Failing  bool // answers that it failed
-	Cut      int  // breaks the connection inside this event of a stream; 0 breaks none
-	Extra    bool // sends a second answer, of another request, after each
+// WorkerFaults are what a Worker does wrong.
+type WorkerFaults struct {
+	Reject          bool // refuses, and says that it did not run the request
+	BreakConnection bool // runs the request and breaks the connection
+	NeverAnswer     bool // runs the request and never answers
+	Unsealed        bool // answers without vouching for it
+	AnswerError     bool // answers that it failed
+	CutAtEvent      int  // breaks the connection inside this event of a stream; 0 breaks none
+	ExtraAnswer     bool // sends a second answer, of another request, after each
 }
 
 // Start serves on a port of the loopback and returns how to end it.
@@ -61,8 +61,8 @@
 	k.end = sync.OnceFunc(func() {
 		_ = s.Listener.Close()
 		s.CloseClientConnections()
-		if k.Ended != nil {
-			k.Ended()
+		if k.OnCrash != nil {
+			k.OnCrash()
 		}
 	})
 	return func() {
@@ -75,13 +75,13 @@
 func (k *Worker) Register(p *Platform, state string) {
 	k.mu.Lock()
 	k.seq++
-	e := platform.Entry{Service: k.Service, Address: k.Address, Zone: k.Zone, Slots: k.Slots, State: state, Born: json.RawMessage(strconv.Itoa(k.Born)), Seq: k.seq}
+	e := platform.Entry{Service: k.Service, Address: k.Address, Zone: k.Zone, Slots: k.Slots, State: state, Born: json.RawMessage(strconv.Itoa(k.Incarnation)), Seq: k.seq}
 	k.mu.Unlock()
 	p.Put(strings.TrimSuffix(platform.WorkersPrefix, "/"), k.ID, e)
 }
 
-// SetFlaws sets what goes wrong from now on.
-func (k *Worker) SetFlaws(f Flaws) {
+// SetFaults sets what goes wrong from now on.
+func (k *Worker) SetFaults(f WorkerFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.flaws = f
@@ -98,8 +98,8 @@
 	k.limit = rate
 }
 
-// Named is since when the worker names a limit.
-func (k *Worker) Named() time.Time {
+// LimitSince is since when the worker names a limit.
+func (k *Worker) LimitSince() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.named
@@ -111,8 +111,8 @@
 	at time.Time
 }
 
-// Most is the most requests that came within a span between two times, of those that count.
-func (k *Worker) Most(from, to time.Time, span time.Duration, counts func(id string) bool) int {
+// MaxArrivals is the most requests that came within a span between two times, of those that count.
+func (k *Worker) MaxArrivals(from, to time.Time, span time.Duration, counts func(id string) bool) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var times []time.Time
@@ -131,8 +131,8 @@
 	return most
 }
 
-// Ran is how often the worker ran a request.
-func (k *Worker) Ran(request string) int {
+// RunsOf is how often the worker ran a request.
+func (k *Worker) RunsOf(request string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.runs[request]
@@ -149,15 +149,15 @@
 	return n
 }
 
-// Left is how many requests were taken back before a Mute worker answered them.
-func (k *Worker) Left() int {
+// Canceled is how many requests were taken back before a Mute worker answered them.
+func (k *Worker) Canceled() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.left
 }
 
-// Head is the header with which the worker last ran a request.
-func (k *Worker) Head(request string) http.Header {
+// RequestHeader is the header with which the worker last ran a request.
+func (k *Worker) RequestHeader(request string) http.Header {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.heads[request]
@@ -182,24 +182,24 @@
 	}
 	k.mu.Lock()
 	f := k.flaws
-	if !f.Full {
+	if !f.Reject {
 		k.runs[id]++
 		k.heads[id] = r.Header.Clone()
 	}
 	k.mu.Unlock()
 	switch {
-	case f.Full:
+	case f.Reject:
 		w.Header().Set(platform.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case k.Poison != "" && strings.Contains(string(body), k.Poison):
-		wait(r, k.Work)
+		wait(r, k.Delay)
 		go k.end()
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case f.Lose:
+	case f.BreakConnection:
 		panic(http.ErrAbortHandler)
-	case f.Mute:
+	case f.NeverAnswer:
 		<-r.Context().Done()
 		k.mu.Lock()
 		k.left++
@@ -212,30 +212,30 @@
 	k.answer(w, r, f)
 }
 
-func (k *Worker) answer(w http.ResponseWriter, r *http.Request, f Flaws) {
+func (k *Worker) answer(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	switch {
-	case f.Failing:
+	case f.AnswerError:
 		w.WriteHeader(http.StatusInternalServerError)
 	case k.Events > 0:
 		k.stream(w, r, f)
-	case f.Extra:
+	case f.ExtraAnswer:
 		k.twice(w)
 	default:
-		wait(r, k.Work)
+		wait(r, k.Delay)
 		_, _ = fmt.Fprintf(w, "%s of %s", r.URL.RequestURI(), k.ID)
 	}
 }
 
 // stream sends the events after the one that the request names.
-func (k *Worker) stream(w http.ResponseWriter, r *http.Request, f Flaws) {
+func (k *Worker) stream(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	after, _ := strconv.Atoi(r.Header.Get(platform.HeaderLastEvent))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := after + 1; i <= k.Events; i++ {
-		if !wait(r, k.Work) {
+		if !wait(r, k.Delay) {
 			return
 		}
 		event := fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i)
-		if i == f.Cut {
+		if i == f.CutAtEvent {
 			_, _ = io.WriteString(w, event[:len(event)/2])
 			flush(w)
 			panic(http.ErrAbortHandler)
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -13,7 +13,7 @@
 type world struct {
 	now           time.Time
 	start         time.Time
-	agenda        faker.Agenda
+	agenda        faker.EventQueue
 	settings      keeper.Settings
 	hosts         map[string]*host
 	entries       map[string]*entry
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -82,7 +82,7 @@
 	// connection vanish without an error. A lost frame would leave a request
 	// hanging until its deadline; a duplicate would use a place twice.
 	DescribeTable("delivers once and in order over a faulty link",
-		func(modes ...faker.Mode) {
+		func(modes ...faker.LinkMode) {
 			got := &recorder{}
 			receiver := open("b", 1, "127.0.0.1:0", got.handle)
 			link, clean, err := faker.NewLink("127.0.0.1:0", receiver.Address())
@@ -111,12 +111,12 @@
 			Eventually(got.all).Should(Equal(numbered(0, sent+1)))
 		},
 		Entry("cut both ways", Label(prover.Cell(prover.Asked, prover.CutBoth), prover.Cell(prover.Granted, prover.CutBoth)), faker.Cut),
-		Entry("silent open connections", Label(prover.Cell(prover.Asked, prover.Silence), prover.Cell(prover.Granted, prover.Silence)), faker.SilentOpen),
-		Entry("one way: acknowledgements lost", Label(prover.Cell(prover.Asked, prover.CutOne)), faker.Forward),
-		Entry("other way: frames lost", Label(prover.Cell(prover.Granted, prover.CutOne)), faker.Backward),
-		Entry("silent, then cut", Label(prover.Pair(prover.Asked, prover.Silence, prover.Asked, prover.CutBoth)), faker.SilentOpen, faker.Cut),
-		Entry("silent twice", Label(prover.Pair(prover.Asked, prover.Silence, prover.Asked, prover.Silence)), faker.SilentOpen, faker.SilentOpen),
-		Entry("cut, then one way", Label(prover.Pair(prover.Asked, prover.CutBoth, prover.Asked, prover.CutOne)), faker.Cut, faker.Forward),
+		Entry("silent open connections", Label(prover.Cell(prover.Asked, prover.Silence), prover.Cell(prover.Granted, prover.Silence)), faker.SilenceOpen),
+		Entry("one way: acknowledgements lost", Label(prover.Cell(prover.Asked, prover.CutOne)), faker.ForwardOnly),
+		Entry("other way: frames lost", Label(prover.Cell(prover.Granted, prover.CutOne)), faker.BackwardOnly),
+		Entry("silent, then cut", Label(prover.Pair(prover.Asked, prover.Silence, prover.Asked, prover.CutBoth)), faker.SilenceOpen, faker.Cut),
+		Entry("silent twice", Label(prover.Pair(prover.Asked, prover.Silence, prover.Asked, prover.Silence)), faker.SilenceOpen, faker.SilenceOpen),
+		Entry("cut, then one way", Label(prover.Pair(prover.Asked, prover.CutBoth, prover.Asked, prover.CutOne)), faker.Cut, faker.ForwardOnly),
 	)
 
 	It("sends one message to many peers and reports those that it could not", func() {
--- a/registrar/fleet_test.go
+++ b/registrar/fleet_test.go
@@ -36,7 +36,7 @@
 // fleet simulates hosts, links and the store in virtual time.
 type fleet struct {
 	now      time.Duration
-	agenda   faker.Agenda
+	agenda   faker.EventQueue
 	names    []string
 	previous []string // names of processes that left their records behind
 	nodes    map[string]*node
--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -106,7 +106,7 @@
 	DescribeTable("ends when hurried, and says what it cut",
 		func(limit time.Duration, hurry func(h *running)) {
 			model := faker.DefaultModel()
-			model.Slow = 1000 // a token takes longer than the test
+			model.SlowFactor = 1000 // a token takes longer than the test
 			t := newFixtureOf(model, time.Millisecond, "lm1")
 			a := t.start("a", "z1", func(s *loader.Host) { s.Limits.Drain = loader.Duration(limit) })
 			Eventually(t.settled(1)).WithTimeout(10 * time.Second).Should(Succeed())
--- a/server/fixture_test.go
+++ b/server/fixture_test.go
@@ -115,7 +115,7 @@
 // workerSet is three workers, each behind a link that can fail. Sets are reused between
 // tests, which would otherwise exhaust the machine's ports.
 type workerSet struct {
-	faults  *faker.Failures // shared by all workers
+	faults  *faker.FaultInjector // shared by all workers
 	calls   *faker.Counter
 	links   map[string]*faker.Link
 	engine  []*faker.Engine
@@ -156,14 +156,14 @@
 }
 
 func newWorkerSet() *workerSet {
-	y := &workerSet{faults: &faker.Failures{}, calls: &faker.Counter{}, links: map[string]*faker.Link{}}
+	y := &workerSet{faults: &faker.FaultInjector{}, calls: &faker.Counter{}, links: map[string]*faker.Link{}}
 	for i := range 3 {
 		name := fmt.Sprintf("w%d", i)
 		e := faker.NewEngine(name, faker.Model{Step: time.Millisecond, Slots: 16}, y.calls)
-		e.SetFaults(y.faults)
+		e.ShareInjector(y.faults)
 		y.engine = append(y.engine, e)
 		p := faker.NewService(name, 0, y.calls)
-		p.SetFaults(y.faults)
+		p.ShareInjector(y.faults)
 		m := http.NewServeMux()
 		m.Handle("/v1/", e.Handler())
 		m.Handle("/", p.Handler())
--- a/server/matrix_test.go
+++ b/server/matrix_test.go
@@ -33,8 +33,8 @@
 // workerFaults returns the faker's faults that make f occur at a position. hit counts
 // the occurrences.
 func (s *fixture) workerFaults(f prover.Fault, at int, hit *atomic.Int32) []faker.Fault {
-	x := faker.Fault{At: at, Kind: faker.Trip, Hook: func(string) { hit.Add(1) }}
-	link := func(m faker.Mode) {
+	x := faker.Fault{At: at, Kind: faker.CallHook, Hook: func(string) { hit.Add(1) }}
+	link := func(m faker.LinkMode) {
 		x.Hook = func(worker string) {
 			hit.Add(1)
 			s.links[worker].Set(m, 0)
@@ -44,19 +44,19 @@
 	case prover.Kill:
 		x.Kind = faker.Crash
 	case prover.Freeze: // the worker continues after another has taken over
-		x.Kind, x.Delay = faker.Late, 4*silence
+		x.Kind, x.Delay = faker.Delayed, 4*silence
 	case prover.CutOne:
-		link(faker.Forward)
+		link(faker.ForwardOnly)
 	case prover.CutBoth:
 		link(faker.Cut)
 	case prover.Silence:
-		link(faker.SilentOpen)
+		link(faker.SilenceOpen)
 	case prover.Slow:
-		x.Kind, x.Delay = faker.Late, silence/5
+		x.Kind, x.Delay = faker.Delayed, silence/5
 	case prover.Reorder: // the answer arrives after the next try's answer has begun
-		x.Kind, x.Delay = faker.Late, 3*silence
+		x.Kind, x.Delay = faker.Delayed, 3*silence
 	case prover.Crossed:
-		x.Kind = faker.Crossed
+		x.Kind = faker.Mismatched
 	}
 	return []faker.Fault{x}
 }
@@ -116,8 +116,8 @@
 
 // grantFaults maps each fault that hits a worker between its grant and the call to the
 // state of its link.
-var grantFaults = map[prover.Fault]faker.Mode{
-	prover.Kill: faker.Cut, prover.CutBoth: faker.Cut, prover.CutOne: faker.Backward, prover.Silence: faker.Backward, prover.Freeze: faker.Backward,
+var grantFaults = map[prover.Fault]faker.LinkMode{
+	prover.Kill: faker.Cut, prover.CutBoth: faker.Cut, prover.CutOne: faker.BackwardOnly, prover.Silence: faker.BackwardOnly, prover.Freeze: faker.BackwardOnly,
 }
 
 // failAtGrants makes the workers of the first places fail before they are called, one
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -23,7 +23,7 @@
 		func(at int, streamed bool) {
 			s := startFixture(options{resume: true})
 			s.faults.Plan([]faker.Fault{
-				{Kind: faker.Trip, At: at, Hook: func(string) { s.places.preemptLast() }},
+				{Kind: faker.CallHook, At: at, Hook: func(string) { s.places.preemptLast() }},
 				{Kind: faker.Silent, At: at}, // keeps the answer from ending first
 			})
 			g := s.json
@@ -45,7 +45,7 @@
 
 	It("does not affect a stream that has begun and can't be resumed", func() {
 		s := startFixture(options{})
-		s.faults.Plan([]faker.Fault{{Kind: faker.Trip, At: 5, Hook: func(string) { s.places.preemptLast() }}})
+		s.faults.Plan([]faker.Fault{{Kind: faker.CallHook, At: 5, Hook: func(string) { s.places.preemptLast() }}})
 		Expect(s.stream().whole()).To(Succeed())
 		Expect(s.places.asks).To(HaveLen(1))
 		Expect(s.places.asks[0].NonPreemptible).To(BeTrue(), "the dispatcher is informed beforehand")
@@ -53,7 +53,7 @@
 
 	It("does not affect a call that must not be repeated", func() {
 		s := startFixture(options{resume: true})
-		s.faults.Plan([]faker.Fault{{Kind: faker.Late, Delay: silence, At: faker.AtHead, Hook: func(string) { s.places.preemptLast() }}})
+		s.faults.Plan([]faker.Fault{{Kind: faker.Delayed, Delay: silence, At: faker.AtHead, Hook: func(string) { s.places.preemptLast() }}})
 		Expect(s.send(s.request(context.Background(), "/services/desk/holds", "{}")).status).To(Equal(http.StatusOK))
 		Expect(s.places.asks).To(HaveLen(1))
 	})
@@ -71,10 +71,12 @@
 		defer resp.Body.Close()
 		_, err = bufio.NewReader(resp.Body).ReadString('\n')
 		Expect(err).NotTo(HaveOccurred())
-		Expect(s.engine[0].Busy()).To(BeNumerically("<=", 1))
+		Expect(s.engine[0].ActiveSequences()).To(BeNumerically("<=", 1))
 		leave()
 		Eventually(func() int { _, released := s.places.counts(); return released }).Should(Equal(1))
-		Eventually(func() int { return s.engine[0].Busy() + s.engine[1].Busy() + s.engine[2].Busy() }).Should(BeZero())
+		Eventually(func() int {
+			return s.engine[0].ActiveSequences() + s.engine[1].ActiveSequences() + s.engine[2].ActiveSequences()
+		}).Should(BeZero())
 		Consistently(func() int { asked, _ := s.places.counts(); return asked }, 2*silence).Should(Equal(1), "there is no retry after the caller has disconnected")
 	})
 
@@ -157,7 +159,7 @@
 			Expect(s.places.asks[1].Exclude).To(ConsistOf("w0"))
 		},
 		Entry("crashed", Label(prover.Cell(prover.Granted, prover.Kill), prover.Cell(prover.Granted, prover.CutBoth)), func(s *fixture) { s.links["w0"].Set(faker.Cut, 0) }),
-		Entry("receiving nothing", Label(prover.Cell(prover.Granted, prover.CutOne), prover.Cell(prover.Granted, prover.Silence), prover.Cell(prover.Granted, prover.Freeze)), func(s *fixture) { s.links["w0"].Set(faker.Backward, 0) }),
+		Entry("receiving nothing", Label(prover.Cell(prover.Granted, prover.CutOne), prover.Cell(prover.Granted, prover.Silence), prover.Cell(prover.Granted, prover.Freeze)), func(s *fixture) { s.links["w0"].Set(faker.BackwardOnly, 0) }),
 	)
 
 	// A middlebox drops the open connections; the worker is healthy.
@@ -176,7 +178,7 @@
 		s := startFixture(options{})
 		s.places.workers = s.workers[:1]
 		Expect(inParallel(3, func(int) error { return s.stream().whole() })).To(Succeed())
-		s.links["w0"].Set(faker.SilentOpen, 0)
+		s.links["w0"].Set(faker.SilenceOpen, 0)
 		Expect(s.stream().whole()).To(Succeed())
 		Expect(s.places.asks).To(HaveLen(4))
 		Expect(s.places.released[3].Failed).To(BeFalse())
--- a/server/request_test.go
+++ b/server/request_test.go
@@ -194,8 +194,8 @@
 		},
 		Entry("before its head", faker.Fault{Kind: faker.Crash, At: faker.AtHead}),
 		Entry("inside its body", faker.Fault{Kind: faker.Crash, At: faker.AtEnd}),
-		Entry("short of its length", faker.Fault{Kind: faker.Short, At: faker.AtEnd}),
-		Entry("crossed", faker.Fault{Kind: faker.Crossed, At: faker.AtHead}),
+		Entry("short of its length", faker.Fault{Kind: faker.Truncated, At: faker.AtEnd}),
+		Entry("crossed", faker.Fault{Kind: faker.Mismatched, At: faker.AtHead}),
 		Entry("refused", faker.Fault{Kind: faker.Refuse}),
 	)
 
@@ -211,7 +211,7 @@
 		},
 		Entry("lost", faker.Fault{Kind: faker.Crash, At: faker.AtHead}, "answer_lost", "unknown", 1, 1),
 		Entry("cut", faker.Fault{Kind: faker.Crash, At: faker.AtEnd}, "answer_lost", "unknown", 1, 1),
-		Entry("crossed", faker.Fault{Kind: faker.Crossed, At: faker.AtHead}, "answer_lost", "unknown", 1, 1),
+		Entry("crossed", faker.Fault{Kind: faker.Mismatched, At: faker.AtHead}, "answer_lost", "unknown", 1, 1),
 		Entry("refused, so sent to another worker", faker.Fault{Kind: faker.Refuse}, "", "", 1, 2),
 	)
 
@@ -291,14 +291,14 @@
 var _ = Describe("a stream", func() {
 	It("that lacks only its end marker is completed with it", Label(prover.Cell(prover.Acked, prover.CutBoth)), func() {
 		s := startFixture(options{})
-		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtMark}})
+		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtDone}})
 		Expect(s.stream().whole()).To(Succeed(), "the engine sent a finish reason: nothing is missing")
 		Expect(s.places.asks).To(HaveLen(1))
 	})
 
 	It("that ends cleanly but too early is not whole", func() {
 		s := startFixture(options{})
-		s.faults.Plan([]faker.Fault{{Kind: faker.Short, At: 5}})
+		s.faults.Plan([]faker.Fault{{Kind: faker.Truncated, At: 5}})
 		g := s.stream()
 		Expect(g.markedBroken()).To(Succeed())
 		Expect(g.exactTokens(5)).To(Succeed())
--- a/soaker/fault_test.go
+++ b/soaker/fault_test.go
@@ -75,21 +75,21 @@
 		}
 	}},
 	{"the store forgets its history", func(w *world, _ *rand.Rand) func() {
-		w.store.Forget()
-		return w.store.Forget
+		w.store.DropHistory()
+		return w.store.DropHistory
 	}},
 	{"a worker's way", func(w *world, r *rand.Rand) func() { return bad(r, w.anyWorker(r).link, func() {}) }},
 	{"a worker does wrong", func(w *world, r *rand.Rand) func() {
 		x := w.anyWorker(r)
-		flaws := []faker.Flaws{{Full: true}, {Lose: true}, {Mute: true}, {Unsealed: true}, {Failing: true}, {Cut: 3}, {Extra: true}}
-		x.SetFlaws(flaws[r.IntN(len(flaws))])
-		return func() { x.SetFlaws(faker.Flaws{}) }
+		flaws := []faker.WorkerFaults{{Reject: true}, {BreakConnection: true}, {NeverAnswer: true}, {Unsealed: true}, {AnswerError: true}, {CutAtEvent: 3}, {ExtraAnswer: true}}
+		x.SetFaults(flaws[r.IntN(len(flaws))])
+		return func() { x.SetFaults(faker.WorkerFaults{}) }
 	}},
 	{"a worker crashes, and is back under its id", func(w *world, r *rand.Rand) func() {
 		x := w.anyWorker(r)
 		x.end()
 		return func() {
-			w.begin(&faker.Worker{ID: x.ID, Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work, Born: x.Born + 1})
+			w.begin(&faker.Worker{ID: x.ID, Service: x.Service, Slots: x.Slots, Events: x.Events, Delay: x.Delay, Incarnation: x.Incarnation + 1})
 		}
 	}},
 	{"a worker names a limit", func(w *world, r *rand.Rand) func() { return w.limit(r) }},
@@ -123,7 +123,7 @@
 
 // bad makes a link do wrong, and returns how it is mended; touch is told at both ends.
 func bad(r *rand.Rand, l *faker.Link, touch func()) func() {
-	modes := []faker.Mode{faker.Cut, faker.SilentOpen, faker.Forward, faker.Backward}
+	modes := []faker.LinkMode{faker.Cut, faker.SilenceOpen, faker.ForwardOnly, faker.BackwardOnly}
 	touch()
 	l.Set(modes[r.IntN(len(modes))], 0)
 	return func() {
--- a/soaker/judge_test.go
+++ b/soaker/judge_test.go
@@ -108,7 +108,7 @@
 func (w *world) runs(id string) int {
 	n := 0
 	for _, x := range w.workers {
-		n += x.Ran(id)
+		n += x.RunsOf(id)
 	}
 	return n
 }
--- a/soaker/limit_test.go
+++ b/soaker/limit_test.go
@@ -47,7 +47,7 @@
 	}
 	var over []string
 	for _, l := range w.limits {
-		most := l.worker.Most(l.from.Add(touch), l.to, limitSpan, func(id string) bool { return bound[id] })
+		most := l.worker.MaxArrivals(l.from.Add(touch), l.to, limitSpan, func(id string) bool { return bound[id] })
 		if allowed := limitTimes*l.rate*limitSpan.Seconds() + limitMore; float64(most) > allowed {
 			over = append(over, fmt.Sprintf("%s, which takes %.2f a second, got %d in %s", l.worker.ID, l.rate, most, limitSpan))
 		}
--- a/soaker/poison_test.go
+++ b/soaker/poison_test.go
@@ -59,7 +59,7 @@
 	w.reborn.Go(func() {
 		time.Sleep(500 * time.Millisecond)
 		w.store.Delete("servers", x.ID)
-		w.begin(&faker.Worker{ID: fmt.Sprintf("%s.%d", x.ID, n), Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work})
+		w.begin(&faker.Worker{ID: fmt.Sprintf("%s.%d", x.ID, n), Service: x.Service, Slots: x.Slots, Events: x.Events, Delay: x.Delay})
 	})
 }
 
--- a/soaker/world_test.go
+++ b/soaker/world_test.go
@@ -80,8 +80,8 @@
 	DeferCleanup(s.Close)
 	DeferCleanup(s.CloseClientConnections)
 	for i := range 3 {
-		w.begin(&faker.Worker{ID: fmt.Sprintf("e-%d", i), Service: "engine", Slots: 8, Events: events, Work: 15 * time.Millisecond})
-		w.begin(&faker.Worker{ID: fmt.Sprintf("d-%d", i), Service: "desk", Slots: 8, Work: 15 * time.Millisecond})
+		w.begin(&faker.Worker{ID: fmt.Sprintf("e-%d", i), Service: "engine", Slots: 8, Events: events, Delay: 15 * time.Millisecond})
+		w.begin(&faker.Worker{ID: fmt.Sprintf("d-%d", i), Service: "desk", Slots: 8, Delay: 15 * time.Millisecond})
 	}
 	w.configure()
 	var peers []string
@@ -105,7 +105,7 @@
 // begin starts a worker behind a link and has it write its entry.
 func (w *world) begin(f *faker.Worker) {
 	x := &worker{Worker: f}
-	f.Poison, f.Ended = poison, func() { w.died(x) }
+	f.Poison, f.OnCrash = poison, func() { w.died(x) }
 	x.stop = f.Start()
 	link, closeLink, err := faker.NewLink("127.0.0.1:0", f.Address)
 	Expect(err).NotTo(HaveOccurred())
