--- a/commander/cmd_check.go
+++ b/commander/cmd_check.go
@@ -20,27 +20,27 @@
 	run: func(_ context.Context, c *cobra.Command, args []string) error {
 		info, err := os.Stat(args[0])
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		r := checkReport{Problems: []loader.Problem{}}
 		if info.IsDir() {
-			err = r.folder(args[0])
+			err = r.checkFolder(args[0])
 		} else {
 			_, err = loader.ReadHost(args[0])
 			r.Files = 1
 		}
 		if asJSON, _ := c.Flags().GetBool("json"); asJSON {
 			r.Problems = append(r.Problems, loader.Problems(err)...)
-			return errors.Join(usage(err), json.NewEncoder(c.OutOrStdout()).Encode(r))
+			return errors.Join(usageError(err), json.NewEncoder(c.OutOrStdout()).Encode(r))
 		}
 		if err == nil {
 			fmt.Fprintln(c.OutOrStdout(), r)
 		}
-		return usage(err)
+		return usageError(err)
 	},
 }
 
-// checkReport is what check found.
+// checkReport is the output of check.
 type checkReport struct {
 	Files         int              `json:"files"`
 	Classes       int              `json:"classes"`
@@ -49,7 +49,7 @@
 	Problems      []loader.Problem `json:"problems"`
 }
 
-func (r *checkReport) folder(dir string) error {
+func (r *checkReport) checkFolder(dir string) error {
 	files, err := loader.ReadFiles(dir)
 	if err != nil {
 		return err
--- a/commander/cmd_diff.go
+++ b/commander/cmd_diff.go
@@ -24,7 +24,7 @@
 	run: func(ctx context.Context, c *cobra.Command, args []string) error {
 		checkout, err := publisher.OpenCheckout(args[0])
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		head, err := readHead(ctx, c)
 		if err != nil {
@@ -32,9 +32,9 @@
 		}
 		merged, err := checkout.Merged(head)
 		if err != nil {
-			return pushFailed(err)
+			return withExitCode(err)
 		}
-		changes := changesOf(head.Files, merged)
+		changes := listChanges(head.Files, merged)
 		if asJSON, _ := c.Flags().GetBool("json"); asJSON {
 			if err := json.NewEncoder(c.OutOrStdout()).Encode(changes); err != nil {
 				return err
@@ -54,13 +54,15 @@
 	},
 }
 
-// change is one file that differs.
+// change is one file that a push would add, edit or remove.
 type change struct {
 	File   string `json:"file"`
 	Change string `json:"change"` // added, edited or removed
 }
 
-func changesOf(old, changed loader.Files) []change {
+// listChanges returns the files that differ between old and changed: added and edited ones
+// first, then removed ones, each sorted by name.
+func listChanges(old, changed loader.Files) []change {
 	list := []change{}
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
 		text, there := old[name]
--- a/commander/cmd_drain.go
+++ b/commander/cmd_drain.go
@@ -11,10 +11,10 @@
 	"github.com/spf13/cobra"
 )
 
-// drainPoll is between two looks at a host that drains.
-const drainPoll = 200 * time.Millisecond
+// drainPollInterval separates two requests for the state of a draining host.
+const drainPollInterval = 200 * time.Millisecond
 
-var errStillThere = errors.New("the host is still there")
+var errStillRunning = errors.New("the host is still running")
 
 // cmdDrain is `cicadawood drain ADDRESS`.
 var cmdDrain = command{
@@ -29,7 +29,7 @@
 		wait, _ := c.Flags().GetBool("wait")
 		timeout, err := c.Flags().GetDuration("timeout")
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		resp, err := callAdmin(ctx, http.MethodPost, args[0], "/drain")
 		if err != nil {
@@ -42,7 +42,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		if err := awaitLeft(ctx, args[0]); err != nil {
+		if err := waitUntilLeft(ctx, args[0]); err != nil {
 			return err
 		}
 		fmt.Fprintln(c.OutOrStdout(), "left")
@@ -50,22 +50,22 @@
 	},
 }
 
-// awaitLeft waits until nothing listens at a host's admin address any more, or a
-// new process does, which is not leaving.
-func awaitLeft(ctx context.Context, address string) error {
+// waitUntilLeft waits until nothing listens at a host's admin address, or until a new
+// process, which is not leaving, answers there.
+func waitUntilLeft(ctx context.Context, address string) error {
 	for {
 		s, err := fetchState(ctx, address)
 		if ctx.Err() != nil {
-			return fmt.Errorf("drain %s: %w: %d requests in flight", address, errStillThere, s.Inflight)
+			return fmt.Errorf("drain %s: %w: %d requests in flight", address, errStillRunning, s.Inflight)
 		}
-		// Only a refused connection says that the host has left: a slow answer may
-		// come from one that still has requests in flight.
+		// Only a refused connection shows that the host has left: a slow answer may come
+		// from one that still has requests in flight.
 		if errors.Is(err, syscall.ECONNREFUSED) || (err == nil && !s.Leaving) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		}
 	}
 }
--- a/commander/cmd_dump.go
+++ b/commander/cmd_dump.go
@@ -47,7 +47,7 @@
 func callAdmin(ctx context.Context, method, address, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
-		return nil, usage(fmt.Errorf("address %s: %w", address, err))
+		return nil, usageError(fmt.Errorf("address %s: %w", address, err))
 	}
 	client := http.Client{Timeout: adminTimeout}
 	resp, err := client.Do(req)
--- a/commander/cmd_explain.go
+++ b/commander/cmd_explain.go
@@ -17,22 +17,22 @@
 // cmdExplain is `cicadawood explain ID FILE...`.
 var cmdExplain = command{
 	use:   "explain ID FILE...",
-	short: "Tell the story of one request from the hosts' logs",
+	short: "Print the timeline of one request from the hosts' logs",
 	args:  cobra.MinimumNArgs(2),
 	run: func(_ context.Context, c *cobra.Command, args []string) error {
 		var logs []explainer.Log
 		for _, name := range args[1:] {
 			l, err := readLog(name)
 			if err != nil {
-				return usage(err)
+				return usageError(err)
 			}
 			logs = append(logs, l)
 		}
-		story := explainer.Explain(args[0], logs)
-		if len(story.Lines) == 0 {
+		timeline := explainer.Explain(args[0], logs)
+		if len(timeline.Lines) == 0 {
 			return fmt.Errorf("%s: %w", args[0], errUnknownRequest)
 		}
-		_, err := io.WriteString(c.OutOrStdout(), story.String())
+		_, err := io.WriteString(c.OutOrStdout(), timeline.String())
 		return err
 	},
 }
--- a/commander/cmd_key.go
+++ b/commander/cmd_key.go
@@ -14,8 +14,8 @@
 
 var errNoKey = errors.New("no key on standard input")
 
-// cmdKey is `cicadawood key`. The key comes by standard input, so that it stands
-// neither in the shell's history nor in the list of processes.
+// cmdKey is `cicadawood key`. It reads the key from standard input, so that the key
+// appears neither in the shell's history nor in the list of processes.
 var cmdKey = command{
 	use:   "key",
 	short: "Read an API key from standard input and print its hash for the settings",
@@ -24,7 +24,7 @@
 		line, _ := bufio.NewReader(c.InOrStdin()).ReadString('\n')
 		key := strings.TrimRight(line, "\r\n")
 		if key == "" {
-			return usage(errNoKey)
+			return usageError(errNoKey)
 		}
 		fmt.Fprintln(c.OutOrStdout(), loader.HashKey(key))
 		return nil
--- a/commander/cmd_pull.go
+++ b/commander/cmd_pull.go
@@ -16,15 +16,15 @@
 // cmdPull is `cicadawood pull DIR`.
 var cmdPull = command{
 	use:   "pull DIR",
-	short: "Bring a folder up to the head, and keep what was changed in it",
+	short: "Update a folder to the head, keeping local changes",
 	args:  cobra.ExactArgs(1),
 	flags: func(c *cobra.Command) {
-		c.Flags().Bool("force", false, "give up all changes in DIR")
+		c.Flags().Bool("force", false, "discard all changes in DIR")
 	},
 	run: func(ctx context.Context, c *cobra.Command, args []string) error {
 		force, err := c.Flags().GetBool("force")
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		head, err := readHead(ctx, c)
 		if err != nil {
@@ -34,17 +34,17 @@
 			return errNothingPushed
 		}
 		if err := os.MkdirAll(args[0], 0o755); err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		checkout, err := publisher.OpenCheckout(args[0])
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		if err := checkout.Pull(head, force); err != nil {
-			return pushFailed(err)
+			return withExitCode(err)
 		}
-		kept := checkout.Base().Touched(checkout.Files())
-		fmt.Fprintf(c.OutOrStdout(), "generation %d, %d files changed here\n", head.Generation, len(kept))
+		changed := checkout.Base().Touched(checkout.Files())
+		fmt.Fprintf(c.OutOrStdout(), "generation %d, %d files changed here\n", head.Generation, len(changed))
 		return nil
 	},
 }
--- a/commander/cmd_push.go
+++ b/commander/cmd_push.go
@@ -18,7 +18,7 @@
 	short: "Check a folder and put it in force on every host",
 	args:  cobra.ExactArgs(1),
 	flags: func(c *cobra.Command) {
-		c.Flags().Bool("restore", false, "replace the whole head where the platform went back to an older one than DIR was pulled at")
+		c.Flags().Bool("restore", false, "replace the whole head if the platform was restored to an older one than DIR was pulled from")
 	},
 	run: func(ctx context.Context, c *cobra.Command, args []string) error {
 		checkout, err := openChecked(args[0])
@@ -32,35 +32,35 @@
 		defer clean()
 		restore, err := c.Flags().GetBool("restore")
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		pusher := publisher.Pusher{Store: store}
 		r, err := pusher.Push(ctx, publisher.Change{Files: checkout.Files(), Base: checkout.Base(), Restore: restore})
 		if err != nil {
-			return pushFailed(err)
+			return withExitCode(err)
 		}
 		if err := checkout.Landed(r.Head); err != nil {
-			return fmt.Errorf("generation %d has landed, but: %w", r.Generation, err)
+			return fmt.Errorf("generation %d was published, but the folder was not updated: %w", r.Generation, err)
 		}
 		return printPush(c, r)
 	},
 }
 
-// openChecked opens a folder and checks it by itself.
+// openChecked opens a folder and checks its settings without comparing them with the head.
 func openChecked(dir string) (*publisher.Checkout, error) {
 	checkout, err := publisher.OpenCheckout(dir)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	if len(checkout.Files()) == 0 {
-		return nil, usage(fmt.Errorf("folder %s: %w", dir, loader.ErrEmpty))
+		return nil, usageError(fmt.Errorf("folder %s: %w", dir, loader.ErrEmpty))
 	}
 	_, err = checkout.Files().Parse()
-	return checkout, usage(err)
+	return checkout, usageError(err)
 }
 
-// pushFailed gives an error of a push its exit code.
-func pushFailed(err error) error {
+// withExitCode gives an error of push, pull or diff its exit code.
+func withExitCode(err error) error {
 	var clash *publisher.ClashError
 	switch {
 	case errors.As(err, &clash), errors.Is(err, publisher.ErrRaced), errors.Is(err, publisher.ErrRestored), errors.Is(err, publisher.ErrMerged):
@@ -68,7 +68,7 @@
 	case errors.Is(err, publisher.ErrUnsettled):
 		return exitError{code: ExitOutcomeUnknown, err: err}
 	case errors.Is(err, publisher.ErrTooLarge):
-		return usage(err)
+		return usageError(err)
 	}
 	return err
 }
--- a/commander/cmd_serve.go
+++ b/commander/cmd_serve.go
@@ -25,39 +25,40 @@
 	run: func(ctx context.Context, c *cobra.Command, args []string) error {
 		settings, err := loader.ReadHost(args[0])
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		name, err := c.Flags().GetString("level")
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		level, err := zapcore.ParseLevel(name)
 		if err != nil {
-			return usage(fmt.Errorf("--level: %w", err))
+			return usageError(fmt.Errorf("--level: %w", err))
 		}
 		out, flush := logger.New(c.OutOrStdout(), level)
 		defer flush()
 		log := out.With(zap.String("host", settings.Name))
-		signals := runner.Signals{Reload: reloads(ctx, args[0], log), Dropped: out.Dropped}
+		signals := runner.Signals{Reload: watchSettings(ctx, args[0], log), Dropped: out.Dropped}
 		if settings.Limits.Grace == 0 {
-			// Where the platform kills after a grace anyway, a second signal to stop must
-			// not cut what the first one left to end.
-			signals.Hurry = again()
+			// With a grace period the platform kills the process when the period ends, so
+			// a second stop signal must not abort the requests that are still running
+			// after the first.
+			signals.Hurry = secondSignal()
 		}
 		return runner.RunWith(ctx, signals, settings, log)
 	},
 }
 
-// again is closed at the second signal to stop, which ends a graceful shutdown;
-// the first one begins it.
-func again() <-chan struct{} {
-	hurry := make(chan struct{})
+// secondSignal returns a channel that is closed at the second stop signal. The first one
+// begins a graceful shutdown; the second one ends it.
+func secondSignal() <-chan struct{} {
+	second := make(chan struct{})
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	go func() {
 		<-signals
 		<-signals
-		close(hurry)
+		close(second)
 	}()
-	return hurry
+	return second
 }
--- a/commander/cmd_status.go
+++ b/commander/cmd_status.go
@@ -19,12 +19,12 @@
 	"github.com/cicadawood/cicadawood/runner"
 )
 
-// fetchedAtOnce bounds the hosts that status asks at the same time.
-const fetchedAtOnce = 32
+// maxConcurrentFetches bounds the hosts that status queries at the same time.
+const maxConcurrentFetches = 32
 
-// listedOld is how old a host's word of the workers may be before status notes it:
-// watches of them are answered each second.
-const listedOld = 5 * time.Second
+// staleListAge is the age beyond which status notes that a host's list of workers is old:
+// watches of the workers are answered every second.
+const staleListAge = 5 * time.Second
 
 // cmdStatus is `cicadawood status`.
 var cmdStatus = command{
@@ -37,11 +37,11 @@
 	args: cobra.MaximumNArgs(1),
 	run: func(ctx context.Context, c *cobra.Command, args []string) error {
 		o := overview{Hosts: []hostStatus{}}
-		records, err := o.gather(ctx, c, args)
+		records, err := o.readRecords(ctx, c, args)
 		if err != nil {
 			return err
 		}
-		o.Hosts = askAll(ctx, records)
+		o.Hosts = fetchAll(ctx, records)
 		for i := range o.Hosts {
 			o.Hosts[i].Notes = notes(o.Hosts[i], o.Head)
 		}
@@ -52,9 +52,9 @@
 	},
 }
 
-// overview is what status shows.
+// overview is the output of status.
 type overview struct {
-	Head  uint64       `json:"head"` // generation in the platform; 0 where it can't be read
+	Head  uint64       `json:"head"` // generation in the platform; 0 if it can't be read
 	Hosts []hostStatus `json:"hosts"`
 }
 
@@ -71,12 +71,13 @@
 	Notes      []string `json:"notes"`
 
 	configuration publisher.Status
-	beliefs       *runner.Beliefs
+	routing       *runner.Beliefs
 	failure       error // why it is not reachable
 }
 
-// gather reads the head and the roster.
-func (o *overview) gather(ctx context.Context, c *cobra.Command, args []string) ([]registrar.Record, error) {
+// readRecords reads the head and the hosts' records: from the roster of the host in args,
+// or from the platform if args is empty.
+func (o *overview) readRecords(ctx context.Context, c *cobra.Command, args []string) ([]registrar.Record, error) {
 	if len(args) == 1 {
 		if head, err := readHead(ctx, c); err == nil {
 			o.Head = head.Generation
@@ -109,23 +110,23 @@
 	return records, nil
 }
 
-func askAll(ctx context.Context, records []registrar.Record) []hostStatus {
+func fetchAll(ctx context.Context, records []registrar.Record) []hostStatus {
 	hosts := make([]hostStatus, len(records))
-	var asking sync.WaitGroup
-	free := make(chan struct{}, fetchedAtOnce)
+	var tasks sync.WaitGroup
+	free := make(chan struct{}, maxConcurrentFetches)
 	for i, r := range records {
 		free <- struct{}{}
-		asking.Go(func() {
+		tasks.Go(func() {
 			defer func() { <-free }()
-			hosts[i] = askHost(ctx, r)
+			hosts[i] = fetchHost(ctx, r)
 		})
 	}
-	asking.Wait()
+	tasks.Wait()
 	return hosts
 }
 
-// askHost is what a host says of itself, or why it does not.
-func askHost(ctx context.Context, r registrar.Record) hostStatus {
+// fetchHost returns the state that a host reports, or the error if it can't be reached.
+func fetchHost(ctx context.Context, r registrar.Record) hostStatus {
 	s, err := fetchState(ctx, r.Admin)
 	if err != nil {
 		return hostStatus{Name: r.Name, Zone: r.Zone, Leaving: r.Leaving, Roles: []string{}, failure: err}
@@ -137,11 +138,11 @@
 	return hostStatus{
 		Name: s.Name, Zone: s.Zone, Reachable: true, Ready: s.Ready, Leaving: s.Leaving,
 		Generation: s.Configuration.Generation, Inflight: s.Inflight, Roles: s.Roles, configuration: s.Configuration,
-		beliefs: s.Beliefs,
+		routing: s.Beliefs,
 	}
 }
 
-// notes is what an operator should look at.
+// notes returns what an operator should look into.
 func notes(h hostStatus, head uint64) []string {
 	list := []string{}
 	note := func(when bool, format string, args ...any) {
@@ -157,9 +158,9 @@
 	note(head != 0 && h.Generation > head, "ahead of the platform")
 	note(k.Reason != "", "refused generation %d: %s", k.Rejected, firstLine(k.Reason))
 	note(!k.Platform, "platform can't be read")
-	if b := h.beliefs; b != nil {
+	if b := h.routing; b != nil {
 		note(b.Listed < 0, "knows no workers")
-		note(b.Listed > listedOld, "last heard of workers %s ago", b.Listed.Round(time.Second))
+		note(b.Listed > staleListAge, "last heard of workers %s ago", b.Listed.Round(time.Second))
 		note(b.Calls && !b.ForAll, "watches the store by itself")
 	}
 	return list
@@ -195,8 +196,7 @@
 	}
 }
 
-// countRoles shortens a host's roles for the table: at the size to design for a
-// host has dozens.
+// countRoles shortens a host's roles for the table: a host of a large fleet has dozens.
 func countRoles(roles []string) string {
 	counts := map[string]int{}
 	for _, r := range roles {
--- a/commander/command.go
+++ b/commander/command.go
@@ -1,5 +1,5 @@
-// Package commander is the command line of cicadawood: one file a command, all
-// of them in one table.
+// Package commander implements the command line of cicadawood. Each command has a file of
+// its own and an entry in one table.
 package commander
 
 import (
@@ -20,9 +20,10 @@
 	ExitOK       = 0
 	ExitFailed   = 1 // the command could not do its work
 	ExitUsage    = 2 // the call or a settings file is wrong
-	ExitConflict = 3 // another operator's change stands in the way
+	ExitConflict = 3 // another operator's change conflicts
 	ExitDiffers  = 4 // diff found differences
-	// ExitOutcomeUnknown is a push that may have landed: push again.
+	// ExitOutcomeUnknown reports that a push may or may not have taken effect; repeat the
+	// push.
 	ExitOutcomeUnknown = 5
 )
 
@@ -30,16 +31,16 @@
 type command struct {
 	use   string
 	short string
-	long  string // "" is short
+	long  string // "" means short
 	args  cobra.PositionalArgs
 	flags func(*cobra.Command)
 	run   func(ctx context.Context, c *cobra.Command, args []string) error
 }
 
-// commands is every command, in the order of the help page.
+// commands lists every command, in the order of the help page.
 var commands = []command{cmdServe, cmdCheck, cmdDiff, cmdPull, cmdPush, cmdKey, cmdStatus, cmdDump, cmdDrain, cmdExplain, cmdVersion}
 
-// exitError carries an exit code.
+// exitError is an error with the exit code that it leads to.
 type exitError struct {
 	code int
 	err  error
@@ -48,7 +49,8 @@
 func (e exitError) Error() string { return e.err.Error() }
 func (e exitError) Unwrap() error { return e.err }
 
-func usage(err error) error {
+// usageError gives err the exit code of a wrong call; nil stays nil.
+func usageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -69,15 +71,15 @@
 	out := &output{w: stdout}
 	root.SetOut(out)
 	if serves {
-		root.SetOut(stdout) // its log may be lost without its being any worse a host
+		root.SetOut(stdout) // a host must not fail because its log can't be written
 	}
 	root.SetErr(stderr)
-	err := known(root, args)
+	err := checkCommand(root, args)
 	if err == nil {
 		err = root.ExecuteContext(ctx)
 	}
 	if out.err != nil {
-		err = out.err // whatever else was to be told: nobody could read the answer
+		err = out.err // takes precedence over other errors: the output is incomplete
 	}
 	if err == nil {
 		return ExitOK
@@ -90,16 +92,17 @@
 	return ExitFailed
 }
 
-// known refuses a command that does not exist, which cobra reports like any
-// failure. Its own hidden commands, __complete and the like, come only later.
-func known(root *cobra.Command, args []string) error {
+// checkCommand returns a usage error for a command that does not exist; cobra reports it
+// like any other failure. Cobra adds its hidden commands, such as __complete, only later,
+// so they are not checked.
+func checkCommand(root *cobra.Command, args []string) error {
 	if len(args) == 0 || strings.HasPrefix(args[0], "__") {
 		return nil
 	}
 	root.InitDefaultHelpCmd()
 	root.InitDefaultCompletionCmd(args...)
 	_, _, err := root.Find(args)
-	return usage(err)
+	return usageError(err)
 }
 
 func newRoot() *cobra.Command {
@@ -111,9 +114,9 @@
 	}
 	root.PersistentFlags().String("platform", os.Getenv("CICADAWOOD_PLATFORM"), "base URL of the platform (or CICADAWOOD_PLATFORM)")
 	root.PersistentFlags().Bool("json", false, "print JSON")
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usage(err) })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError(err) })
 	for _, k := range commands {
-		c := &cobra.Command{Use: k.use, Short: k.short, Long: k.long, Args: func(c *cobra.Command, args []string) error { return usage(k.args(c, args)) }}
+		c := &cobra.Command{Use: k.use, Short: k.short, Long: k.long, Args: func(c *cobra.Command, args []string) error { return usageError(k.args(c, args)) }}
 		c.RunE = func(c *cobra.Command, args []string) error { return k.run(c.Context(), c, args) }
 		if k.flags != nil {
 			k.flags(c)
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -41,17 +41,17 @@
 var _ = Describe("Two operators", func() {
 	var ann, ben string
 	var platform *faker.Platform
-	var trap bool // the next write takes effect, its reply is lost, and the platform goes down
+	var loseReply bool // the next write takes effect, its reply is lost, and the platform goes down
 	const classes = `{"classes": {"hold": {"tier": 0, "whole": "1s"}}}`
 	write := func(dir, name, text string) {
 		Expect(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600)).To(Succeed())
 	}
 	BeforeEach(func() {
 		platform = faker.NewPlatform()
-		trap = false
+		loseReply = false
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if trap && r.Method == http.MethodPut {
-				trap = false
+			if loseReply && r.Method == http.MethodPut {
+				loseReply = false
 				platform.Handler().ServeHTTP(httptest.NewRecorder(), r)
 				platform.SetFaults(faker.Faults{Down: true})
 				panic(http.ErrAbortHandler)
@@ -68,8 +68,8 @@
 		Expect(code).To(Equal(commander.ExitOK))
 	})
 
-	// Both change the same file; the second is told which, and loses nothing.
-	It("are told the files that clash", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+	// Both change the same file; the second operator gets its name and loses no change.
+	It("see which files conflict", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
 		write(ann, "10.json", `{"classes": {"hold": {"tier": 1, "whole": "1s"}}}`)
 		write(ben, "10.json", `{"classes": {"hold": {"tier": 2, "whole": "1s"}}}`)
 		_, _, code := run("", "push", ann)
@@ -92,7 +92,7 @@
 		Expect(out).To(ContainSubstring(`+{"classes": {"chat"`))
 		for _, args := range [][]string{{"diff", ben}, {"diff", "--json", ben}} {
 			code := commander.Main(args, strings.NewReader(""), fullDisk{}, io.Discard)
-			Expect(code).To(Equal(commander.ExitFailed), "differences that nobody could read")
+			Expect(code).To(Equal(commander.ExitFailed), "differences that were not written")
 		}
 		out, _, _ = run("", "diff", "--json", ben)
 		Expect(out).To(MatchJSON(`[{"file": "20.json", "change": "added"}]`))
@@ -101,8 +101,9 @@
 		Expect(out).To(HavePrefix("generation "))
 	})
 
-	// A host's record is there, but its admin address does not answer. Why must be told: a
-	// wrong address in its settings and a host that is gone look alike otherwise.
+	// A host's record exists, but its admin address does not answer. The output must give
+	// the error: otherwise a wrong address in the settings looks the same as a host that
+	// is down.
 	It("see why a host can't be reached", func() {
 		store, clean := adapter.NewStore(os.Getenv("CICADAWOOD_PLATFORM"))
 		DeferCleanup(clean)
@@ -114,10 +115,10 @@
 		Expect(out).To(MatchRegexp(`h-1 .*unreachable: .*connection refused`))
 	})
 
-	// The platform takes the write, its reply is lost, and it goes down.
-	It("are told when a push may have landed", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), func() {
+	// The platform applies the write, the reply is lost, and the platform goes down.
+	It("see that a push may have taken effect", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), func() {
 		write(ben, "20.json", `{"classes": {"chat": {"tier": 1, "whole": "9s"}}}`)
-		trap = true
+		loseReply = true
 		_, stderr, code := run("", "push", ben)
 		Expect(code).To(Equal(commander.ExitOutcomeUnknown))
 		Expect(stderr).To(ContainSubstring("the push may have landed; push again"))
--- a/commander/output.go
+++ b/commander/output.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// output is a command's standard output. It remembers the first error of writing, so that
-// a command whose answer did not arrive whole does not end as if it had.
+// output is a command's standard output. It remembers the first write error, so that a
+// command fails whose output was not written completely.
 type output struct {
 	w   io.Writer
 	err error
--- a/commander/output_test.go
+++ b/commander/output_test.go
@@ -11,15 +11,15 @@
 	"github.com/cicadawood/cicadawood/commander"
 )
 
-// fullDisk is a file on a disk without room.
+// fullDisk is a writer to a disk without free space.
 type fullDisk struct{}
 
 func (fullDisk) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
 
-// An operator keeps what a command prints in a file, and the disk is full. The command
-// ends as if all were well, and a script goes on with half a page.
+// Guards against a command that succeeds although its output was not written completely: a
+// script that writes the output to a full disk would go on with a part of it.
 var _ = Describe("Standard output", func() {
-	It("that takes nothing makes the command fail", func() {
+	It("that can't be written makes the command fail", func() {
 		for _, args := range [][]string{{"version"}, {"key"}} {
 			var stderr bytes.Buffer
 			code := commander.Main(args, strings.NewReader("secret\n"), fullDisk{}, &stderr)
--- a/commander/pages_test.go
+++ b/commander/pages_test.go
@@ -29,8 +29,8 @@
 	return stdout.String(), stderr.String(), code
 }
 
-// addresses is n addresses of this process's own loopback IP. Ports that were
-// free a moment ago on 127.0.0.1 may be the source of a connection by now.
+// addresses returns n addresses on a loopback IP of this process's own. On 127.0.0.1, a
+// port that was free may meanwhile be the source port of another connection.
 func addresses(n int) []string {
 	var list []string
 	for i := range n {
@@ -39,8 +39,8 @@
 	return list
 }
 
-// shown is a command that a page shows, and the output below it.
-type shown struct {
+// example is a command on a page, with the output that the page shows for it.
+type example struct {
 	stdin string
 	args  []string
 	want  string
@@ -48,9 +48,9 @@
 
 var prompt = regexp.MustCompile(`^\$ (?:printf (\S+) \| )?cicadawood (.*)$`)
 
-// shownIn reads a page's console blocks.
-func shownIn(page string) []shown {
-	var list []shown
+// examplesIn returns the examples in a page's console blocks.
+func examplesIn(page string) []example {
+	var list []example
 	inside := false
 	for line := range strings.Lines(page) {
 		line = strings.TrimRight(line, "\n")
@@ -59,7 +59,7 @@
 		case strings.HasPrefix(line, "```"):
 			inside = line == "```console"
 		case inside && m != nil:
-			list = append(list, shown{stdin: m[1], args: strings.Fields(m[2])})
+			list = append(list, example{stdin: m[1], args: strings.Fields(m[2])})
 		case inside:
 			list[len(list)-1].want += line + "\n"
 		}
@@ -72,14 +72,14 @@
 	blanks = regexp.MustCompile(`[ \t]+`)
 )
 
-// plain is an output without the numbers and widths that differ from run to run.
-func plain(s string) string {
+// normalize replaces the numbers and widths in an output that differ from run to run.
+func normalize(s string) string {
 	s = digits.ReplaceAllString(s, "N")
 	return strings.ReplaceAll(blanks.ReplaceAllString(s, " "), " \n", "\n")
 }
 
-// settingsIn is the indented settings file of the page on serve.
-func settingsIn(page string) string {
+// settingsExample returns the indented settings file of the page on serve.
+func settingsExample(page string) string {
 	text := ""
 	for line := range strings.Lines(page) {
 		if strings.HasPrefix(line, "    ") {
@@ -89,13 +89,13 @@
 	return text
 }
 
-// flat names the fields of nested objects with dots, and writes numbers whole.
-func flat(prefix string, fields map[string]any) map[string]any {
+// flatten names the fields of nested objects with dots and converts numbers to integers.
+func flatten(prefix string, fields map[string]any) map[string]any {
 	out := map[string]any{}
 	for name, v := range fields {
 		switch v := v.(type) {
 		case map[string]any:
-			maps.Copy(out, flat(prefix+name+".", v))
+			maps.Copy(out, flatten(prefix+name+".", v))
 		case float64:
 			out[prefix+name] = int64(v)
 		default:
@@ -131,7 +131,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		var defaults map[string]any
 		Expect(json.Unmarshal(text, &defaults)).To(Succeed())
-		for name, v := range flat("", defaults) {
+		for name, v := range flatten("", defaults) {
 			Expect(string(page)).To(ContainSubstring(fmt.Sprintf("\n| `%s` | %v | ", name, v)))
 		}
 	})
@@ -145,17 +145,17 @@
 		platform := httptest.NewServer(faker.NewPlatform().Handler())
 		DeferCleanup(platform.CloseClientConnections)
 		DeferCleanup(platform.Close)
-		at := addresses(3)
-		real := strings.NewReplacer("http://127.0.0.1:17000", platform.URL, "127.0.0.1:18011", at[0], "127.0.0.1:18021", at[1], "127.0.0.1:18031", at[2])
-		scripts := map[string][]shown{}
+		listen := addresses(3)
+		replacer := strings.NewReplacer("http://127.0.0.1:17000", platform.URL, "127.0.0.1:18011", listen[0], "127.0.0.1:18021", listen[1], "127.0.0.1:18031", listen[2])
+		scripts := map[string][]example{}
 		order := []string{"serve", "check", "push", "pull", "diff", "key", "status", "../../README", "dump", "drain", "version", "completion"}
 		for _, name := range order {
-			scripts[name] = shownIn(read(name))
+			scripts[name] = examplesIn(read(name))
 			Expect(scripts[name]).NotTo(BeEmpty(), name)
 		}
 		root := GinkgoT().TempDir()
 		Expect(os.CopyFS(filepath.Join(root, "examples"), os.DirFS("../examples"))).To(Succeed())
-		Expect(os.WriteFile(filepath.Join(root, "host-1.jsonc"), []byte(real.Replace(settingsIn(read("serve")))), 0o600)).To(Succeed())
+		Expect(os.WriteFile(filepath.Join(root, "host-1.jsonc"), []byte(replacer.Replace(settingsExample(read("serve")))), 0o600)).To(Succeed())
 		GinkgoT().Chdir(root)
 		GinkgoT().Setenv("CICADAWOOD_PLATFORM", platform.URL)
 
@@ -163,7 +163,7 @@
 		for _, name := range order {
 			for _, s := range scripts[name] {
 				for i, a := range s.args {
-					s.args[i] = real.Replace(a)
+					s.args[i] = replacer.Replace(a)
 				}
 				if s.args[len(s.args)-1] == "&" {
 					go func() {
@@ -179,9 +179,9 @@
 				out, errors, _ := run(s.stdin, s.args...)
 				want, _, cut := strings.Cut(s.want, "...\n")
 				if cut {
-					Expect(plain(out)).To(HavePrefix(plain(want)), "%v: %s", s.args, errors)
+					Expect(normalize(out)).To(HavePrefix(normalize(want)), "%v: %s", s.args, errors)
 				} else {
-					Expect(plain(out)).To(Equal(plain(want)), "%v: %s", s.args, errors)
+					Expect(normalize(out)).To(Equal(normalize(want)), "%v: %s", s.args, errors)
 				}
 			}
 		}
@@ -189,7 +189,7 @@
 	})
 })
 
-// awaitReady waits until the one host is ready with the head in force.
+// awaitReady waits until the only host is ready with the head in force.
 func awaitReady() {
 	Eventually(func() string {
 		out, _, _ := run("", "status")
--- a/commander/platform.go
+++ b/commander/platform.go
@@ -10,11 +10,12 @@
 
 var errNoPlatform = errors.New("no platform: give --platform or set CICADAWOOD_PLATFORM")
 
-// openStore is the Object API that the flags name, and its clean-up.
+// openStore returns the store at the Object API that the flags name, and a function that
+// closes it.
 func openStore(c *cobra.Command) (*platform.Store, func(), error) {
 	base, err := c.Flags().GetString("platform")
 	if err != nil || base == "" {
-		return nil, nil, usage(errNoPlatform)
+		return nil, nil, usageError(errNoPlatform)
 	}
 	store, clean := platform.NewStore(base)
 	return store, clean, nil
--- a/commander/reload.go
+++ b/commander/reload.go
@@ -13,46 +13,46 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// settingsEvery is how often a host looks at its settings file: it may change
+// settingsPollInterval is how often a host reads its settings file: the file may change
 // without a signal.
-const settingsEvery = 5 * time.Second
+const settingsPollInterval = 5 * time.Second
 
-// catchHangups keeps SIGHUP from ending the process, from now to its end. Failure: a
-// host is told to look at its settings while it drains, when nothing reads them any
-// more; the signal's default would end it, and break off all that it has under way. In
-// the first 4 ms of a process, before the runtime takes signals, nothing can help.
+// catchHangups keeps SIGHUP from terminating the process for the rest of its life. During
+// the drain nothing reads the settings any more; a SIGHUP would then take its default
+// action and abort all requests in flight. During the first 4 ms of a process, before the
+// Go runtime handles signals, this can't be prevented.
 func catchHangups() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
 
-// reloads is the settings of a file each time that they change, until ctx ends:
-// at a SIGHUP, or found by a look now and then. A file that is bad, or half
-// written, leaves the settings as they are.
-func reloads(ctx context.Context, path string, log *zap.Logger) <-chan loader.Host {
+// watchSettings sends the settings in a file each time they change, until ctx ends. It
+// reads the file at each SIGHUP and every settingsPollInterval. A file that is invalid or
+// only half written leaves the settings as they are.
+func watchSettings(ctx context.Context, path string, log *zap.Logger) <-chan loader.Host {
 	out := make(chan loader.Host)
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	have, err := os.ReadFile(path)
+	last, err := os.ReadFile(path)
 	if err != nil {
 		log.Warn("reload", zap.Error(err))
 	}
 	go func() {
 		defer signal.Stop(hangups)
-		ticker := time.NewTicker(settingsEvery)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
-			why := "looked"
+			trigger := "looked"
 			select {
 			case <-ctx.Done():
 				return
 			case <-hangups:
-				why = "signal"
+				trigger = "signal"
 			case <-ticker.C:
 			}
 			text, err := os.ReadFile(path)
-			if err == nil && bytes.Equal(text, have) {
+			if err == nil && bytes.Equal(text, last) {
 				continue
 			}
-			have = text
-			if !reload(ctx, path, text, err, out, log.With(zap.String("why", why))) {
+			last = text
+			if !sendSettings(ctx, path, text, err, out, log.With(zap.String("why", trigger))) {
 				return
 			}
 		}
@@ -60,10 +60,10 @@
 	return out
 }
 
-// reload hands on the settings in text; false where ctx ends first.
-func reload(ctx context.Context, path string, text []byte, failed error, out chan<- loader.Host, log *zap.Logger) bool {
+// sendSettings parses text and sends the settings. It returns false if ctx ends first.
+func sendSettings(ctx context.Context, path string, text []byte, readErr error, out chan<- loader.Host, log *zap.Logger) bool {
 	var settings loader.Host
-	err := failed
+	err := readErr
 	if err == nil {
 		settings, err = loader.ParseHost(path, text)
 	}
--- a/commander/reload_test.go
+++ b/commander/reload_test.go
@@ -17,21 +17,22 @@
 	"github.com/cicadawood/cicadawood/faker"
 )
 
-// Settings change under a running host, and a file is half written when the signal
-// comes. The host must keep what it had, say so, and take the next good file.
+// Guards against a host that loses its settings or stops following the file after an
+// invalid one: the settings change while the host runs, and the file is only half written
+// when SIGHUP arrives.
 var _ = Describe("A host whose settings file changes", func() {
-	It("takes a good file, and keeps its settings where the file is bad", func() {
+	It("applies a valid file and keeps its settings while the file is invalid", func() {
 		platform := httptest.NewServer(faker.NewPlatform().Handler())
 		DeferCleanup(platform.Close)
 		DeferCleanup(platform.CloseClientConnections)
-		var at []string
+		var listen []string
 		for i := range 3 {
-			at = append(at, fmt.Sprintf("127.%d.%d.252:%d", 100+os.Getpid()/250%100, 1+os.Getpid()%250, 20001+i))
+			listen = append(listen, fmt.Sprintf("127.%d.%d.252:%d", 100+os.Getpid()/250%100, 1+os.Getpid()%250, 20001+i))
 		}
 		file := filepath.Join(GinkgoT().TempDir(), "host.jsonc")
 		write := func(memory string) {
 			text := fmt.Sprintf(`{"name": "h", "zone": "a", "listen": %q, "control": %q, "admin": %q, "platform": %q, "dialect": "platform",
-				"limits": {"grace": "1s", "memory": %s}}`, at[0], at[1], at[2], platform.URL, memory)
+				"limits": {"grace": "1s", "memory": %s}}`, listen[0], listen[1], listen[2], platform.URL, memory)
 			Expect(os.WriteFile(file, []byte(text), 0o600)).To(Succeed())
 		}
 		hangUp := func() { Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed()) }
@@ -49,7 +50,7 @@
 		Eventually(out, 5*time.Second).Should(gbytes.Say("msg=reload "))
 		Eventually(out, 5*time.Second).Should(gbytes.Say(`msg="settings in force".*memory=200`))
 
-		_, _, code := run("", "drain", at[2])
+		_, _, code := run("", "drain", listen[2])
 		Expect(code).To(Equal(commander.ExitOK))
 		Eventually(ended, 10*time.Second).Should(Receive(Equal(commander.ExitOK)))
 		Expect(out).To(gbytes.Say("msg=left"))
