--- a/cmd/bencher/main.go
+++ b/cmd/bencher/main.go
@@ -1,4 +1,4 @@
-// Command bencher measures the policy: see package bencher.
+// Command bencher measures the routing policy under load and faults; see package bencher.
 package main
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/cicadawood/cicadawood/bencher"
 )
 
-// options are what to measure, and where the files go.
+// options select what is measured and where the results are written.
 type options struct {
 	first, last uint64
 	demands     []float64
 	conditions  []string
 	rows        []string
 	workloads   []string
-	atOnce      int
+	parallel    int
 	directory   string
 }
 
@@ -38,16 +38,16 @@
 	f := c.Flags()
 	f.Uint64Var(&o.first, "first", 101, "first seed")
 	f.Uint64Var(&o.last, "last", 120, "last seed")
-	f.Float64SliceVar(&o.demands, "demand", []float64{0.7, 1, 1.5, 2.5}, "offered work as a part of capacity")
-	f.StringSliceVar(&o.conditions, "condition", []string{"well", "slow", "crash", "late"}, "what is wrong")
-	f.StringSliceVar(&o.rows, "row", nil, "rows; all where none is given")
+	f.Float64SliceVar(&o.demands, "demand", []float64{0.7, 1, 1.5, 2.5}, "offered load as a fraction of capacity")
+	f.StringSliceVar(&o.conditions, "condition", []string{"well", "slow", "crash", "late"}, "fault conditions")
+	f.StringSliceVar(&o.rows, "row", nil, "rows; all if none is given")
 	f.StringSliceVar(&o.workloads, "workload", []string{"wodnik", "krilo"}, "workloads")
-	f.IntVar(&o.atOnce, "at-once", 4, "runs at once")
+	f.IntVar(&o.parallel, "at-once", 4, "runs in parallel")
 	f.StringVar(&o.directory, "out", "", "folder for policy.jsonl, policy.md and policy.svg")
 	return c
 }
 
-// points is the grid, the rows of one table next to each other.
+// points returns the grid of points, with the rows of a table next to each other.
 func (o options) points() []bencher.Point {
 	var out []bencher.Point
 	for _, w := range []bencher.Workload{bencher.Wodnik(), bencher.Krilo()} {
@@ -68,7 +68,7 @@
 }
 
 func (o options) run(w io.Writer) error {
-	results := bencher.Sorted(bencher.RunAll(o.points(), o.first, o.last, o.atOnce))
+	results := bencher.Sorted(bencher.RunAll(o.points(), o.first, o.last, o.parallel))
 	if o.directory == "" {
 		bencher.WriteTables(w, results)
 		return nil
--- a/cmd/faker/cmd_await.go
+++ b/cmd/faker/cmd_await.go
@@ -9,28 +9,28 @@
 	"github.com/spf13/cobra"
 )
 
-const awaitPause = 50 * time.Millisecond
+const awaitInterval = 50 * time.Millisecond
 
 // awaitCommand is `faker await`.
 func awaitCommand() *cobra.Command {
-	var limit time.Duration
+	var timeout time.Duration
 	c := &cobra.Command{Use: "await URL", Args: cobra.ExactArgs(1), Short: "Wait until a URL answers with 200", RunE: func(c *cobra.Command, args []string) error {
-		ctx, cancel := context.WithTimeout(c.Context(), limit)
+		ctx, cancel := context.WithTimeout(c.Context(), timeout)
 		defer cancel()
-		for !answers(ctx, args[0]) {
+		for !respondsOK(ctx, args[0]) {
 			select {
 			case <-ctx.Done():
 				return fmt.Errorf("%s does not answer", args[0])
-			case <-time.After(awaitPause):
+			case <-time.After(awaitInterval):
 			}
 		}
 		return nil
 	}}
-	c.Flags().DurationVar(&limit, "limit", 10*time.Second, "how long to wait")
+	c.Flags().DurationVar(&timeout, "limit", 10*time.Second, "how long to wait")
 	return c
 }
 
-func answers(ctx context.Context, url string) bool {
+func respondsOK(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false
--- a/cmd/faker/cmd_link.go
+++ b/cmd/faker/cmd_link.go
@@ -11,7 +11,7 @@
 
 // linkCommand is `faker link`.
 func linkCommand() *cobra.Command {
-	return &cobra.Command{Use: "link ADDRESS TARGET CONTROL", Args: cobra.ExactArgs(3), Short: "A TCP link that can fail; PUT /MODE at CONTROL sets how", RunE: func(c *cobra.Command, args []string) error {
+	return &cobra.Command{Use: "link ADDRESS TARGET CONTROL", Args: cobra.ExactArgs(3), Short: "A TCP link that can fail; PUT /MODE at CONTROL sets its mode", RunE: func(c *cobra.Command, args []string) error {
 		k, clean, err := faker.NewLink(args[0], args[1])
 		if err != nil {
 			return err
--- a/cmd/faker/cmd_sample.go
+++ b/cmd/faker/cmd_sample.go
@@ -15,7 +15,7 @@
 	var length time.Duration
 	var series string
 	var size float64
-	c := &cobra.Command{Use: "sample", Args: cobra.NoArgs, Short: "Measure for a while what hosts use, as a JSON line", RunE: func(c *cobra.Command, _ []string) error {
+	c := &cobra.Command{Use: "sample", Args: cobra.NoArgs, Short: "Measure the resource use of hosts and print it as a JSON line", RunE: func(c *cobra.Command, _ []string) error {
 		before, err := s.Take(c.Context())
 		if err != nil {
 			return err
@@ -37,7 +37,7 @@
 	c.Flags().StringSliceVar(&s.Admins, "admin", nil, "admin address of a host; may be repeated")
 	c.Flags().StringVar(&s.Platform, "platform", "", "address of the fake platform")
 	c.Flags().DurationVar(&length, "length", 8*time.Second, "how long to measure")
-	c.Flags().StringVar(&series, "series", "", "what grows from sample to sample")
-	c.Flags().Float64Var(&size, "size", 0, "its size in this one")
+	c.Flags().StringVar(&series, "series", "", "name of the quantity that varies between samples")
+	c.Flags().Float64Var(&size, "size", 0, "value of that quantity in this sample")
 	return c
 }
--- a/cmd/faker/main.go
+++ b/cmd/faker/main.go
@@ -1,5 +1,5 @@
-// Command faker runs the stand-ins for the systems around cicadawood as
-// processes, and a load tool, for tests and the demo.
+// Command faker runs fakes of the systems around cicadawood as processes, for tests and
+// the demo. It also generates load and runs benchmarks.
 package main
 
 import (
@@ -18,14 +18,14 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	root := &cobra.Command{Use: "faker", Short: "Stand-ins for tests and the demo", SilenceUsage: true}
+	root := &cobra.Command{Use: "faker", Short: "Fakes and load tools for tests and the demo", SilenceUsage: true}
 	root.AddCommand(platformCommand(), engineCommand(), serviceCommand(), linkCommand(), trafficCommand(), pathCommand(), sampleCommand(), slopesCommand(), awaitCommand())
 	if err := root.ExecuteContext(ctx); err != nil {
 		os.Exit(1)
 	}
 }
 
-// serve answers on address until ctx ends.
+// serve serves HTTP on address until ctx ends.
 func serve(ctx context.Context, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/cmd/matrix/known_test.go
+++ b/cmd/matrix/known_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// report is one ginkgo report of a suite with a spec that failed.
+// report is a ginkgo report of a suite with a failed spec.
 const report = `[{"SuitePath": "/src/platform", "SuiteSucceeded": false, "SpecReports": [
 	{"ContainerHierarchyTexts": ["Many hosts"], "LeafNodeType": "It", "LeafNodeText": "hear of it", "State": "failed"}]}]`
 
-// Guards against a failure being passed over that is not listed, to the letter.
+// Guards against passing over a failed spec whose package and text are not listed letter
+// for letter.
 func TestKnownReds(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/matrix/main.go
+++ b/cmd/matrix/main.go
@@ -1,12 +1,12 @@
-// Command matrix reads what the test runs reported and prints the fault matrix:
-// which cells and pairs are proved, which are not, and which can't occur.
+// Command matrix prints the fault matrix from the reports of the test runs: which cells
+// and pairs are proved, which are not, and which can't occur.
 //
 // Usage: matrix KNOWN SCENARIOS-DIR SCENARIOS-LOG REPORT.json...
 //
-// SCENARIOS-LOG is the output of `go test -v` on the scenarios; the reports are
-// ginkgo's. It exits with 1 when a spec or a scenario failed, and with 0 when
-// cells are only unproved: those it lists. A spec that KNOWN names is printed when it
-// failed, and passed over; KNOWN need not be there.
+// SCENARIOS-LOG is the output of `go test -v` on the scenarios; the reports are ginkgo's.
+// The exit status is 1 if a spec or a scenario failed. Cells that are not proved are
+// listed and do not affect the exit status. A failed spec that KNOWN names is printed and
+// passed over; KNOWN need not exist.
 package main
 
 import (
@@ -47,27 +47,27 @@
 	}
 }
 
-// matrix is what the reports proved.
+// matrix collects what the reports prove.
 type matrix struct {
-	proved    map[string]int // specs and scenarios by label
-	scenarios int
-	failed    int
-	failures  []string
-	known     []knownRed
-	passed    []string // known to fail, and did
+	proved     map[string]int // number of passed specs and scenarios, by label
+	scenarios  int
+	failed     int
+	failures   []string
+	known      []knownFailure
+	passedOver []string // failed specs that KNOWN names
 }
 
 func (m *matrix) read(dir, log string, reports []string) error {
 	for _, r := range reports {
-		if err := m.report(r); err != nil {
+		if err := m.addReport(r); err != nil {
 			return err
 		}
 	}
 	return m.readScenarios(dir, log)
 }
 
-// report takes one ginkgo report.
-func (m *matrix) report(path string) error {
+// addReport adds one ginkgo report.
+func (m *matrix) addReport(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -77,11 +77,11 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	for _, s := range suites {
-		before := len(m.failures) + len(m.passed)
+		before := len(m.failures) + len(m.passedOver)
 		for _, spec := range s.SpecReports {
-			m.spec(s.SuitePath, spec)
+			m.addSpec(s.SuitePath, spec)
 		}
-		if !s.SuiteSucceeded && len(m.failures)+len(m.passed) == before {
+		if !s.SuiteSucceeded && len(m.failures)+len(m.passedOver) == before {
 			m.failed++
 			m.failures = append(m.failures, "suite "+s.SuitePath)
 		}
@@ -89,10 +89,10 @@
 	return nil
 }
 
-func (m *matrix) spec(suite string, s types.SpecReport) {
+func (m *matrix) addSpec(suite string, s types.SpecReport) {
 	switch {
 	case s.State.Is(types.SpecStateFailureStates) && isKnown(m.known, suite, s.FullText()):
-		m.passed = append(m.passed, s.FullText())
+		m.passedOver = append(m.passedOver, s.FullText())
 	case s.State.Is(types.SpecStateFailureStates):
 		m.failed++
 		m.failures = append(m.failures, s.FullText())
@@ -108,8 +108,8 @@
 	cellsPattern   = regexp.MustCompile(`(?m)^# cells: (.*)$`)
 )
 
-// readScenarios takes the verdicts of `go test -v` and the cells that each
-// passed scenario names in its head.
+// readScenarios reads the verdicts of `go test -v` and the cells that each passed scenario
+// names in its head.
 func (m *matrix) readScenarios(dir, log string) error {
 	f, err := os.Open(log)
 	if err != nil {
@@ -130,15 +130,15 @@
 			m.failures = append(m.failures, "scenario "+name)
 			continue
 		}
-		if err := m.cellsOf(filepath.Join(dir, name+".txtar")); err != nil {
+		if err := m.addCells(filepath.Join(dir, name+".txtar")); err != nil {
 			return err
 		}
 	}
-	return m.missing(dir, seen)
+	return m.addMissing(dir, seen)
 }
 
-// missing counts a scenario without a verdict as failed.
-func (m *matrix) missing(dir string, seen map[string]bool) error {
+// addMissing counts a scenario without a verdict as failed.
+func (m *matrix) addMissing(dir string, seen map[string]bool) error {
 	return filepath.WalkDir(dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".txtar") {
 			return err
@@ -152,7 +152,7 @@
 	})
 }
 
-func (m *matrix) cellsOf(path string) error {
+func (m *matrix) addCells(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 }
 
 func (m *matrix) print() {
-	m.table()
+	m.printTable()
 	cells := prover.Cells()
 	var unproved []string
 	for _, c := range cells {
@@ -181,9 +181,9 @@
 			pairs++
 		}
 	}
-	m.strays(cells)
+	m.printContradictions(cells)
 	fmt.Printf("not proved: %s\n", strings.Join(unproved, " "))
-	for _, f := range m.passed {
+	for _, f := range m.passedOver {
 		fmt.Println("known red, passed over: " + f)
 	}
 	for _, f := range m.failures {
@@ -193,8 +193,8 @@
 		len(prover.Steps()), len(prover.Faults()), len(cells), pairs, m.scenarios, m.failed, len(unproved))
 }
 
-// table prints the number of proofs in each cell; - can't occur.
-func (m *matrix) table() {
+// printTable prints the number of proofs in each cell; - marks a cell that can't occur.
+func (m *matrix) printTable() {
 	fmt.Printf("%-10s", "")
 	for _, f := range prover.Faults() {
 		fmt.Printf("%10s", f)
@@ -214,20 +214,20 @@
 	fmt.Println("cells marked - can't occur:")
 	for _, f := range prover.Faults() {
 		for _, s := range prover.Steps() {
-			if why := prover.Impossible(s, f); why != "" {
-				fmt.Printf("  %s: %s\n", f, why)
+			if reason := prover.Impossible(s, f); reason != "" {
+				fmt.Printf("  %s: %s\n", f, reason)
 				break
 			}
 		}
 	}
 }
 
-// strays tells of labels that name a cell said to be impossible: either the
-// label or the table is wrong.
-func (m *matrix) strays(cells []string) {
+// printContradictions prints the labels of proved cells that are declared impossible:
+// either the label or the table is wrong.
+func (m *matrix) printContradictions(cells []string) {
 	for _, l := range slices.Sorted(maps.Keys(m.proved)) {
 		if prover.IsCell(l) && !slices.Contains(cells, l) {
-			fmt.Printf("proved, but said to be impossible: %s\n", l)
+			fmt.Printf("proved, but declared impossible: %s\n", l)
 		}
 	}
 }
--- a/cmd/oncebench/simulation.go
+++ b/cmd/oncebench/simulation.go
@@ -12,84 +12,85 @@
 )
 
 const (
-	writeTime  = 5 * time.Millisecond
-	hop        = 1500 * time.Microsecond // one way, between zones
-	workTime   = 20 * time.Millisecond
-	tickTime   = 20 * time.Millisecond
-	answerSize = 300 // bytes
+	writeTime    = 5 * time.Millisecond
+	networkDelay = 1500 * time.Microsecond // one way, between zones
+	workTime     = 20 * time.Millisecond
+	tickTime     = 20 * time.Millisecond
+	answerSize   = 300 // bytes
 )
 
-// figures is what one run came to.
-type figures struct {
+// statistics are the counts and times of one run.
+type statistics struct {
 	calls, writes, bytes int
-	added                []float64 // milliseconds a call took beyond its work, ascending
+	added                []float64 // milliseconds per call beyond its work and six network delays, ascending
 }
 
-func (f figures) perCall() float64 { return float64(f.writes) / float64(max(f.calls, 1)) }
+func (f statistics) perCall() float64 { return float64(f.writes) / float64(max(f.calls, 1)) }
 
-func (f figures) quantile(q float64) float64 {
+func (f statistics) quantile(q float64) float64 {
 	if len(f.added) == 0 {
 		return 0
 	}
 	return f.added[int(q*float64(len(f.added)-1))]
 }
 
-// simulation is one keeper, its store, its worker and its entries, in virtual
-// time. Nothing fails here.
+// simulation runs one keeper with its store, its worker and its entry hosts in virtual
+// time, without faults.
 type simulation struct {
-	now     time.Time
-	end     time.Time
-	rate    float64
-	random  *rand.Rand
-	keeper  *keeper.Keeper
-	agenda  faker.EventQueue
-	version storer.Version
-	began   map[string]time.Time
-	figures figures
+	now        time.Time
+	end        time.Time
+	rate       float64
+	random     *rand.Rand
+	keeper     *keeper.Keeper
+	events     faker.EventQueue
+	version    storer.Version
+	startedAt  map[string]time.Time
+	statistics statistics
 }
 
 func newSimulation(rate float64, r *rand.Rand) *simulation {
 	now := time.Unix(1_800_000_000, 0)
 	return &simulation{
-		now: now, end: now.Add(length), rate: rate, random: r, began: map[string]time.Time{},
+		now: now, end: now.Add(runLength), rate: rate, random: r, startedAt: map[string]time.Time{},
 		keeper: keeper.New("host", 1, keeper.Settings{MaxRecords: 1 << 20}),
 	}
 }
 
-func (s *simulation) run() figures {
-	s.arrive()
+func (s *simulation) run() statistics {
+	s.scheduleArrival()
 	s.tick()
-	for at, do, ok := s.agenda.Next(s.end); ok; at, do, ok = s.agenda.Next(s.end) {
+	for at, do, ok := s.events.Next(s.end); ok; at, do, ok = s.events.Next(s.end) {
 		s.now = at
 		do()
 	}
-	slices.Sort(s.figures.added)
-	return s.figures
+	slices.Sort(s.statistics.added)
+	return s.statistics
 }
 
 func (s *simulation) after(d time.Duration, do func()) {
-	s.agenda.Add(s.now.Add(d), do)
+	s.events.Add(s.now.Add(d), do)
 }
 
-// arrive starts a call and the wait for the next: arrivals don't wait for answers.
-func (s *simulation) arrive() {
+// scheduleArrival schedules the next call, which schedules the one after it: arrivals
+// don't wait for answers.
+func (s *simulation) scheduleArrival() {
 	s.after(time.Duration(s.random.ExpFloat64()/s.rate*float64(time.Second)), func() {
-		s.figures.calls++
-		request := fmt.Sprint(s.figures.calls)
-		s.began[request] = s.now
-		s.input(hop, keeper.CallReceived{Call: keeper.Call{
+		s.statistics.calls++
+		request := fmt.Sprint(s.statistics.calls)
+		s.startedAt[request] = s.now
+		s.handleAfter(networkDelay, keeper.CallReceived{Call: keeper.Call{
 			ID: keeper.NewID("org", "service", request), Request: request, From: "entry", Deadline: s.now.Add(10 * time.Second),
 		}})
-		s.arrive()
+		s.scheduleArrival()
 	})
 }
 
 func (s *simulation) tick() {
-	s.input(tickTime, keeper.Ticked{})
+	s.handleAfter(tickTime, keeper.Ticked{})
 	s.after(tickTime, s.tick)
 }
 
-func (s *simulation) input(d time.Duration, in keeper.Input) {
+func (s *simulation) handleAfter(d time.Duration, in keeper.Input) {
 	s.after(d, func() {
 		for _, o := range s.keeper.Handle(s.now, in) {
 			s.perform(o)
@@ -100,37 +101,37 @@
 func (s *simulation) perform(o keeper.Output) {
 	switch o := o.(type) {
 	case keeper.Acquire:
-		s.input(2*hop, keeper.Placed{ID: o.ID, Attempt: o.Attempt})
+		s.handleAfter(2*networkDelay, keeper.Placed{ID: o.ID, Attempt: o.Attempt})
 	case keeper.Ready:
-		s.input(2*hop, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true})
+		s.handleAfter(2*networkDelay, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true})
 	case keeper.Send:
 		answer := &keeper.Answer{Status: 200, Body: make([]byte, answerSize)}
-		s.input(2*hop+workTime, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallRan, Answer: answer})
+		s.handleAfter(2*networkDelay+workTime, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallRan, Answer: answer})
 	case keeper.Reply:
-		took := s.now.Add(hop).Sub(s.began[o.Request]) - workTime - 6*hop
-		s.figures.added = append(s.figures.added, float64(took)/1e6)
-		delete(s.began, o.Request)
+		took := s.now.Add(networkDelay).Sub(s.startedAt[o.Request]) - workTime - 6*networkDelay
+		s.statistics.added = append(s.statistics.added, float64(took)/1e6)
+		delete(s.startedAt, o.Request)
 	case keeper.ReadHead:
-		s.input(writeTime, keeper.HeadRead{Result: keeper.Missing})
+		s.handleAfter(writeTime, keeper.HeadRead{Result: keeper.Missing})
 	case keeper.WriteHead:
 		value, err := o.Head.Encode()
 		if err != nil {
 			panic(err)
 		}
-		s.write(len(value))
+		s.countWrite(len(value))
 		s.version++
-		s.input(writeTime, keeper.HeadWritten{Stamp: o.Head.Stamp, Version: s.version, Result: keeper.Done})
+		s.handleAfter(writeTime, keeper.HeadWritten{Stamp: o.Head.Stamp, Version: s.version, Result: keeper.Done})
 	case keeper.WriteSegment:
 		value, err := keeper.EncodeRecords(o.Records)
 		if err != nil {
 			panic(err)
 		}
-		s.write(len(value))
-		s.input(writeTime, keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Done})
+		s.countWrite(len(value))
+		s.handleAfter(writeTime, keeper.SegmentWritten{Segment: o.Segment, Result: keeper.Done})
 	}
 }
 
-func (s *simulation) write(bytes int) {
-	s.figures.writes++
-	s.figures.bytes += bytes
+func (s *simulation) countWrite(bytes int) {
+	s.statistics.writes++
+	s.statistics.bytes += bytes
 }
--- a/cmd/oncebench/takeover.go
+++ b/cmd/oncebench/takeover.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	recordsKept   = 20_000
+	recordCount   = 20_000
 	segmentLength = 1000 // records
-	takeovers     = 5
+	takeoverRuns  = 5
 )
 
-// takeover measures what a keeper spends to read a full log into memory, and
-// what the memory is. The time of the store is left out.
+// takeover measures the processor time that a keeper needs to read a full log, and the
+// memory that it then uses. The time of the store is not included.
 func takeover(out io.Writer) error {
 	head, stored, err := fullLog()
 	if err != nil {
@@ -26,10 +26,10 @@
 	}
 	var took []time.Duration
 	var bytes uint64
-	for range takeovers {
+	for range takeoverRuns {
 		before := heapBytes()
 		started := time.Now()
-		k, err := open(head, stored)
+		k, err := openLog(head, stored)
 		if err != nil {
 			return err
 		}
@@ -43,8 +43,8 @@
 		total += len(s)
 	}
 	_, err = fmt.Fprintf(out, "\ntake-over of %d records, answers of %d bytes, %d kB in %d segments: %s (%s..%s) of processor time, %d kB of memory\n",
-		recordsKept, answerSize, total/1000, len(stored), took[takeovers/2].Round(time.Millisecond), took[0].Round(time.Millisecond),
-		took[takeovers-1].Round(time.Millisecond), bytes/1000)
+		recordCount, answerSize, total/1000, len(stored), took[takeoverRuns/2].Round(time.Millisecond), took[0].Round(time.Millisecond),
+		took[takeoverRuns-1].Round(time.Millisecond), bytes/1000)
 	return err
 }
 
@@ -58,27 +58,27 @@
 func fullLog() (keeper.Head, [][]byte, error) {
 	h := keeper.Head{Epoch: 1}
 	var stored [][]byte
-	var entries []*keeper.Record
-	for i := range recordsKept {
+	var records []*keeper.Record
+	for i := range recordCount {
 		var id keeper.ID
 		binary.BigEndian.PutUint64(id[:], uint64(i)*0x9e3779b97f4a7c15)
 		answer := &keeper.Answer{Status: 200, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: make([]byte, answerSize)}
-		entries = append(entries, &keeper.Record{ID: id, At: int64(i + 1), State: keeper.Ran, Answer: answer})
-		if len(entries) < segmentLength {
+		records = append(records, &keeper.Record{ID: id, At: int64(i + 1), State: keeper.Ran, Answer: answer})
+		if len(records) < segmentLength {
 			continue
 		}
-		value, err := keeper.EncodeRecords(entries)
+		value, err := keeper.EncodeRecords(records)
 		if err != nil {
 			return h, nil, err
 		}
 		h.Segments = append(h.Segments, keeper.Segment{Epoch: 1, Sequence: uint64(len(stored) + 1), NewestAt: int64(i + 1), Size: len(value), Level: 9})
-		stored, entries = append(stored, value), nil
+		stored, records = append(stored, value), nil
 	}
 	return h, stored, nil
 }
 
-// open gives a new keeper the log, as its adapter does.
-func open(h keeper.Head, stored [][]byte) (*keeper.Keeper, error) {
+// openLog feeds a log to a new keeper, as its adapter does.
+func openLog(h keeper.Head, stored [][]byte) (*keeper.Keeper, error) {
 	k, now := keeper.New("host", 2, keeper.Settings{}), time.Unix(1_800_000_000, 0)
 	k.Handle(now, keeper.CallReceived{Call: keeper.Call{Request: "first", Deadline: now.Add(time.Second)}})
 	var seal keeper.Output
@@ -87,14 +87,14 @@
 	}
 	k.Handle(now, keeper.HeadWritten{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
 	for i, s := range h.Segments {
-		entries, err := keeper.DecodeRecords(stored[i])
+		records, err := keeper.DecodeRecords(stored[i])
 		if err != nil {
 			return nil, err
 		}
-		k.Handle(now, keeper.SegmentRead{Segment: s, Records: entries, Result: keeper.Done})
+		k.Handle(now, keeper.SegmentRead{Segment: s, Records: records, Result: keeper.Done})
 	}
-	if s := k.Summary(); !s.Ready || s.Records != recordsKept {
-		return nil, fmt.Errorf("not open: %+v", s)
+	if s := k.Summary(); !s.Ready || s.Records != recordCount {
+		return nil, fmt.Errorf("keeper did not load the log: %+v", s)
 	}
 	return k, nil
 }
