--- a/driver/caller.go
+++ b/driver/caller.go
@@ -12,10 +12,10 @@
 	"github.com/cicadawood/cicadawood/faker"
 )
 
-const maxTries = 4
+const maxAttempts = 4
 
-// caller makes one request as a careful client does: a connection that breaks
-// is tried again through another host, a hold with the same key.
+// caller makes one request as a careful client does: after a broken connection it tries
+// again through another host, a hold with the same key.
 type caller struct {
 	client *http.Client
 	hosts  []string
@@ -25,15 +25,15 @@
 	start  int
 }
 
-// verdict is how one answer ended.
+// verdict classifies the outcome of one request.
 type verdict string
 
 const (
 	whole   verdict = "whole"
 	refused verdict = "refused" // certainly not run
-	unknown verdict = "unknown" // may have run, and the caller was told so
-	lost    verdict = "lost"    // no true final outcome
-	wrong   verdict = "wrong"   // called whole, but with tokens doubled, missing or another's
+	unknown verdict = "unknown" // may have run, and the answer says so
+	lost    verdict = "lost"    // no valid final outcome
+	wrong   verdict = "wrong"   // ended as complete, but with tokens doubled, missing or of another request
 )
 
 // result is the final outcome of one request.
@@ -50,9 +50,9 @@
 func (c caller) call(ctx context.Context) result {
 	started := time.Now()
 	r := result{kind: c.kind, id: c.id, verdict: lost}
-	for try := range maxTries {
-		again := c.try(ctx, c.hosts[(c.start+try)%len(c.hosts)], started, &r)
-		if !again {
+	for n := range maxAttempts {
+		retry := c.attempt(ctx, c.hosts[(c.start+n)%len(c.hosts)], started, &r)
+		if !retry {
 			break
 		}
 	}
@@ -60,13 +60,13 @@
 	return r
 }
 
-// try sends the request once and says whether to try another host.
-func (c caller) try(ctx context.Context, host string, started time.Time, r *result) bool {
+// attempt sends the request once and returns whether to try another host.
+func (c caller) attempt(ctx context.Context, host string, started time.Time, r *result) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+c.kind.path, strings.NewReader(c.body()))
 	if err != nil {
 		return false
 	}
-	// A hold carries its key, so that sending it again is safe.
+	// The key makes it safe to send a hold again.
 	req.Header.Set("Idempotency-Key", c.id)
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	req.Header.Set("Content-Type", "application/json")
@@ -101,13 +101,13 @@
 	return fmt.Sprintf(`{"model":"cicada-lm","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"request %s"}]}`, c.kind.tokens, c.id)
 }
 
-// judge tells what an answer that arrived says.
+// judge classifies an answer that arrived.
 func (c caller) judge(resp *http.Response, body string) verdict {
 	if resp.StatusCode < 300 {
 		if c.kind.engine && !strings.HasSuffix(strings.TrimSpace(body), "data: [DONE]") {
 			return lost
 		}
-		if c.kind.engine && !exact(resp.Header.Get("X-Request-Id"), body) {
+		if c.kind.engine && !tokensMatch(resp.Header.Get("X-Request-Id"), body) {
 			return wrong
 		}
 		return whole
@@ -130,9 +130,9 @@
 	}
 }
 
-// exact says that a stream has the tokens of the fake engines for the request,
-// each once and in order, and at least one.
-func exact(id, body string) bool {
+// tokensMatch reports whether a stream has the fake engines' tokens for the request, each
+// once and in order, and at least one.
+func tokensMatch(id, body string) bool {
 	n := 0
 	for _, part := range strings.Split(body, `"content":"`)[1:] {
 		text, _, _ := strings.Cut(part, `"`)
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -1,5 +1,5 @@
-// Package driver sends traffic as callers do, and judges what came back against
-// what the backend servers say they ran.
+// Package driver sends traffic as callers do, and checks the answers against the runs that
+// the backend servers report.
 package driver
 
 import (
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Traffic is a mixed load. Arrivals are open: they do not wait for answers.
+// Traffic is an open load of mixed requests: arrivals do not wait for answers.
 type Traffic struct {
 	Hosts    []string // IP:port of the entry of each host
-	Services []string // IP:port of plain services, whose counts judge doubling
+	Services []string // IP:port of plain services, whose counts reveal doubled calls
 	Length   time.Duration
-	Rate     float64 // requests a second
+	Rate     float64 // requests per second
 	Seed     uint64
 	Key      string // API key
 }
@@ -43,7 +43,7 @@
 	{class: "plan", weight: 0.1, engine: true, tokens: 160, target: 20 * time.Second, path: "/v1/chat/completions"},
 }
 
-// Run sends the traffic, waits for every final outcome, and judges.
+// Run sends the traffic, waits for every final outcome, and checks the outcomes.
 func (t Traffic) Run(ctx context.Context) (*Report, error) {
 	if len(t.Hosts) == 0 {
 		return nil, errors.New("no hosts to send to")
@@ -54,7 +54,7 @@
 	var tasks sync.WaitGroup
 	end := time.Now().Add(t.Length)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		c := caller{client: client, hosts: t.Hosts, key: t.Key, kind: pick(random), id: fmt.Sprintf("%d-%d", t.Seed, n), start: random.IntN(len(t.Hosts))}
+		c := caller{client: client, hosts: t.Hosts, key: t.Key, kind: pickKind(random), id: fmt.Sprintf("%d-%d", t.Seed, n), start: random.IntN(len(t.Hosts))}
 		tasks.Go(func() { report.add(c.call(ctx)) })
 		gap := time.Duration(random.ExpFloat64() / t.Rate * float64(time.Second))
 		select {
@@ -63,10 +63,10 @@
 		}
 	}
 	tasks.Wait()
-	return report, t.judge(ctx, client, report)
+	return report, t.verify(ctx, client, report)
 }
 
-func pick(r *rand.Rand) kind {
+func pickKind(r *rand.Rand) kind {
 	x := r.Float64()
 	for _, k := range mix {
 		if x -= k.weight; x < 0 {
@@ -76,8 +76,8 @@
 	return mix[0]
 }
 
-// judge reads how often each operation ran.
-func (t Traffic) judge(ctx context.Context, client *http.Client, r *Report) error {
+// verify reads how often each operation ran and checks the report against it.
+func (t Traffic) verify(ctx context.Context, client *http.Client, r *Report) error {
 	ran := map[string]int{}
 	for _, address := range t.Services {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/counts", nil)
@@ -98,6 +98,6 @@
 			ran[id] += n
 		}
 	}
-	r.judge(ran)
+	r.compareRuns(ran)
 	return nil
 }
--- a/driver/driver_test.go
+++ b/driver/driver_test.go
@@ -21,9 +21,9 @@
 	RunSpecs(t, "driver")
 }
 
-// A host that doubles, loses or crosses tokens and ends its streams with [DONE]
-// must not pass for one that answers whole.
-var _ = DescribeTable("Traffic judges tokens",
+// Guards against a host that passes although it doubles, loses or mixes up tokens, because
+// it ends its streams with [DONE].
+var _ = DescribeTable("Traffic checks tokens",
 	func(good bool, tokens ...string) {
 		host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", "cw-1")
--- a/driver/export_test.go
+++ b/driver/export_test.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// TimeAtPercentile records times and is that below which so many of a hundred lie.
+// TimeAtPercentile records times and returns a percentile of them.
 func TimeAtPercentile(percent float64, recorded ...time.Duration) time.Duration {
-	t := newTimes()
+	t := newHistogram()
 	for _, took := range recorded {
 		if err := t.record(took); err != nil {
 			panic(err)
 		}
 	}
-	return t.at(percent)
+	return t.percentile(percent)
 }
--- a/driver/histogram.go
+++ b/driver/histogram.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// longestTime is the longest time that a histogram tells apart; what takes longer
-	// counts as that.
-	longestTime = 2 * time.Minute
-	// timeDigits is how many digits of a time it keeps.
-	timeDigits = 3
+	// maxTime is the longest time that a histogram distinguishes; longer times count as
+	// maxTime.
+	maxTime = 2 * time.Minute
+	// significantDigits is the precision of a recorded time, in decimal digits.
+	significantDigits = 3
 )
 
-// times is a histogram of times, to the microsecond.
-type times struct{ h *hdrhistogram.Histogram }
+// histogram records times in microseconds.
+type histogram struct{ h *hdrhistogram.Histogram }
 
-func newTimes() times {
-	return times{hdrhistogram.New(1, longestTime.Microseconds(), timeDigits)}
+func newHistogram() histogram {
+	return histogram{hdrhistogram.New(1, maxTime.Microseconds(), significantDigits)}
 }
 
-// record takes a time.
-func (t times) record(took time.Duration) error {
-	if err := t.h.RecordValue(min(took, longestTime).Microseconds()); err != nil {
+// record adds a time.
+func (t histogram) record(took time.Duration) error {
+	if err := t.h.RecordValue(min(took, maxTime).Microseconds()); err != nil {
 		return fmt.Errorf("record %s: %w", took, err)
 	}
 	return nil
 }
 
-// at is the time below which so many of a hundred lie.
-func (t times) at(percent float64) time.Duration {
+// percentile returns the time below which the given percentage of the recorded times lie.
+func (t histogram) percentile(percent float64) time.Duration {
 	return time.Duration(t.h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// milliseconds is the same in milliseconds.
-func (t times) milliseconds(percent float64) float64 {
-	return float64(t.at(percent)) / float64(time.Millisecond)
+// percentileMS is percentile in milliseconds.
+func (t histogram) percentileMS(percent float64) float64 {
+	return float64(t.percentile(percent)) / float64(time.Millisecond)
 }
--- a/driver/path.go
+++ b/driver/path.go
@@ -15,42 +15,42 @@
 	"time"
 )
 
-// openAtOnce bounds the streams that wait for their first token together.
-const openAtOnce = 3000
+// maxOpening bounds the streams that wait for their first token at the same time.
+const maxOpening = 3000
 
-// PathBenchmark measures what a host adds to a call: the same calls through the host and
-// directly to the engine, in turns, in one run.
+// PathBenchmark measures what a host adds to a call. It makes the same calls through the
+// host and directly to the engine, alternating between them within one run.
 type PathBenchmark struct {
 	Host          string // IP:port of the host's entry
 	Engine        string // IP:port of the engine
 	Key           string // API key
 	HostPID       int    // process id of the host
-	Rounds        int    // of each way
+	Rounds        int    // of each variant
 	CallsPerRound int    // a round
-	Concurrency   int    // calls at once in the throughput part
-	Tokens        int    // at most, a call
-	Streams       int    // open at once in the memory part; 0 leaves it out
+	Concurrency   int    // concurrent calls in the throughput part
+	Tokens        int    // maximum per call
+	Streams       int    // open at the same time in the memory part; 0 skips the part
 }
 
-// way is one of the two paths, and what its rounds measured.
-type way struct {
+// variant is one of the two paths and the measurements of its rounds.
+type variant struct {
 	name    string
 	address string
 	first   []float64 // p50 to the first token of each round, ms
 	first99 []float64
 	whole   []float64
 	whole99 []float64
-	rate    []float64 // requests a second
-	tokens  []float64 // tokens a second
-	core    []float64 // processor seconds of the host a second
+	rate    []float64 // requests per second
+	tokens  []float64 // tokens per second
+	cores   []float64 // processor seconds of the host per second
 }
 
-// Run measures and prints.
+// Run measures and prints the results.
 func (p PathBenchmark) Run(ctx context.Context, out io.Writer) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: p.Concurrency + 4}}
-	ways := []*way{{name: "direct", address: p.Engine}, {name: "host", address: p.Host}}
+	variants := []*variant{{name: "direct", address: p.Engine}, {name: "host", address: p.Host}}
 	for range p.Rounds {
-		for _, w := range ways {
+		for _, w := range variants {
 			if err := p.latency(ctx, client, w); err != nil {
 				return err
 			}
@@ -60,7 +60,7 @@
 		}
 	}
 	if p.Rounds > 0 {
-		if err := p.print(out, ways); err != nil {
+		if err := p.print(out, variants); err != nil {
 			return err
 		}
 	}
@@ -70,9 +70,9 @@
 	return p.memory(ctx, out)
 }
 
-// latency runs a round of calls one after the other.
-func (p PathBenchmark) latency(ctx context.Context, client *http.Client, w *way) error {
-	first, whole := newTimes(), newTimes()
+// latency runs a round of sequential calls.
+func (p PathBenchmark) latency(ctx context.Context, client *http.Client, w *variant) error {
+	first, whole := newHistogram(), newHistogram()
 	for i := range p.CallsPerRound {
 		f, all, _, err := p.call(ctx, client, w.address, p.Tokens, fmt.Sprint(i))
 		if err != nil {
@@ -82,30 +82,30 @@
 			return err
 		}
 	}
-	w.first = append(w.first, first.milliseconds(50))
-	w.first99 = append(w.first99, first.milliseconds(99))
-	w.whole = append(w.whole, whole.milliseconds(50))
-	w.whole99 = append(w.whole99, whole.milliseconds(99))
+	w.first = append(w.first, first.percentileMS(50))
+	w.first99 = append(w.first99, first.percentileMS(99))
+	w.whole = append(w.whole, whole.percentileMS(50))
+	w.whole99 = append(w.whole99, whole.percentileMS(99))
 	return nil
 }
 
-// throughput runs a round of calls from many workers at once.
-func (p PathBenchmark) throughput(ctx context.Context, client *http.Client, w *way) error {
-	before, _, err := usage(p.HostPID)
+// throughput runs a round of concurrent calls, four times as many as latency does.
+func (p PathBenchmark) throughput(ctx context.Context, client *http.Client, w *variant) error {
+	before, _, err := processUsage(p.HostPID)
 	if err != nil {
 		return err
 	}
 	started := time.Now()
 	var left, tokens atomic.Int64
 	left.Store(int64(p.CallsPerRound * 4))
-	var failed atomic.Value
+	var firstErr atomic.Value
 	var tasks sync.WaitGroup
 	for range p.Concurrency {
 		tasks.Go(func() {
 			for left.Add(-1) >= 0 {
 				_, _, n, err := p.call(ctx, client, w.address, p.Tokens, "load")
 				if err != nil {
-					failed.Store(err)
+					firstErr.Store(err)
 					return
 				}
 				tokens.Add(int64(n))
@@ -113,22 +113,22 @@
 		})
 	}
 	tasks.Wait()
-	if err, ok := failed.Load().(error); ok {
+	if err, ok := firstErr.Load().(error); ok {
 		return err
 	}
 	took := time.Since(started).Seconds()
-	after, _, err := usage(p.HostPID)
+	after, _, err := processUsage(p.HostPID)
 	if err != nil {
 		return err
 	}
 	w.rate = append(w.rate, float64(p.CallsPerRound*4)/took)
 	w.tokens = append(w.tokens, float64(tokens.Load())/took)
-	w.core = append(w.core, (after-before)/took)
+	w.cores = append(w.cores, (after-before)/took)
 	return nil
 }
 
-// call makes one streamed call and returns the time to its first event, to its
-// end, and its tokens.
+// call makes one streamed call. It returns the time to the first event, the time to the
+// end, and the number of tokens.
 func (p PathBenchmark) call(ctx context.Context, client *http.Client, address string, tokens int, id string) (first, whole time.Duration, n int, err error) {
 	started := time.Now()
 	resp, err := p.open(ctx, client, address, tokens, id)
@@ -171,22 +171,22 @@
 	return resp, nil
 }
 
-// memory opens many streams and reads the host's memory before and after.
+// memory opens many streams and reads the host's memory before and with them.
 func (p PathBenchmark) memory(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	_, before, err := usage(p.HostPID)
+	_, before, err := processUsage(p.HostPID)
 	if err != nil {
 		return err
 	}
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 0, DisableKeepAlives: true}}
 	var opened, refused atomic.Int64
 	var tasks sync.WaitGroup
-	gate := make(chan struct{}, openAtOnce)
+	opening := make(chan struct{}, maxOpening)
 	for range p.Streams {
-		gate <- struct{}{}
+		opening <- struct{}{}
 		tasks.Go(func() {
-			defer func() { <-gate }()
+			defer func() { <-opening }()
 			resp, err := p.open(ctx, client, p.Host, 4096, "open")
 			if err != nil || resp.StatusCode != http.StatusOK {
 				refused.Add(1)
@@ -194,11 +194,11 @@
 			}
 			opened.Add(1)
 			context.AfterFunc(ctx, func() { _ = resp.Body.Close() })
-			go func() { _, _ = io.Copy(io.Discard, resp.Body) }() // until the body is closed, which ends it
+			go func() { _, _ = io.Copy(io.Discard, resp.Body) }() // ends when the body is closed
 		})
 	}
 	tasks.Wait()
-	_, after, err := usage(p.HostPID)
+	_, after, err := processUsage(p.HostPID)
 	if err != nil {
 		return err
 	}
@@ -208,12 +208,12 @@
 	return nil
 }
 
-func (p PathBenchmark) print(out io.Writer, ways []*way) error {
+func (p PathBenchmark) print(out io.Writer, variants []*variant) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "median of %d rounds (lowest to highest)\tdirect\thost\thost-direct\thost/direct\t\n", p.Rounds)
-	d, h := ways[0], ways[1]
+	d, h := variants[0], variants[1]
 	row := func(name string, a, b []float64) {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.3f\t%.2f\t\n", name, spread(a), spread(b), median(b)-median(a), median(b)/median(a))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.3f\t%.2f\t\n", name, formatRange(a), formatRange(b), median(b)-median(a), median(b)/median(a))
 	}
 	row("first token p50, ms", d.first, h.first)
 	row("first token p99, ms", d.first99, h.first99)
@@ -221,9 +221,9 @@
 	row("whole answer p99, ms", d.whole99, h.whole99)
 	row("requests a second", d.rate, h.rate)
 	row("tokens a second", d.tokens, h.tokens)
-	fmt.Fprintf(w, "host's cores in use\t\t%s\t\t\t\n", spread(h.core))
-	fmt.Fprintf(w, "requests a second a core\t\t%s\t\t\t\n", spread(ratio(h.rate, h.core)))
-	fmt.Fprintf(w, "tokens a second a core\t\t%s\t\t\t\n", spread(ratio(h.tokens, h.core)))
+	fmt.Fprintf(w, "host's cores in use\t\t%s\t\t\t\n", formatRange(h.cores))
+	fmt.Fprintf(w, "requests a second a core\t\t%s\t\t\t\n", formatRange(ratio(h.rate, h.cores)))
+	fmt.Fprintf(w, "tokens a second a core\t\t%s\t\t\t\n", formatRange(ratio(h.tokens, h.cores)))
 	return w.Flush()
 }
 
@@ -240,6 +240,6 @@
 	return s[len(s)/2]
 }
 
-func spread(v []float64) string {
+func formatRange(v []float64) string {
 	return fmt.Sprintf("%.3g (%.3g-%.3g)", median(v), slices.Min(v), slices.Max(v))
 }
--- a/driver/report.go
+++ b/driver/report.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Report is what became of a Traffic.
+// Report is the outcome of a Traffic run.
 type Report struct {
-	mu      sync.Mutex
-	results []result
-	doubled int
-	untrue  int // told "not run" although it ran
+	mu          sync.Mutex
+	results     []result
+	doubled     int
+	falseNotRun int // reported as not run although they ran
 }
 
 func newReport() *Report { return &Report{} }
@@ -24,8 +24,9 @@
 	r.results = append(r.results, x)
 }
 
-// judge compares the outcomes with how often each operation ran.
-func (r *Report) judge(ran map[string]int) {
+// compareRuns counts the operations that ran more than once, and those that were reported
+// as not run although they ran.
+func (r *Report) compareRuns(ran map[string]int) {
 	for _, x := range r.results {
 		if !x.kind.once {
 			continue
@@ -34,14 +35,15 @@
 			r.doubled++
 		}
 		if x.verdict == refused && ran[x.id] > 0 {
-			r.untrue++
+			r.falseNotRun++
 		}
 	}
 }
 
-// Passed says that no request was lost, doubled or answered wrongly, and no "not run" was untrue.
+// Passed reports whether no request was lost, doubled or answered wrongly, and none that
+// was reported as not run had run.
 func (r *Report) Passed() bool {
-	return r.count(lost) == 0 && r.count(wrong) == 0 && r.doubled == 0 && r.untrue == 0
+	return r.count(lost) == 0 && r.count(wrong) == 0 && r.doubled == 0 && r.falseNotRun == 0
 }
 
 func (r *Report) count(v verdict) int {
@@ -54,7 +56,7 @@
 	return n
 }
 
-// Print writes a table by class and the closing line.
+// Print writes a table by class and a summary line.
 func (r *Report) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tsent\tanswered\trefused\tunknown\tattainment\twasted tokens\tp50\tp99\t")
@@ -67,10 +69,10 @@
 		return err
 	}
 	if n := r.count(wrong); n > 0 {
-		fmt.Fprintf(out, "called whole, but with wrong tokens: %d\n", n)
+		fmt.Fprintf(out, "ended as complete, but with wrong tokens: %d\n", n)
 	}
-	if r.untrue > 0 {
-		fmt.Fprintf(out, "told not run, but ran: %d\n", r.untrue)
+	if r.falseNotRun > 0 {
+		fmt.Fprintf(out, "reported as not run, but ran: %d\n", r.falseNotRun)
 	}
 	_, err := fmt.Fprintf(out, "demo: sent=%d whole=%d refused=%d unknown=%d lost=%d doubled=%d\n",
 		len(r.results), r.count(whole), r.count(refused), r.count(unknown), r.count(lost), r.doubled)
@@ -78,8 +80,8 @@
 }
 
 func (r *Report) row(w io.Writer, k kind) error {
-	took := newTimes()
-	sent, answered, shed, unsure, met, wasted := 0, 0, 0, 0, 0, 0
+	took := newHistogram()
+	sent, answered, notRun, mayHaveRun, onTime, wasted := 0, 0, 0, 0, 0, 0
 	for _, x := range r.results {
 		if x.kind.class != k.class {
 			continue
@@ -93,16 +95,16 @@
 				return err
 			}
 			if x.took <= k.target {
-				met++
+				onTime++
 			}
 		case refused:
-			shed++
+			notRun++
 		case unknown:
-			unsure++
+			mayHaveRun++
 		}
 	}
-	at := func(percent float64) time.Duration { return took.at(percent).Round(time.Millisecond) }
-	_, err := fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f%%\t%d\t%s\t%s\t\n", k.class, sent, answered, shed, unsure,
-		100*float64(met)/float64(max(sent, 1)), wasted, at(50), at(99))
+	at := func(percent float64) time.Duration { return took.percentile(percent).Round(time.Millisecond) }
+	_, err := fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.1f%%\t%d\t%s\t%s\t\n", k.class, sent, answered, notRun, mayHaveRun,
+		100*float64(onTime)/float64(max(sent, 1)), wasted, at(50), at(99))
 	return err
 }
--- a/driver/sampler.go
+++ b/driver/sampler.go
@@ -14,10 +14,11 @@
 	"github.com/prometheus/common/model"
 )
 
-// clockTicks is the unit of processor time in /proc/PID/stat, a second's part.
+// clockTicks is the number of clock ticks per second, the unit of processor time in
+// /proc/PID/stat.
 const clockTicks = 100
 
-// Sample is what processes have used so far.
+// Sample is the resource use of processes since their start, and their memory now.
 type Sample struct {
 	CPU      float64 // seconds, of all processes together
 	Resident float64 // bytes, of all processes together
@@ -38,7 +39,7 @@
 func (s Sampler) Take(ctx context.Context) (Sample, error) {
 	var out Sample
 	for _, p := range s.PIDs {
-		cpu, resident, err := usage(p)
+		cpu, resident, err := processUsage(p)
 		if err != nil {
 			return out, err
 		}
@@ -64,13 +65,14 @@
 	return out, nil
 }
 
-// usage is a process's processor time in seconds and its resident bytes.
-func usage(pid int) (cpu, resident float64, err error) {
+// processUsage returns a process's processor time in seconds and its resident memory in
+// bytes.
+func processUsage(pid int) (cpu, resident float64, err error) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, 0, fmt.Errorf("sample process: %w", err)
 	}
-	// The name in brackets may hold spaces; the fields after it do not.
+	// The process name in parentheses may contain spaces; the fields after it do not.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+2:]))
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
@@ -120,7 +122,8 @@
 	return nil
 }
 
-// RateSince is what was used a second between two samples, and the memory at the later.
+// RateSince returns the use per second since an earlier sample, and the memory at the
+// later one.
 func (s Sample) RateSince(earlier Sample, took time.Duration) Sample {
 	t := took.Seconds()
 	return Sample{
--- a/driver/slope.go
+++ b/driver/slope.go
@@ -13,19 +13,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is what one host used a second while one thing had a certain size.
+// Point is the use of one host per second, measured at one value of the quantity that
+// varies.
 type Point struct {
-	Series   string  `json:"series"` // what grew
+	Series   string  `json:"series"` // name of the quantity that varies
 	Size     float64 `json:"size"`
-	CPU      float64 `json:"cpu"`      // microseconds of processor a second
+	CPU      float64 `json:"cpu"`      // processor microseconds per second
 	Memory   float64 `json:"memory"`   // bytes, resident
-	Sent     float64 `json:"sent"`     // bytes a second to other hosts
-	Received float64 `json:"received"` // bytes a second from other hosts
-	Reads    float64 `json:"reads"`    // of the Object API a second, all hosts together
-	Writes   float64 `json:"writes"`   // of the Object API a second, all hosts together
+	Sent     float64 `json:"sent"`     // bytes per second to other hosts
+	Received float64 `json:"received"` // bytes per second from other hosts
+	Reads    float64 `json:"reads"`    // calls of the Object API per second, all hosts together
+	Writes   float64 `json:"writes"`   // calls of the Object API per second, all hosts together
 }
 
-// NewPoint is a sample's rate, shared out over hosts.
+// NewPoint returns a sample's rate as a point: divided by the number of hosts, except for
+// the calls of the Object API.
 func NewPoint(series string, size float64, rate Sample, hosts int) Point {
 	n := float64(hosts)
 	return Point{
@@ -34,10 +36,10 @@
 	}
 }
 
-// measures are the columns of a Point that are fitted.
-var measures = []struct {
-	name string
-	of   func(Point) float64
+// columns are the values of a Point that lines are fitted to.
+var columns = []struct {
+	name  string
+	value func(Point) float64
 }{
 	{"cpu us/s a host", func(p Point) float64 { return p.CPU }},
 	{"memory KB a host", func(p Point) float64 { return p.Memory / 1e3 }},
@@ -47,9 +49,9 @@
 	{"store writes/s in all", func(p Point) float64 { return p.Writes }},
 }
 
-// FitSlopes reads points, a JSON line each, and prints for each series and
-// measure the median at each size and the straight line through all points: at
-// size 0, for each one more, and the standard error of the points about it.
+// FitSlopes reads points, one JSON line each. For each series and column it prints the
+// median at each size and the straight line through all points: its value at size 0, its
+// slope, and the standard error of the points about it.
 func FitSlopes(in io.Reader, out io.Writer) error {
 	series := map[string][]Point{}
 	var order []string
@@ -84,17 +86,17 @@
 		fmt.Fprintf(w, "%g\t", s)
 	}
 	fmt.Fprintln(w, "at 0\ta step\t+-\t")
-	for _, m := range measures {
+	for _, m := range columns {
 		values := make([]float64, len(points))
 		for i, p := range points {
-			values[i] = m.of(p)
+			values[i] = m.value(p)
 		}
 		fmt.Fprintf(w, "%s\t", m.name)
 		for _, s := range steps {
-			fmt.Fprintf(w, "%.4g\t", median(at(sizes, values, s)))
+			fmt.Fprintf(w, "%.4g\t", median(valuesAt(sizes, values, s)))
 		}
-		base, slope, spread := fit(sizes, values)
-		fmt.Fprintf(w, "%.4g\t%.4g\t%.2g\t\n", base, slope, spread)
+		base, slope, deviation := fit(sizes, values)
+		fmt.Fprintf(w, "%.4g\t%.4g\t%.2g\t\n", base, slope, deviation)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -103,8 +105,8 @@
 	return err
 }
 
-// at is the values measured at one size.
-func at(sizes, values []float64, size float64) []float64 {
+// valuesAt returns the values measured at one size.
+func valuesAt(sizes, values []float64, size float64) []float64 {
 	var out []float64
 	for i, s := range sizes {
 		if s == size {
@@ -114,8 +116,8 @@
 	return out
 }
 
-// fit is the least-squares line and the standard error of the values about it.
-func fit(x, y []float64) (base, slope, spread float64) {
+// fit returns the least-squares line and the standard error of the values about it.
+func fit(x, y []float64) (base, slope, deviation float64) {
 	base, slope = stat.LinearRegression(x, y, nil, false)
 	var sum float64
 	for i := range x {
