--- a/faker/agenda.go
+++ b/faker/agenda.go
@@ -5,49 +5,48 @@
 	"time"
 )
 
-// EventQueue is what happens at which virtual time. What is due at one time happens
-// in the order in which it was added, so that a run is the same each time. The
-// zero value is empty.
+// EventQueue orders events by virtual time. Events at the same time happen in the order in
+// which they were added, so that runs are reproducible. The zero value is empty.
 type EventQueue struct {
-	items  agendaItems
+	events eventHeap
 	serial int
 }
 
-// Add has do happen at a time.
+// Add schedules do to happen at a time.
 func (a *EventQueue) Add(at time.Time, do func()) {
 	a.serial++
-	heap.Push(&a.items, agendaItem{at: at, serial: a.serial, do: do})
+	heap.Push(&a.events, event{at: at, serial: a.serial, do: do})
 }
 
-// Next takes out what is due first, where that is not after until.
+// Next removes and returns the first event, unless it is after until.
 func (a *EventQueue) Next(until time.Time) (at time.Time, do func(), ok bool) {
-	if len(a.items) == 0 || a.items[0].at.After(until) {
+	if len(a.events) == 0 || a.events[0].at.After(until) {
 		return time.Time{}, nil, false
 	}
-	i := heap.Pop(&a.items).(agendaItem)
+	i := heap.Pop(&a.events).(event)
 	return i.at, i.do, true
 }
 
-type agendaItem struct {
+type event struct {
 	at     time.Time
 	serial int
 	do     func()
 }
 
-// agendaItems implements heap.Interface.
-type agendaItems []agendaItem
+// eventHeap implements heap.Interface.
+type eventHeap []event
 
-func (a agendaItems) Len() int { return len(a) }
+func (a eventHeap) Len() int { return len(a) }
 
-func (a agendaItems) Less(i, j int) bool {
+func (a eventHeap) Less(i, j int) bool {
 	return a[i].at.Before(a[j].at) || a[i].at.Equal(a[j].at) && a[i].serial < a[j].serial
 }
 
-func (a agendaItems) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a eventHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
 
-func (a *agendaItems) Push(x any) { *a = append(*a, x.(agendaItem)) }
+func (a *eventHeap) Push(x any) { *a = append(*a, x.(event)) }
 
-func (a *agendaItems) Pop() any {
+func (a *eventHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
--- a/faker/answer.go
+++ b/faker/answer.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Token is the text of token n of a request: it shows whose token it is and
-// which, so that a doubled, missing or crossed one is seen.
+// Token returns the text of token n of a request. It identifies the request and the
+// position, so that a doubled, missing or mixed-up token is detected.
 func Token(id string, n int) string { return fmt.Sprintf("%s:%d ", id, n) }
 
-// answer is one completion on its way to the caller.
+// answer is one completion that is being sent.
 type answer struct {
 	engine   *Engine
 	sequence *sequence
@@ -21,13 +21,13 @@
 	model    string
 	prompt   int
 	from     int // first token of this answer
-	hits     hits
+	faults   callFaults
 }
 
-// next waits for token n. It returns false at the end, or where the caller left.
-func (a *answer) next(n int) bool {
+// waitToken waits for token n. It returns false at the end, or if the caller disconnected.
+func (a *answer) waitToken(n int) bool {
 	for {
-		made, total := a.engine.made(a.sequence)
+		made, total := a.engine.progress(a.sequence)
 		if n < made {
 			return true
 		}
@@ -37,15 +37,15 @@
 		select {
 		case <-a.r.Context().Done():
 			return false
-		case <-a.sequence.news:
+		case <-a.sequence.progressed:
 		}
 	}
 }
 
-// head begins the answer. It returns false where a fault ends it.
-func (a *answer) head(kind string) bool {
+// writeHead writes the head of the answer. It returns false if a fault ends the answer.
+func (a *answer) writeHead(kind string) bool {
 	var more bool
-	if a.id, more = a.hits.at(a.r.Context(), a.engine.name, AtHead, a.id); !more {
+	if a.id, more = a.faults.apply(a.r.Context(), a.engine.name, AtHead, a.id); !more {
 		return false
 	}
 	a.w.Header().Set("X-Request-Id", a.id)
@@ -54,41 +54,42 @@
 	return true
 }
 
-func (a *answer) stream() {
-	if !a.next(a.from) && a.r.Context().Err() != nil || !a.head("text/event-stream") {
+func (a *answer) writeStream() {
+	if !a.waitToken(a.from) && a.r.Context().Err() != nil || !a.writeHead("text/event-stream") {
 		return
 	}
 	n := a.from
-	for ; a.next(n); n++ {
-		if !a.point(n - a.from) {
+	for ; a.waitToken(n); n++ {
+		if !a.applyFaults(n - a.from) {
 			return
 		}
 		fmt.Fprintf(a.w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", a.id, a.model, Token(a.id, n))
 		flush(a.w)
 	}
-	if a.r.Context().Err() != nil || !a.point(n-a.from) || !a.point(AtEnd) {
+	if a.r.Context().Err() != nil || !a.applyFaults(n-a.from) || !a.applyFaults(AtEnd) {
 		return
 	}
 	fmt.Fprintf(a.w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"total_tokens\":%d}}\n\n", a.id, a.model, a.prompt, n, a.prompt+n)
 	flush(a.w)
-	if a.point(AtDone) {
+	if a.applyFaults(AtDone) {
 		fmt.Fprint(a.w, "data: [DONE]\n\n")
 	}
 }
 
-// point does what faults have in store after n tokens.
-func (a *answer) point(n int) bool {
+// applyFaults applies the faults at a point of the answer: a number of tokens, or AtHead
+// and the like. It returns false if a fault ends the answer.
+func (a *answer) applyFaults(n int) bool {
 	var more bool
-	a.id, more = a.hits.at(a.r.Context(), a.engine.name, n, a.id)
+	a.id, more = a.faults.apply(a.r.Context(), a.engine.name, n, a.id)
 	return more
 }
 
-func (a *answer) whole() {
+func (a *answer) writeWhole() {
 	n := a.from
-	for a.next(n) {
+	for a.waitToken(n) {
 		n++
 	}
-	if a.r.Context().Err() != nil || !a.head("application/json") {
+	if a.r.Context().Err() != nil || !a.writeHead("application/json") {
 		return
 	}
 	var text strings.Builder
@@ -96,16 +97,16 @@
 		text.WriteString(Token(a.id, i))
 	}
 	body := fmt.Sprintf(`{"id":%q,"object":"chat.completion","model":%q,"choices":[{"index":0,"message":{"role":"assistant","content":%q},"finish_reason":"stop"}],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`, a.id, a.model, text.String(), a.prompt, n, a.prompt+n)
-	writeHalves(a.w, a.r, body, a.engine.name, a.hits)
+	writeHalves(a.w, a.r, body, a.engine.name, a.faults)
 }
 
-// writeHalves writes a body of known length. Faults at AtEnd hit half way.
-func writeHalves(w http.ResponseWriter, r *http.Request, body, server string, h hits) {
+// writeHalves writes a body of known length. Faults at AtEnd apply after its first half.
+func writeHalves(w http.ResponseWriter, r *http.Request, body, server string, h callFaults) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	half := len(body) / 2
 	fmt.Fprint(w, body[:half])
 	flush(w)
-	if _, more := h.at(r.Context(), server, AtEnd, ""); more {
+	if _, more := h.apply(r.Context(), server, AtEnd, ""); more {
 		fmt.Fprint(w, body[half:])
 	}
 }
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	lengthMedian = 24   // tokens, where the caller names no limit
-	lengthMost   = 8192 // tokens of any answer
-	bodyMost     = 8 << 20
+	medianLength = 24   // tokens, before the limits of the caller are applied
+	maxLength    = 8192 // tokens per answer if the caller sets no limit
+	maxBodyBytes = 8 << 20
 )
 
-// Engine is a fake model engine with the OpenAI interface and continuous
-// batching: all sequences of a batch get a token each step. It honours
-// priorities, resumes a completion from the body's field "resume" (tokens the
-// caller has), and drops a sequence whose connection closes.
+// Engine is a fake model engine with the OpenAI API and continuous batching: each step
+// gives every sequence of the batch one token. It honours priorities, resumes a completion
+// from the body's field "resume" (the number of tokens that the caller has), and drops a
+// sequence whose connection closes.
 type Engine struct {
 	name   string
 	model  Model
 	calls  *Counter
 	faults *FaultInjector
 
-	mu       sync.Mutex
-	waiting  []*sequence
-	batch    []*sequence
-	running  bool
-	leaving  bool
-	fencing  bool // refuses old fencing numbers
-	deaf     bool // to resume
-	fence    uint64
-	prefixes prefixes
-	lag      time.Duration
-	reported time.Time
-	report   Load
+	mu            sync.Mutex
+	waiting       []*sequence
+	batch         []*sequence
+	running       bool
+	leaving       bool
+	checksFence   bool // refuses old fencing numbers
+	ignoresResume bool // starts again instead of resuming
+	fence         uint64
+	prefixes      prefixCache
+	reportLag     time.Duration
+	reported      time.Time
+	report        Load
 }
 
 // Load is an engine's load report.
@@ -50,14 +50,14 @@
 	Leaving bool `json:"leaving"`
 }
 
-// sequence is one completion in the making; Engine.mu guards it.
+// sequence is one completion in progress; Engine.mu guards it.
 type sequence struct {
-	tier    int
-	prefill int
-	made    int // tokens, those of an earlier try included
-	total   int
-	gone    bool
-	news    chan struct{} // holds one value when made grew
+	tier       int
+	prefill    int
+	made       int // tokens, including those of an earlier attempt
+	total      int
+	canceled   bool
+	progressed chan struct{} // holds one value after made has grown
 }
 
 // NewEngine returns a fake engine.
@@ -65,25 +65,27 @@
 	return &Engine{name: name, model: m, calls: c, faults: &FaultInjector{}}
 }
 
-// Injector is the faults in force.
+// Injector returns the injector of the faults in force.
 func (e *Engine) Injector() *FaultInjector { return e.faults }
 
-// ShareInjector shares the faults of others, so that a plan hits their calls in the
-// order in which they come. It comes before the first call.
+// ShareInjector makes the engine use an injector that other backend servers use, too, so
+// that planned faults hit their calls in the order in which the calls arrive. It must be
+// called before the first request.
 func (e *Engine) ShareInjector(f *FaultInjector) { e.faults = f }
 
 // SetFencing sets whether old fencing numbers are refused, from now on.
 func (e *Engine) SetFencing(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fencing, e.fence = on, 0
+	e.checksFence, e.fence = on, 0
 }
 
-// SetResume sets whether the engine can resume; one that can't begins again.
+// SetResume sets whether the engine can resume; one that can't starts the completion
+// again.
 func (e *Engine) SetResume(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.deaf = !on
+	e.ignoresResume = !on
 }
 
 // SetSlowFactor sets the factor on all times.
@@ -97,23 +99,23 @@
 func (e *Engine) SetReportLag(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lag = d
+	e.reportLag = d
 }
 
-// ActiveSequences is the number of sequences in the engine.
+// ActiveSequences returns the number of sequences in the engine.
 func (e *Engine) ActiveSequences() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
 	for _, s := range slices.Concat(e.batch, e.waiting) {
-		if !s.gone {
+		if !s.canceled {
 			n++
 		}
 	}
 	return n
 }
 
-// Handler is the engine's HTTP interface.
+// Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/chat/completions", e.complete).Methods(http.MethodPost)
@@ -125,11 +127,11 @@
 	return r
 }
 
-// load is the engine's load report, as old as its lag allows.
+// load serves the engine's load report, which may be as old as reportLag.
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); now.Sub(e.reported) >= e.lag {
+	if now := time.Now(); now.Sub(e.reported) >= e.reportLag {
 		e.reported = now
 		e.report = Load{len(e.batch), len(e.waiting), e.leaving}
 	}
@@ -154,7 +156,7 @@
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
@@ -170,56 +172,56 @@
 		http.Error(w, `{"error":{"message":"bad json","type":"invalid_request_error"}}`, http.StatusBadRequest)
 		return
 	}
-	if e.isDeaf() {
+	if e.resumeIgnored() {
 		c.Resume = 0
 	}
-	now := e.faults.next()
-	if now.refused() {
+	faults := e.faults.forCall()
+	if faults.refused() {
 		refuse(w, http.StatusServiceUnavailable, "refused")
 		return
 	}
 	tier, _ := strconv.Atoi(r.Header.Get("X-Priority"))
 	id := r.Header.Get("X-Request-Id")
-	s := &sequence{tier: tier, prefill: len(body)/4 + c.Resume, made: c.Resume, total: max(c.Min, OutputLength(id, lengthMedian, cmp.Or(c.Max, lengthMost))), news: make(chan struct{}, 1)}
-	if status := e.enter(s, c.Messages, r.Header.Get("X-Fencing-Number")); status != 0 {
+	s := &sequence{tier: tier, prefill: len(body)/4 + c.Resume, made: c.Resume, total: max(c.Min, OutputLength(id, medianLength, cmp.Or(c.Max, maxLength))), progressed: make(chan struct{}, 1)}
+	if status := e.admit(s, c.Messages, r.Header.Get("X-Fencing-Number")); status != 0 {
 		refuse(w, status, "not taken")
 		return
 	}
-	defer e.drop(s)
+	defer e.cancel(s)
 	e.calls.Add(id)
-	a := &answer{engine: e, sequence: s, w: w, r: r, id: id, model: c.Model, prompt: len(body) / 4, from: c.Resume, hits: now}
+	a := &answer{engine: e, sequence: s, w: w, r: r, id: id, model: c.Model, prompt: len(body) / 4, from: c.Resume, faults: faults}
 	if c.Stream {
-		a.stream()
+		a.writeStream()
 		return
 	}
-	a.whole()
+	a.writeWhole()
 }
 
-func (e *Engine) isDeaf() bool {
+func (e *Engine) resumeIgnored() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.deaf
+	return e.ignoresResume
 }
 
-// refuse says no, and that the call was not run.
+// refuse answers that the call was refused and not run.
 func refuse(w http.ResponseWriter, status int, why string) {
 	w.Header().Set("X-Run", "no")
 	http.Error(w, why, status)
 }
 
-// enter takes a sequence in, or returns the status to refuse it with.
-func (e *Engine) enter(s *sequence, prompt []byte, fence string) int {
+// admit adds a sequence to the waiting ones, or returns the status to refuse it with.
+func (e *Engine) admit(s *sequence, prompt []byte, fence string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.leaving {
 		return http.StatusServiceUnavailable
 	}
 	number, _ := strconv.ParseUint(fence, 10, 64)
-	if e.fencing && number < e.fence {
+	if e.checksFence && number < e.fence {
 		return http.StatusPreconditionFailed
 	}
 	e.fence = max(e.fence, number)
-	if e.prefixes.hit(prompt) {
+	if e.prefixes.lookup(prompt) {
 		s.prefill = 0
 	}
 	e.waiting = append(e.waiting, s)
@@ -231,16 +233,16 @@
 	return 0
 }
 
-func (e *Engine) drop(s *sequence) {
+func (e *Engine) cancel(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.gone = true
+	s.canceled = true
 }
 
-// run steps the batch while there is one.
+// run steps the batch until it is empty.
 func (e *Engine) run() {
 	for {
-		wait, more := e.plan()
+		wait, more := e.nextBatch()
 		if !more {
 			return
 		}
@@ -249,10 +251,10 @@
 	}
 }
 
-func (e *Engine) plan() (time.Duration, bool) {
+func (e *Engine) nextBatch() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.waiting = slices.DeleteFunc(e.waiting, func(s *sequence) bool { return s.gone })
+	e.waiting = slices.DeleteFunc(e.waiting, func(s *sequence) bool { return s.canceled })
 	prefill := 0
 	for len(e.batch) < e.model.Slots && len(e.waiting) > 0 {
 		s := e.waiting[0]
@@ -267,26 +269,26 @@
 	return e.model.StepTime(len(e.batch), prefill), true
 }
 
-// step gives every sequence of the batch a token. It waits for no reader: a
-// slow one finds the count further on when it looks again.
+// step gives every sequence of the batch a token. It does not wait for readers: a slow
+// reader finds several new tokens when it next reads the count.
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch = slices.DeleteFunc(e.batch, func(s *sequence) bool {
-		if s.gone {
+		if s.canceled {
 			return true
 		}
 		s.made = min(s.made+1, s.total)
 		select {
-		case s.news <- struct{}{}:
+		case s.progressed <- struct{}{}:
 		default:
 		}
 		return s.made >= s.total
 	})
 }
 
-// made is how many tokens a sequence has, of how many.
-func (e *Engine) made(s *sequence) (made, total int) {
+// progress returns how many tokens a sequence has, and how many it will have.
+func (e *Engine) progress(s *sequence) (made, total int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return s.made, s.total
--- a/faker/fault.go
+++ b/faker/fault.go
@@ -18,42 +18,43 @@
 	Crash      FaultKind = "crash"   // drops the connection
 	Silent     FaultKind = "silent"  // sends nothing more and keeps the connection
 	Truncated  FaultKind = "short"   // ends the answer early, cleanly where the framing allows
-	Mismatched FaultKind = "crossed" // goes on with the answer of another request
-	Delayed    FaultKind = "late"    // waits for Delay first
-	CallHook   FaultKind = "trip"    // calls Hook; the answer goes on
-	Refuse     FaultKind = "refuse"  // refuses, and says that the call was not run
+	Mismatched FaultKind = "crossed" // continues as the answer to another request
+	Delayed    FaultKind = "late"    // waits for Delay, then continues
+	CallHook   FaultKind = "trip"    // only calls Hook; the answer continues
+	Refuse     FaultKind = "refuse"  // refuses the call and reports that it was not run
 )
 
-// Points of an answer, beside a number of tokens.
+// Points of an answer other than a number of tokens.
 const (
 	AtHead = -1 // before the answer's head
-	AtEnd  = -2 // after the last token, before the engine says why it ends
-	AtDone = -3 // before the end mark
+	AtEnd  = -2 // after the last token, before the finish reason
+	AtDone = -3 // before the end mark [DONE]
 )
 
 // Fault hits calls at a point of their answer.
 type Fault struct {
 	Kind  FaultKind     `json:"kind"`
-	At    int           `json:"at"`    // after this many tokens of the answer, AtHead, AtEnd or AtMark
-	Times int           `json:"times"` // calls it hits; 0 is all
-	Delay time.Duration `json:"delay"` // of Late, in nanoseconds
+	At    int           `json:"at"`    // after this many tokens of the answer, or AtHead, AtEnd or AtDone
+	Times int           `json:"times"` // calls it hits; 0 means all
+	Delay time.Duration `json:"delay"` // of Delayed, in nanoseconds
 
-	// Hook is called with the backend server's name where the fault hits.
+	// Hook is called with the backend server's name when the fault occurs.
 	Hook func(server string) `json:"-"`
 }
 
-// FaultInjector is the faults in force at one backend server. The zero value has none.
+// FaultInjector holds the faults in force at one or several backend servers. The zero
+// value has none.
 type FaultInjector struct {
-	mu   sync.Mutex
-	list []Fault
-	plan [][]Fault
+	mu      sync.Mutex
+	list    []Fault
+	planned [][]Fault
 }
 
-// Plan gives the next calls their faults one by one, beside those of Set.
+// Plan sets the faults of the next calls, one list per call, in addition to those of Set.
 func (f *FaultInjector) Plan(calls ...[]Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.plan = calls
+	f.planned = calls
 }
 
 // Set replaces the faults in force.
@@ -63,7 +64,7 @@
 	f.list = append([]Fault(nil), list...)
 }
 
-// ServeHTTP takes a JSON list of faults.
+// ServeHTTP replaces the faults in force by a JSON list of faults.
 func (f *FaultInjector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var list []Fault
 	if err := json.NewDecoder(r.Body).Decode(&list); err != nil {
@@ -74,14 +75,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// next is the faults that hit the call which begins now.
-func (f *FaultInjector) next() hits {
+// forCall returns the faults of the call that begins now.
+func (f *FaultInjector) forCall() callFaults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := append(hits(nil), f.list...)
-	if len(f.plan) > 0 {
-		now = append(now, f.plan[0]...)
-		f.plan = f.plan[1:]
+	active := append(callFaults(nil), f.list...)
+	if len(f.planned) > 0 {
+		active = append(active, f.planned[0]...)
+		f.planned = f.planned[1:]
 	}
 	kept := f.list[:0]
 	for _, x := range f.list {
@@ -94,15 +95,15 @@
 		kept = append(kept, x)
 	}
 	f.list = kept
-	return now
+	return active
 }
 
-// hits is the faults of one call.
-type hits []Fault
+// callFaults are the faults of one call.
+type callFaults []Fault
 
-// at does what a point of the answer has in store. It returns the id that the
-// answer goes on with, and false where the answer ends here.
-func (h hits) at(ctx context.Context, server string, point int, id string) (string, bool) {
+// apply applies the faults at a point of the answer. It returns the id with which the
+// answer continues, and false if the answer ends here.
+func (h callFaults) apply(ctx context.Context, server string, point int, id string) (string, bool) {
 	for _, f := range h {
 		if f.At != point {
 			continue
@@ -130,7 +131,7 @@
 	return id, true
 }
 
-func (h hits) refused() bool {
+func (h callFaults) refused() bool {
 	for _, f := range h {
 		if f.Kind == Refuse {
 			return true
@@ -139,7 +140,7 @@
 	return false
 }
 
-// otherID is the id of another request: of the same form, and not the same.
+// otherID returns a different id of the same form.
 func otherID(id string) string {
 	head, tail := "", []byte(id)
 	if i := strings.LastIndexByte(id, '-'); i >= 0 {
--- a/faker/hosts.go
+++ b/faker/hosts.go
@@ -17,10 +17,11 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// HostList is a fake of the platform's host list: what is set shows after a lag.
+// HostList is a fake of the platform's host list. A list that was set becomes visible
+// after a lag.
 type HostList struct {
 	mu      sync.Mutex
-	shown   []ListedHost
+	visible []ListedHost
 	pending []pendingList
 }
 
@@ -40,11 +41,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.pending) > 0 && !time.Now().Before(l.pending[0].at) {
-		l.shown, l.pending = l.pending[0].hosts, l.pending[1:]
+		l.visible, l.pending = l.pending[0].hosts, l.pending[1:]
 	}
 	_ = json.NewEncoder(w).Encode(struct {
 		Hosts []ListedHost `json:"hosts"`
-	}{l.shown})
+	}{l.visible})
 }
 
 func (l *HostList) put(w http.ResponseWriter, r *http.Request) {
--- a/faker/link.go
+++ b/faker/link.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Link is a TCP link between two ends that can fail: it listens, and passes
-// bytes to a target.
+// Link is a TCP link that can fail: it listens on an address and forwards bytes to a
+// target.
 type Link struct {
 	listener net.Listener
 	target   string
@@ -24,21 +24,21 @@
 
 // Modes of a Link.
 const (
-	Pass         LinkMode = "pass"        // as they come
-	Cut          LinkMode = "cut"         // every connection closed, none accepted
-	SilenceOpen  LinkMode = "silent-open" // connections open now carry nothing more; new ones work
-	ForwardOnly  LinkMode = "forward"     // towards the target only
-	BackwardOnly LinkMode = "backward"    // from the target only
+	Pass         LinkMode = "pass"        // forwards all bytes as they arrive
+	Cut          LinkMode = "cut"         // closes every connection, and new ones immediately
+	SilenceOpen  LinkMode = "silent-open" // drops the bytes of the connections open now; new ones work
+	ForwardOnly  LinkMode = "forward"     // forwards bytes towards the target only
+	BackwardOnly LinkMode = "backward"    // forwards bytes from the target only
 )
 
-// conn is one connection through a Link, and the way it was silenced.
+// conn is one connection through a Link.
 type conn struct {
 	near, far net.Conn
 	silent    bool
 }
 
-// NewLink listens on address and passes bytes to target; the second result is
-// its clean-up.
+// NewLink listens on address and forwards bytes to target; the function returned stops the
+// link.
 func NewLink(address, target string) (*Link, func(), error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,10 +52,10 @@
 	}, nil
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (k *Link) Address() string { return k.listener.Addr().String() }
 
-// Set changes what the link does, at once.
+// Set changes the mode and the delay with immediate effect.
 func (k *Link) Set(m LinkMode, delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -110,8 +110,8 @@
 	k.mu.Unlock()
 }
 
-// pump copies until either end closes. A silenced connection swallows bytes
-// without an error, as a middlebox does that has forgotten it.
+// pump copies until either end closes. A silenced connection drops bytes without an error,
+// like a middlebox that has lost the state of the connection.
 func (k *Link) pump(c *conn, dst, src net.Conn, blocked LinkMode) {
 	defer dst.Close()
 	defer src.Close()
--- a/faker/model.go
+++ b/faker/model.go
@@ -1,6 +1,6 @@
-// Package faker has the stand-ins for the systems around cicadawood: the
-// platform's Object API, model engines, plain services, and a TCP link that can
-// fail. Tests, benchmarks and the demo use them; the product does not.
+// Package faker has fakes of the systems around cicadawood: the platform's Object API,
+// model engines, plain services, and a TCP link that can fail. Tests, benchmarks and the
+// demo use them; the product does not.
 package faker
 
 import (
@@ -10,23 +10,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Model is how long an engine's work takes. The zero value is not useful; see
-// DefaultModel.
+// Model describes how fast an engine works and how much at the same time. The zero value
+// is not useful; see DefaultModel.
 type Model struct {
 	Step       time.Duration // one batch step, whatever the batch
 	Sequence   time.Duration // added to a step by each sequence in the batch
 	Prefill    time.Duration // added by each prompt token that is not cached
 	Slots      int           // sequences in a batch; more wait inside the engine
-	SlowFactor float64       // factor on all times; 0 is 1
+	SlowFactor float64       // factor on all times; 0 means 1
 }
 
-// DefaultModel is a small engine: 8 sequences at about 20 ms a token.
+// DefaultModel returns the model of a small engine: 8 sequences at about 20 ms per token.
 func DefaultModel() Model {
 	return Model{Step: 12 * time.Millisecond, Sequence: time.Millisecond, Prefill: 40 * time.Microsecond, Slots: 8}
 }
 
-// StepTime is how long one step takes for a batch of n sequences of which new
-// ones bring prefill uncached prompt tokens.
+// StepTime returns the time of one step for a batch of n sequences whose new ones add
+// prefill uncached prompt tokens.
 func (m Model) StepTime(n, prefill int) time.Duration {
 	t := m.Step + time.Duration(n)*m.Sequence + time.Duration(prefill)*m.Prefill
 	if m.SlowFactor > 0 {
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxValue   = 1 << 20
-	maxHistory = 4096
-	// pageMost is the most objects of one answer, unless Page says another number.
-	pageMost = 500
+	maxValueBytes    = 1 << 20
+	maxHistoryEvents = 4096
+	// defaultPageSize is the maximum number of objects in one answer if PageSize is 0.
+	defaultPageSize = 500
 )
 
 // Platform is a fake of the platform's store: objects by kind and name, revisions,
@@ -27,29 +27,29 @@
 type Platform struct {
 	// Hosts is the host list.
 	Hosts HostList
-	// PageSize is the most objects of one answer; 0 is 500.
+	// PageSize is the maximum number of objects in one answer; 0 means 500.
 	PageSize int
 
-	mu       sync.Mutex
-	revision uint64
-	objects  map[string]platform.Object // by kind/name
-	history  []change
-	forgot   uint64        // history up to this revision is gone
-	changed  chan struct{} // closed and renewed at every change
-	faults   Faults
-	reads    int
-	writes   int
-	kinds    map[string]int // calls, by method and kind
-	era      uint64
-	undos    []undo            // oldest first
-	written  map[string]uint64 // the era of each object's last change
+	mu           sync.Mutex
+	revision     uint64
+	objects      map[string]platform.Object // by kind/name
+	history      []change
+	droppedUpTo  uint64        // history up to this revision was dropped
+	changed      chan struct{} // closed and replaced at every change
+	faults       Faults
+	reads        int
+	writes       int
+	callsByKind  map[string]int // calls, by method and kind
+	era          uint64
+	undos        []undo            // oldest first
+	writtenInEra map[string]uint64 // the era of each object's last change
 }
 
-// Faults are what a Platform does wrong.
+// Faults are the faults of a Platform.
 type Faults struct {
 	Down  bool          `json:"down"`  // every call answers 503
 	Delay time.Duration `json:"delay"` // before every call
-	Lose  int           `json:"lose"`  // that many writes take effect and lose their reply
+	Lose  int           `json:"lose"`  // number of writes that take effect and whose replies are lost
 }
 
 type change struct {
@@ -60,40 +60,40 @@
 
 // NewPlatform returns an empty platform.
 func NewPlatform() *Platform {
-	return &Platform{objects: map[string]platform.Object{}, changed: make(chan struct{}), era: 1, written: map[string]uint64{}, kinds: map[string]int{}}
+	return &Platform{objects: map[string]platform.Object{}, changed: make(chan struct{}), era: 1, writtenInEra: map[string]uint64{}, callsByKind: map[string]int{}}
 }
 
-// SetFaults sets what goes wrong from now on.
+// SetFaults replaces the faults in force.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Calls is the reads and writes served so far; a waiting watch counts as one read.
+// Calls returns the reads and writes served so far; a waiting watch counts as one read.
 func (p *Platform) Calls() (reads, writes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads, p.writes
 }
 
-// CallsByKind is the calls so far by method and kind of object, such as "GET hosts".
+// CallsByKind returns the calls so far by method and kind of object, such as "GET hosts".
 func (p *Platform) CallsByKind() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.kinds)
+	return maps.Clone(p.callsByKind)
 }
 
-// Handler is the platform's HTTP interface.
+// Handler returns the platform's HTTP interface.
 func (p *Platform) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET /objects/{kind}", p.guard(p.list))
-	m.HandleFunc("POST /objects/{kind}", p.guard(p.create))
-	m.HandleFunc("GET /objects/{kind}/{name}", p.guard(p.get))
-	m.HandleFunc("PUT /objects/{kind}/{name}", p.guard(p.replace))
-	m.HandleFunc("DELETE /objects/{kind}/{name}", p.guard(p.remove))
+	m.HandleFunc("GET /objects/{kind}", p.withFaults(p.list))
+	m.HandleFunc("POST /objects/{kind}", p.withFaults(p.create))
+	m.HandleFunc("GET /objects/{kind}/{name}", p.withFaults(p.get))
+	m.HandleFunc("PUT /objects/{kind}/{name}", p.withFaults(p.replace))
+	m.HandleFunc("DELETE /objects/{kind}/{name}", p.withFaults(p.remove))
 	m.HandleFunc("POST /forget", func(http.ResponseWriter, *http.Request) { p.DropHistory() })
-	m.HandleFunc("GET /hosts", p.guard(p.Hosts.get))
+	m.HandleFunc("GET /hosts", p.withFaults(p.Hosts.get))
 	m.HandleFunc("PUT /hosts", p.Hosts.put)
 	m.HandleFunc("POST /faults", p.setFaults)
 	m.HandleFunc("POST /restore", p.postRestore)
@@ -116,18 +116,18 @@
 	p.SetFaults(f)
 }
 
-// guard applies the faults that come before a call.
-func (p *Platform) guard(h http.HandlerFunc) http.HandlerFunc {
+// withFaults counts a call and applies the faults that precede it.
+func (p *Platform) withFaults(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
-		p.date(w)
+		p.setEraHeader(w)
 		f := p.faults
 		if r.Method == http.MethodGet {
 			p.reads++
 		} else {
 			p.writes++
 		}
-		p.kinds[r.Method+" "+r.PathValue("kind")]++
+		p.callsByKind[r.Method+" "+r.PathValue("kind")]++
 		p.mu.Unlock()
 		time.Sleep(f.Delay)
 		if f.Down {
@@ -138,24 +138,24 @@
 	}
 }
 
-// Put writes an object as its owner would, past all faults.
+// Put writes an object as its owner would, bypassing all faults.
 func (p *Platform) Put(kind, name string, spec any) {
 	text, err := json.Marshal(spec)
 	if err != nil {
-		panic(err) // a test's own value
+		panic(err) // a test passed a value without a JSON form
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store(kind, platform.Object{Metadata: platform.Metadata{Name: name}, Spec: text})
+	p.putObject(kind, platform.Object{Metadata: platform.Metadata{Name: name}, Spec: text})
 }
 
-// Has says whether there is an object of a kind.
+// Has reports whether there is an object of a kind.
 func (p *Platform) Has(kind string) bool { return p.Count(kind) > 0 }
 
-// Count is how many objects of a kind there are.
+// Count returns the number of objects of a kind.
 func (p *Platform) Count(kind string) int { return len(p.Names(kind)) }
 
-// Names is the names of the objects of a kind, sorted.
+// Names returns the sorted names of the objects of a kind.
 func (p *Platform) Names(kind string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,56 +169,56 @@
 	return names
 }
 
-// Delete removes an object as its owner would, past all faults.
+// Delete removes an object as its owner would, bypassing all faults.
 func (p *Platform) Delete(kind, name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.drop(kind, name)
+	p.deleteObject(kind, name)
 }
 
-// DropHistory drops the history: watches from before are told so.
+// DropHistory drops the history: watches from an older revision get 410 Gone.
 func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.history, p.forgot = nil, p.revision
-	p.wake()
+	p.history, p.droppedUpTo = nil, p.revision
+	p.notifyWatchers()
 }
 
-// store writes an object under the next revision. One that is the same already
+// putObject writes an object under the next revision. One whose content does not change
 // keeps its revision.
-func (p *Platform) store(kind string, o platform.Object) platform.Object {
+func (p *Platform) putObject(kind string, o platform.Object) platform.Object {
 	key := kind + "/" + o.Metadata.Name
 	old, known := p.objects[key]
 	if known && string(old.Spec) == string(o.Spec) {
 		return old
 	}
-	p.keep(key)
+	p.recordUndo(key)
 	p.revision++
 	o.Metadata.Revision, o.Metadata.Created = p.revision, p.revision
 	if known {
 		o.Metadata.Created = old.Metadata.Created
 	}
 	p.objects[key] = o
-	p.record(change{kind: kind, object: o})
+	p.addChange(change{kind: kind, object: o})
 	return o
 }
 
-// drop removes an object under the next revision.
-func (p *Platform) drop(kind, name string) {
+// deleteObject removes an object under the next revision.
+func (p *Platform) deleteObject(kind, name string) {
 	o, known := p.objects[kind+"/"+name]
 	if !known {
 		return
 	}
-	p.keep(kind + "/" + name)
+	p.recordUndo(kind + "/" + name)
 	p.revision++
 	delete(p.objects, kind+"/"+name)
 	o.Metadata.Revision = p.revision
-	p.record(change{kind: kind, object: o, deleted: true})
+	p.addChange(change{kind: kind, object: o, deleted: true})
 }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	p.date(w)
+	p.setEraHeader(w)
 	o, ok := p.objects[r.PathValue("kind")+"/"+r.PathValue("name")]
 	p.mu.Unlock()
 	if !ok {
@@ -228,7 +228,7 @@
 	writeJSON(w, http.StatusOK, o)
 }
 
-// create answers POST: the object must be new.
+// create handles POST: the object must be new.
 func (p *Platform) create(w http.ResponseWriter, r *http.Request) {
 	o, ok := decode(w, r)
 	if !ok {
@@ -236,17 +236,17 @@
 	}
 	kind := r.PathValue("kind")
 	p.mu.Lock()
-	p.date(w)
+	p.setEraHeader(w)
 	old, known := p.objects[kind+"/"+o.Metadata.Name]
 	if known {
 		p.mu.Unlock()
 		writeJSON(w, http.StatusConflict, old)
 		return
 	}
-	p.finish(w, func() platform.Object { return p.store(kind, o) })
+	p.finish(w, func() platform.Object { return p.putObject(kind, o) })
 }
 
-// replace answers PUT: the object must be there, under the revision that is given.
+// replace handles PUT: the object must exist, at the revision that is given, if any.
 func (p *Platform) replace(w http.ResponseWriter, r *http.Request) {
 	o, ok := decode(w, r)
 	if !ok {
@@ -255,7 +255,7 @@
 	kind := r.PathValue("kind")
 	o.Metadata.Name = r.PathValue("name")
 	p.mu.Lock()
-	p.date(w)
+	p.setEraHeader(w)
 	old, known := p.objects[kind+"/"+o.Metadata.Name]
 	switch {
 	case !known:
@@ -267,13 +267,13 @@
 		writeJSON(w, http.StatusConflict, old)
 		return
 	}
-	p.finish(w, func() platform.Object { return p.store(kind, o) })
+	p.finish(w, func() platform.Object { return p.putObject(kind, o) })
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
 	kind, name := r.PathValue("kind"), r.PathValue("name")
 	p.mu.Lock()
-	p.date(w)
+	p.setEraHeader(w)
 	old, known := p.objects[kind+"/"+name]
 	revision := r.URL.Query().Get(platform.ParamRevision)
 	switch {
@@ -286,10 +286,10 @@
 		writeJSON(w, http.StatusConflict, old)
 		return
 	}
-	p.finish(w, func() platform.Object { p.drop(kind, name); return old })
+	p.finish(w, func() platform.Object { p.deleteObject(kind, name); return old })
 }
 
-// finish does a write, unlocks, and answers unless the reply is to be lost.
+// finish performs a write, unlocks, and answers unless the reply is to be lost.
 func (p *Platform) finish(w http.ResponseWriter, write func() platform.Object) {
 	o := write()
 	lose := p.faults.Lose > 0
@@ -305,11 +305,11 @@
 
 func decode(w http.ResponseWriter, r *http.Request) (platform.Object, bool) {
 	var o platform.Object
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValue+leastBuffer))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes+maxMetadataBytes))
 	if err == nil {
 		err = json.Unmarshal(text, &o)
 	}
-	if err == nil && len(o.Spec) > maxValue {
+	if err == nil && len(o.Spec) > maxValueBytes {
 		err = errors.New("the value is too large")
 	}
 	if err != nil {
@@ -318,14 +318,14 @@
 	return o, err == nil
 }
 
-// leastBuffer is the bytes of a body beside the value.
-const leastBuffer = 4 << 10
+// maxMetadataBytes is the room for metadata in a body in addition to the value.
+const maxMetadataBytes = 4 << 10
 
-// raw is an object in its wire form.
-func raw(o platform.Object) json.RawMessage {
+// encodeObject returns an object in its wire form.
+func encodeObject(o platform.Object) json.RawMessage {
 	text, err := json.Marshal(o)
 	if err != nil {
-		panic(err) // of plain fields
+		panic(err) // an object has only plain fields and valid JSON
 	}
 	return text
 }
@@ -343,22 +343,22 @@
 		return
 	}
 	prefix := r.PathValue("kind") + "/"
-	most := p.PageSize
-	if most == 0 {
-		most = pageMost
+	pageSize := p.PageSize
+	if pageSize == 0 {
+		pageSize = defaultPageSize
 	}
 	p.mu.Lock()
-	p.date(w)
+	p.setEraHeader(w)
 	l := platform.Page{Revision: p.revision, Items: []json.RawMessage{}}
 	for _, key := range slices.Sorted(maps.Keys(p.objects)) {
 		if !strings.HasPrefix(key, prefix) || key <= prefix+q.Get(platform.ParamAfter) {
 			continue
 		}
-		if len(l.Items) == most {
+		if len(l.Items) == pageSize {
 			l.HasMore = true
 			break
 		}
-		l.Items = append(l.Items, raw(p.objects[key]))
+		l.Items = append(l.Items, encodeObject(p.objects[key]))
 	}
 	p.mu.Unlock()
 	writeJSON(w, http.StatusOK, l)
--- a/faker/restore.go
+++ b/faker/restore.go
@@ -12,14 +12,14 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// undoMost is how far back a Platform can come back from.
-const undoMost = 30 * time.Second
+// maxUndoAge is how far back a Platform can be restored.
+const maxUndoAge = 30 * time.Second
 
-// rewritten is the kinds that their owners write again after a restore: the operator's
-// and the workers'. What is of other kinds is gone.
-var rewritten = []string{"config", "servers"}
+// rewrittenKinds are the kinds whose owners, the operator and the workers, write their
+// objects again after a restore. Objects of other kinds are lost.
+var rewrittenKinds = []string{"config", "servers"}
 
-// undo is an object before a change; one without a name was not there.
+// undo is an object before a change; one without a name did not exist.
 type undo struct {
 	at       time.Time
 	key      string
@@ -27,47 +27,47 @@
 	revision uint64 // of the store before the change
 }
 
-// Revision is the store's revision now, for RestoreTo.
+// Revision returns the store's current revision, for RestoreTo.
 func (p *Platform) Revision() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.revision
 }
 
-// Restore has the store come back from a copy of that age, as RestoreTo does.
-func (p *Platform) Restore(age, again time.Duration) {
+// Restore restores the store from a snapshot of the given age, as RestoreTo does.
+func (p *Platform) Restore(age, rewriteAfter time.Duration) {
 	to := time.Now().Add(-age)
-	p.restore(again, func(u undo) bool { return u.at.After(to) })
+	p.restore(rewriteAfter, func(u undo) bool { return u.at.After(to) })
 }
 
-// RestoreTo has the store come back from the copy of a revision: its state and its
-// revisions go back, and the era rises. What the operator and the workers wrote since is
-// written again after a while; what the system wrote is gone.
-func (p *Platform) RestoreTo(revision uint64, again time.Duration) {
-	p.restore(again, func(u undo) bool { return u.revision >= revision })
+// RestoreTo restores the store from the snapshot at a revision: its objects and its
+// revision go back, and the era rises. What the operator and the workers wrote since is
+// written again after rewriteAfter; what the system wrote since is lost.
+func (p *Platform) RestoreTo(revision uint64, rewriteAfter time.Duration) {
+	p.restore(rewriteAfter, func(u undo) bool { return u.revision >= revision })
 }
 
-// restore has the store come back without the changes that are lost.
-func (p *Platform) restore(again time.Duration, isLost func(undo) bool) {
+// restore undoes the changes for which isLost returns true and starts a new era.
+func (p *Platform) restore(rewriteAfter time.Duration, isLost func(undo) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	lost := p.rewind(isLost)
 	p.era++
-	p.forgot = min(p.forgot, p.revision) // what was forgotten since is not
+	p.droppedUpTo = min(p.droppedUpTo, p.revision) // must not exceed the revision, or every watch would be refused
 	p.history = slices.DeleteFunc(p.history, func(c change) bool { return c.object.Metadata.Revision > p.revision })
-	p.wake()
-	time.AfterFunc(again, func() { p.rewrite(lost) })
+	p.notifyWatchers()
+	time.AfterFunc(rewriteAfter, func() { p.rewrite(lost) })
 }
 
-// rewind takes back the last changes that are lost, and returns how the objects that their
-// owners write again were: one without a name was gone.
+// rewind undoes the latest changes for which isLost returns true. It returns the objects
+// that their owners write again, as they were; one without a name had been deleted.
 func (p *Platform) rewind(isLost func(undo) bool) map[string]platform.Object {
 	lost := map[string]platform.Object{}
 	for len(p.undos) > 0 && isLost(p.undos[len(p.undos)-1]) {
 		u := p.undos[len(p.undos)-1]
 		p.undos = p.undos[:len(p.undos)-1]
 		kind, _, _ := strings.Cut(u.key, "/")
-		if _, known := lost[u.key]; !known && slices.Contains(rewritten, kind) {
+		if _, known := lost[u.key]; !known && slices.Contains(rewrittenKinds, kind) {
 			lost[u.key] = p.objects[u.key]
 		}
 		if u.before.Metadata.Name == "" {
@@ -80,43 +80,43 @@
 	return lost
 }
 
-// rewrite writes objects as they were, but for those that were written in this era.
+// rewrite writes the lost objects again, except those that were written in the new era.
 func (p *Platform) rewrite(lost map[string]platform.Object) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, key := range slices.Sorted(maps.Keys(lost)) {
-		if p.written[key] == p.era {
+		if p.writtenInEra[key] == p.era {
 			continue
 		}
 		kind, name, _ := strings.Cut(key, "/")
 		if o := lost[key]; o.Metadata.Name != "" {
-			p.store(kind, o)
+			p.putObject(kind, o)
 		} else {
-			p.drop(kind, name)
+			p.deleteObject(kind, name)
 		}
 	}
 }
 
-// keep notes how an object is before it changes.
-func (p *Platform) keep(key string) {
+// recordUndo saves an object before it changes.
+func (p *Platform) recordUndo(key string) {
 	now := time.Now()
 	p.undos = append(p.undos, undo{at: now, key: key, before: p.objects[key], revision: p.revision})
-	if now.Sub(p.undos[0].at) > 2*undoMost { // not at each change
-		p.undos = slices.DeleteFunc(p.undos, func(u undo) bool { return now.Sub(u.at) > undoMost })
+	if now.Sub(p.undos[0].at) > 2*maxUndoAge { // prunes in batches, not at each change
+		p.undos = slices.DeleteFunc(p.undos, func(u undo) bool { return now.Sub(u.at) > maxUndoAge })
 	}
-	p.written[key] = p.era
+	p.writtenInEra[key] = p.era
 }
 
-// date has an answer tell the era in which it is given.
-func (p *Platform) date(w http.ResponseWriter) {
+// setEraHeader sets the current era in the head of an answer.
+func (p *Platform) setEraHeader(w http.ResponseWriter) {
 	w.Header().Set(platform.HeaderEra, strconv.FormatUint(p.era, 10))
 }
 
-// postRestore is POST /restore.
+// postRestore handles POST /restore.
 func (p *Platform) postRestore(w http.ResponseWriter, r *http.Request) {
 	var b struct {
-		Age   time.Duration `json:"age"`   // nanoseconds, of the copy
-		Again time.Duration `json:"again"` // until what was lost is written again
+		Age   time.Duration `json:"age"`   // nanoseconds, of the snapshot
+		Again time.Duration `json:"again"` // nanoseconds until the lost objects are written again
 	}
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/faker/service.go
+++ b/faker/service.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Counter counts how often each operation ran at a backend server. It is the
-// ground truth that tests and the demo judge by.
+// Counter counts how often each operation ran at a backend server. Tests and the demo
+// compare the answers with it.
 type Counter struct {
 	mu    sync.Mutex
 	calls map[string]int
@@ -28,14 +28,14 @@
 	c.calls[id]++
 }
 
-// Reset forgets all counts.
+// Reset clears all counts.
 func (c *Counter) Reset() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls = nil
 }
 
-// Counts is a copy of all counts.
+// Counts returns a copy of all counts.
 func (c *Counter) Counts() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,32 +46,33 @@
 	return out
 }
 
-// Service is a fake plain service: it takes a while and echoes.
+// Service is a fake plain service. Each call takes the same time and is echoed.
 type Service struct {
-	name   string
-	took   time.Duration
-	calls  *Counter
-	faults *FaultInjector
-	load   serviceLoad
+	name     string
+	duration time.Duration
+	calls    *Counter
+	faults   *FaultInjector
+	load     serviceLoad
 }
 
-// NewService returns a fake plain service whose calls take took.
+// NewService returns a fake plain service whose calls take the time took.
 func NewService(name string, took time.Duration, c *Counter) *Service {
-	return &Service{name: name, took: took, calls: c, faults: &FaultInjector{}}
+	return &Service{name: name, duration: took, calls: c, faults: &FaultInjector{}}
 }
 
-// Injector is the faults in force. A call that they hit has run, but for Refuse.
+// Injector returns the injector of the faults in force. A call that they hit has run,
+// except with Refuse.
 func (s *Service) Injector() *FaultInjector { return s.faults }
 
-// ShareInjector shares the faults of others, so that a plan hits their calls in the
-// order in which they come.
+// ShareInjector makes the service use an injector that other backend servers use, too, so
+// that planned faults hit their calls in the order in which the calls arrive.
 func (s *Service) ShareInjector(f *FaultInjector) { s.faults = f }
 
-// sizeMost bounds the padding that a caller asks for with ?size=BYTES.
-const sizeMost = 64 << 20
+// maxPadBytes bounds the padding that a caller requests with ?size=BYTES.
+const maxPadBytes = 64 << 20
 
-// Handler is the service's HTTP interface. A call is counted under its
-// Idempotency-Key, or its request id where it has none.
+// Handler returns the service's HTTP interface. A call is counted under its
+// Idempotency-Key, or under its request id if it has none.
 func (s *Service) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) {
@@ -85,7 +86,7 @@
 }
 
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return
 	}
@@ -95,8 +96,8 @@
 	}
 	s.load.running.Add(1)
 	defer s.load.running.Add(-1)
-	now := s.faults.next()
-	if now.refused() {
+	faults := s.faults.forCall()
+	if faults.refused() {
 		refuse(w, http.StatusServiceUnavailable, "refused")
 		return
 	}
@@ -105,13 +106,13 @@
 		id = r.Header.Get("X-Request-Id")
 	}
 	s.calls.Add(id)
-	time.Sleep(s.took)
-	request, more := now.at(r.Context(), s.name, AtHead, r.Header.Get("X-Request-Id"))
+	time.Sleep(s.duration)
+	request, more := faults.apply(r.Context(), s.name, AtHead, r.Header.Get("X-Request-Id"))
 	if !more {
 		return
 	}
 	size, _ := strconv.Atoi(r.URL.Query().Get("size"))
 	w.Header().Set("X-Request-Id", request)
 	w.Header().Set("Content-Type", "application/json")
-	writeHalves(w, r, fmt.Sprintf(`{"service":%q,"method":%q,"path":%q,"request":%q,"bytes":%d,"pad":"%s"}`, s.name, r.Method, r.URL.RequestURI(), request, len(body), strings.Repeat("x", min(max(size, 0), sizeMost))), s.name, now)
+	writeHalves(w, r, fmt.Sprintf(`{"service":%q,"method":%q,"path":%q,"request":%q,"bytes":%d,"pad":"%s"}`, s.name, r.Method, r.URL.RequestURI(), request, len(body), strings.Repeat("x", min(max(size, 0), maxPadBytes))), s.name, faults)
 }
--- a/faker/worker.go
+++ b/faker/worker.go
@@ -15,50 +15,50 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// Worker is a fake of a backend server on the users' platform: it knows its own
-// id, vouches for its answers, answers by one body or by a stream of events that
-// it can take up again, and does wrong what its Flaws say.
+// Worker is a fake of a backend server on the users' platform. It knows its own id, seals
+// its answers, answers with one body or with a stream of events that it can resume, and
+// fails as its WorkerFaults say.
 type Worker struct {
 	ID          string
 	Service     string
 	Zone        string
 	Slots       int
-	Events      int           // of a stream; 0 answers by one body
+	Events      int           // in a stream; 0 answers with one body
 	Delay       time.Duration // before the answer, or before each event
-	Address     string        // IP:port, once started; what callers are told
+	Address     string        // IP:port, set by Start; Register publishes it
 	Incarnation int           // differs after a restart
-	Poison      string        // in a body: the worker ends as it begins to run it; "" is none
-	OnCrash     func()        // is told of such an end, if it is set
+	Poison      string        // text of a body on which the worker crashes; "" is none
+	OnCrash     func()        // called after such a crash; may be nil
 
-	mu    sync.Mutex
-	flaws WorkerFaults
-	runs  map[string]int         // by request
-	heads map[string]http.Header // of the last run of a request
-	limit float64                // requests a second that it names; 0 names none
-	named time.Time              // since when it names one
-	came  []arrival              // of requests
-	left  int                    // requests whose caller went before their answer
-	seq   int
-	end   func() // ends the process, as if it crashed
+	mu         sync.Mutex
+	faults     WorkerFaults
+	runs       map[string]int         // by request
+	headers    map[string]http.Header // of the last run of a request
+	limit      float64                // requests per second that its answers name; 0 names none
+	limitSince time.Time              // when its answers began to name a limit
+	arrivals   []arrival              // requests received, in order
+	canceled   int                    // requests whose caller disconnected before the answer
+	seq        int
+	crash      func() // closes the listener and all connections, as a crash does
 }
 
-// WorkerFaults are what a Worker does wrong.
+// WorkerFaults are the faults of a Worker.
 type WorkerFaults struct {
-	Reject          bool // refuses, and says that it did not run the request
+	Reject          bool // refuses the request and reports that it was not run
 	BreakConnection bool // runs the request and breaks the connection
 	NeverAnswer     bool // runs the request and never answers
-	Unsealed        bool // answers without vouching for it
-	AnswerError     bool // answers that it failed
-	CutAtEvent      int  // breaks the connection inside this event of a stream; 0 breaks none
+	Unsealed        bool // answers without its seal
+	AnswerError     bool // answers with status 500
+	CutAtEvent      int  // breaks the connection inside the event with this number; 0 breaks none
 	ExtraAnswer     bool // sends a second answer, of another request, after each
 }
 
-// Start serves on a port of the loopback and returns how to end it.
+// Start serves on a loopback port and returns a function that stops it.
 func (k *Worker) Start() func() {
-	k.runs, k.heads = map[string]int{}, map[string]http.Header{}
+	k.runs, k.headers = map[string]int{}, map[string]http.Header{}
 	s := httptest.NewServer(http.HandlerFunc(k.serve))
 	k.Address = strings.TrimPrefix(s.URL, "http://")
-	k.end = sync.OnceFunc(func() {
+	k.crash = sync.OnceFunc(func() {
 		_ = s.Listener.Close()
 		s.CloseClientConnections()
 		if k.OnCrash != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Register writes the worker's entry to the store.
+// Register writes the worker's entry with a state to the store.
 func (k *Worker) Register(p *Platform, state string) {
 	k.mu.Lock()
 	k.seq++
@@ -80,43 +80,44 @@
 	p.Put(strings.TrimSuffix(platform.WorkersPrefix, "/"), k.ID, e)
 }
 
-// SetFaults sets what goes wrong from now on.
+// SetFaults replaces the faults in force.
 func (k *Worker) SetFaults(f WorkerFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.flaws = f
+	k.faults = f
 }
 
-// SetLimit has the worker name, in all answers from now on, how many requests a second it
-// takes; 0 names none.
+// SetLimit makes the worker name, in all answers from now on, how many requests per second
+// it accepts; 0 names none.
 func (k *Worker) SetLimit(rate float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limit == 0 {
-		k.named = time.Now()
+		k.limitSince = time.Now()
 	}
 	k.limit = rate
 }
 
-// LimitSince is since when the worker names a limit.
+// LimitSince returns when the worker began to name a limit.
 func (k *Worker) LimitSince() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.named
+	return k.limitSince
 }
 
-// arrival is that a request came.
+// arrival is one request received.
 type arrival struct {
 	id string
 	at time.Time
 }
 
-// MaxArrivals is the most requests that came within a span between two times, of those that count.
+// MaxArrivals returns the maximum number of requests received within any span from one
+// time to another, of those that counts selects.
 func (k *Worker) MaxArrivals(from, to time.Time, span time.Duration, counts func(id string) bool) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var times []time.Time
-	for _, a := range k.came {
+	for _, a := range k.arrivals {
 		if !a.at.Before(from) && a.at.Before(to) && counts(a.id) {
 			times = append(times, a.at)
 		}
@@ -131,14 +132,14 @@
 	return most
 }
 
-// RunsOf is how often the worker ran a request.
+// RunsOf returns how often the worker ran a request.
 func (k *Worker) RunsOf(request string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.runs[request]
 }
 
-// Runs is how many requests the worker ran.
+// Runs returns the number of runs of all requests.
 func (k *Worker) Runs() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -149,25 +150,26 @@
 	return n
 }
 
-// Canceled is how many requests were taken back before a Mute worker answered them.
+// Canceled returns how many requests were canceled before a worker with NeverAnswer
+// answered them.
 func (k *Worker) Canceled() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.left
+	return k.canceled
 }
 
-// RequestHeader is the header with which the worker last ran a request.
+// RequestHeader returns the header of the last run of a request.
 func (k *Worker) RequestHeader(request string) http.Header {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.heads[request]
+	return k.headers[request]
 }
 
 func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(platform.HeaderRequest)
 	w.Header().Set(platform.HeaderRequest, id)
 	k.mu.Lock()
-	k.came = append(k.came, arrival{id, time.Now()})
+	k.arrivals = append(k.arrivals, arrival{id, time.Now()})
 	if k.limit > 0 {
 		w.Header().Set(platform.HeaderLimit, strconv.FormatFloat(k.limit, 'f', -1, 64))
 	}
@@ -178,13 +180,13 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // its caller broke it off
+		return // the caller broke off the request
 	}
 	k.mu.Lock()
-	f := k.flaws
+	f := k.faults
 	if !f.Reject {
 		k.runs[id]++
-		k.heads[id] = r.Header.Clone()
+		k.headers[id] = r.Header.Clone()
 	}
 	k.mu.Unlock()
 	switch {
@@ -193,8 +195,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case k.Poison != "" && strings.Contains(string(body), k.Poison):
-		wait(r, k.Delay)
-		go k.end()
+		sleep(r, k.Delay)
+		go k.crash()
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	case f.BreakConnection:
@@ -202,7 +204,7 @@
 	case f.NeverAnswer:
 		<-r.Context().Done()
 		k.mu.Lock()
-		k.left++
+		k.canceled++
 		k.mu.Unlock()
 		return
 	}
@@ -219,19 +221,19 @@
 	case k.Events > 0:
 		k.stream(w, r, f)
 	case f.ExtraAnswer:
-		k.twice(w)
+		k.answerTwice(w)
 	default:
-		wait(r, k.Delay)
+		sleep(r, k.Delay)
 		_, _ = fmt.Fprintf(w, "%s of %s", r.URL.RequestURI(), k.ID)
 	}
 }
 
-// stream sends the events after the one that the request names.
+// stream sends the events after the one that the request's Last-Event-Id names.
 func (k *Worker) stream(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	after, _ := strconv.Atoi(r.Header.Get(platform.HeaderLastEvent))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := after + 1; i <= k.Events; i++ {
-		if !wait(r, k.Delay) {
+		if !sleep(r, k.Delay) {
 			return
 		}
 		event := fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i)
@@ -245,8 +247,8 @@
 	}
 }
 
-// twice answers, and then answers a request that nobody sent on this connection.
-func (k *Worker) twice(w http.ResponseWriter) {
+// answerTwice answers the request, and then one that nobody sent on this connection.
+func (k *Worker) answerTwice(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
@@ -256,17 +258,17 @@
 			platform.HeaderRequest, id, platform.HeaderSeal, k.ID, len(body), body)
 	}
 	_, _ = io.WriteString(conn, head(w.Header().Get(platform.HeaderRequest), "own")+head("another", "foreign"))
-	hold(conn)
+	holdOpen(conn)
 }
 
-// hold keeps a connection open until the other end closes it.
-func hold(conn net.Conn) {
+// holdOpen keeps a connection open until the other end closes it.
+func holdOpen(conn net.Conn) {
 	_, _ = io.Copy(io.Discard, conn)
 	_ = conn.Close()
 }
 
-// wait waits; false where the request ends first.
-func wait(r *http.Request, d time.Duration) bool {
+// sleep waits for d. It returns false if the request ends first.
+func sleep(r *http.Request, d time.Duration) bool {
 	if d == 0 {
 		return r.Context().Err() == nil
 	}
