--- a/scripts/bench-slopes.sh
+++ b/scripts/bench-slopes.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# What a host uses for control as one thing after the other grows: hosts,
-# organisations, workers, requests a second. Real processes on loopback; each
-# size is measured twice. Prints the lines through the points.
+# Measures the resources that a host uses for control, as a function of the number of
+# hosts, organisations, workers and requests per second. Real processes on loopback; each
+# size is measured twice. Prints the lines fitted to the points.
+#
 # Usage: bench-slopes.sh BIN [SERIES...]
 set -euo pipefail
 bin=$1
@@ -14,14 +15,14 @@
 key=sha256:$(printf demo-key | sha256sum | cut -d' ' -f1)
 fleet=()
 
-# end stops the processes of one size.
+# end stops the processes of the current size.
 end() {
   for p in "${fleet[@]}"; do kill -9 "$p" 2>/dev/null || true; done
   fleet=()
   pids=()
 }
 
-# folder ORGANISATIONS WORKERS: a configuration of that size.
+# folder ORGANISATIONS WORKERS: writes a configuration of that size.
 folder() {
   rm -rf "$work/folder"
   mkdir "$work/folder"
@@ -49,8 +50,8 @@
   } >"$work/folder/services.jsonc"
 }
 
-# fleet HOSTS ORGANISATIONS WORKERS: starts the processes of one size; sets hosts
-# to the arguments that name them to the sampler.
+# start HOSTS ORGANISATIONS WORKERS: starts the processes of one size; sets hosts to the
+# arguments that name them to `faker sample`, and entries to those for `faker traffic`.
 start() {
   folder "$2" "$3"
   export CICADAWOOD_PLATFORM=http://127.0.0.1:19900
@@ -72,10 +73,10 @@
     entries+=(--host "127.0.0.1:$((1000 + i))1")
   done
   for i in $(seq "$1"); do ready "http://127.0.0.1:$((1000 + i))1/readyz"; done
-  sleep 3 # the start's own work: taking roles, sealing partitions
+  sleep 3 # leaves out the work of starting: taking roles, sealing partitions
 }
 
-# measure SERIES SIZE: two samples.
+# measure SERIES SIZE: takes two samples.
 measure() {
   for _ in 1 2; do "$bin/faker" sample "${hosts[@]}" --series "$1" --size "$2" --length 6s >>"$points"; done
 }
--- a/scripts/matrix.sh
+++ b/scripts/matrix.sh
@@ -1,20 +1,21 @@
 #!/usr/bin/env bash
-# All Go tests, package by package, and from their reports the fault matrix:
-# decisions (ginkgo specs with cell labels) and processes (scenarios).
-# Usage: matrix.sh DIR-OF-BINARIES
+# Runs all Go tests, package by package, and prints the fault matrix from their reports:
+# decisions (ginkgo specs with cell labels) and processes (scenarios). Usage: matrix.sh
+# DIR-OF-BINARIES
 set -uo pipefail
 cd "$(dirname "$0")/.."
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 status=0
 
-# package DIR: runs one package's tests. A red one is shown whole.
+# package DIR: runs one package's tests. Of one that fails it prints the last 200 lines,
+# without those of passed specs.
 package() {
   local log=$out/log-${1//\//_} args=()
   grep -lq RunSpecs "$1"/*_test.go && args=(-ginkgo.json-report="$out/${1//\//_}.json" -ginkgo.no-color)
   go test -count=1 "./$1" "${args[@]}" >"$log" 2>&1 && { tail -n 1 "$log"; return 0; }
   grep -vE '^(\S\[[0-9;]+m)?•' "$log" | tail -n 200
-  # With a report, matrix judges: a spec that KNOWN-RED.txt names is passed over.
+  # With a report, `matrix` decides: a spec that KNOWN-RED.txt names is passed over.
   test -s "$out/${1//\//_}.json"
 }
 
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,6 +1,6 @@
-# Sourced by the scripts that start the system's processes: starts them, waits
-# for them, and ends them when the script ends. Needs bin, the
-# folder of the programs. Sets work to a scratch folder.
+# Sourced by the scripts that run the system as processes: starts the processes, waits for
+# them, and stops them when the script ends. Needs bin, the folder of the programs. Sets
+# work to a scratch folder.
 work=$(mktemp -d)
 pids=()
 last=
@@ -11,7 +11,7 @@
 }
 trap stop EXIT
 
-# run NAME COMMAND...: starts a process in the background; its id is in last.
+# run NAME COMMAND...: starts a process in the background and sets last to its process id.
 run() {
   local name=$1
   shift
@@ -21,7 +21,7 @@
   pids+=("$last")
 }
 
-# ready URL: waits until it answers, 10 s at most.
+# ready URL: waits up to 10 s until the URL answers.
 ready() {
   "$bin/faker" await "$1" && return 0
   tail -n 5 "$work"/*.log >&2
