--- a/commander/cmd_status.go
+++ b/commander/cmd_status.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// countRoles shortens a host's roles for the table: a host of a large fleet has dozens.
+// countRoles shortens a host's roles for the table: at the design size a host has dozens.
 func countRoles(roles []string) string {
 	counts := map[string]int{}
 	for _, r := range roles {
--- a/commander/command.go
+++ b/commander/command.go
@@ -20,7 +20,7 @@
 	ExitOK       = 0
 	ExitFailed   = 1 // the command could not do its work
 	ExitUsage    = 2 // the call or a settings file is wrong
-	ExitConflict = 3 // another operator's change conflicts
+	ExitConflict = 3 // the change conflicts with another operator's
 	ExitDiffers  = 4 // diff found differences
 	// ExitOutcomeUnknown reports that a push may or may not have taken effect; repeat the
 	// push.
--- a/driver/path.go
+++ b/driver/path.go
@@ -26,10 +26,10 @@
 	Key           string // API key
 	HostPID       int    // process id of the host
 	Rounds        int    // of each variant
-	CallsPerRound int    // a round
-	Concurrency   int    // concurrent calls in the throughput part
-	Tokens        int    // maximum per call
-	Streams       int    // open at the same time in the memory part; 0 skips the part
+	CallsPerRound int
+	Concurrency   int // concurrent calls in the throughput part
+	Tokens        int // maximum per call
+	Streams       int // open at the same time in the memory part; 0 skips the part
 }
 
 // variant is one of the two paths and the measurements of its rounds.
--- a/driver/sampler.go
+++ b/driver/sampler.go
@@ -30,7 +30,7 @@
 
 // Sampler reads samples of hosts.
 type Sampler struct {
-	PIDs     []int    // process ids
+	PIDs     []int    // process ids of the hosts
 	Admins   []string // admin addresses, for control bytes
 	Platform string   // address of the fake platform, for its calls
 }
