--- a/commander/cmd_diff.go
+++ b/commander/cmd_diff.go
@@ -41,8 +41,8 @@
 			}
 		} else {
 			for _, k := range changes {
-				shown := diff.Diff("head/"+k.File, []byte(head.Files[k.File]), "folder/"+k.File, []byte(merged[k.File]))
-				if _, err := c.OutOrStdout().Write(shown); err != nil {
+				patch := diff.Diff("head/"+k.File, []byte(head.Files[k.File]), "folder/"+k.File, []byte(merged[k.File]))
+				if _, err := c.OutOrStdout().Write(patch); err != nil {
 					return err
 				}
 			}
@@ -65,9 +65,9 @@
 func listChanges(old, changed loader.Files) []change {
 	list := []change{}
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
-		text, there := old[name]
+		text, exists := old[name]
 		switch {
-		case !there:
+		case !exists:
 			list = append(list, change{File: name, Change: "added"})
 		case text != changed[name]:
 			list = append(list, change{File: name, Change: "edited"})
--- a/commander/cmd_push.go
+++ b/commander/cmd_push.go
@@ -61,9 +61,9 @@
 
 // withExitCode gives an error of push, pull or diff its exit code.
 func withExitCode(err error) error {
-	var clash *publisher.ConflictError
+	var conflict *publisher.ConflictError
 	switch {
-	case errors.As(err, &clash), errors.Is(err, publisher.ErrRaced), errors.Is(err, publisher.ErrRestored), errors.Is(err, publisher.ErrInvalidMerge):
+	case errors.As(err, &conflict), errors.Is(err, publisher.ErrRaced), errors.Is(err, publisher.ErrRestored), errors.Is(err, publisher.ErrInvalidMerge):
 		return exitError{code: ExitConflict, err: err}
 	case errors.Is(err, publisher.ErrOutcomeUnknown):
 		return exitError{code: ExitOutcomeUnknown, err: err}
--- a/commander/pages_test.go
+++ b/commander/pages_test.go
@@ -176,12 +176,12 @@
 				if name == "status" {
 					awaitReady()
 				}
-				out, errors, _ := run(s.stdin, s.args...)
+				out, stderr, _ := run(s.stdin, s.args...)
 				want, _, cut := strings.Cut(s.want, "...\n")
 				if cut {
-					Expect(normalize(out)).To(HavePrefix(normalize(want)), "%v: %s", s.args, errors)
+					Expect(normalize(out)).To(HavePrefix(normalize(want)), "%v: %s", s.args, stderr)
 				} else {
-					Expect(normalize(out)).To(Equal(normalize(want)), "%v: %s", s.args, errors)
+					Expect(normalize(out)).To(Equal(normalize(want)), "%v: %s", s.args, stderr)
 				}
 			}
 		}
--- a/commander/reload_test.go
+++ b/commander/reload_test.go
@@ -35,7 +35,7 @@
 				"limits": {"grace": "1s", "memory": %s}}`, listen[0], listen[1], listen[2], platform.URL, memory)
 			Expect(os.WriteFile(file, []byte(text), 0o600)).To(Succeed())
 		}
-		hangUp := func() { Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed()) }
+		sendHangup := func() { Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed()) }
 		write("100")
 		out := gbytes.NewBuffer()
 		ended := make(chan int, 1)
@@ -43,10 +43,10 @@
 		Eventually(out, 5*time.Second).Should(gbytes.Say("msg=serving .*memory=100"))
 
 		write(`"ha`)
-		hangUp()
+		sendHangup()
 		Eventually(out, 5*time.Second).Should(gbytes.Say(`level=warn msg="reload refused; keeping the settings".*host.jsonc`))
 		write("200")
-		hangUp()
+		sendHangup()
 		Eventually(out, 5*time.Second).Should(gbytes.Say("msg=reload "))
 		Eventually(out, 5*time.Second).Should(gbytes.Say(`msg="settings in force".*memory=200`))
 
--- a/driver/path.go
+++ b/driver/path.go
@@ -96,13 +96,13 @@
 		return err
 	}
 	started := time.Now()
-	var left, tokens atomic.Int64
-	left.Store(int64(p.CallsPerRound * 4))
+	var remaining, tokens atomic.Int64
+	remaining.Store(int64(p.CallsPerRound * 4))
 	var firstErr atomic.Value
 	var tasks sync.WaitGroup
 	for range p.Concurrency {
 		tasks.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				_, _, n, err := p.call(ctx, client, w.address, p.Tokens, "load")
 				if err != nil {
 					firstErr.Store(err)
@@ -116,20 +116,20 @@
 	if err, ok := firstErr.Load().(error); ok {
 		return err
 	}
-	took := time.Since(started).Seconds()
+	elapsed := time.Since(started).Seconds()
 	after, _, err := processUsage(p.HostPID)
 	if err != nil {
 		return err
 	}
-	w.rate = append(w.rate, float64(p.CallsPerRound*4)/took)
-	w.tokens = append(w.tokens, float64(tokens.Load())/took)
-	w.cores = append(w.cores, (after-before)/took)
+	w.rate = append(w.rate, float64(p.CallsPerRound*4)/elapsed)
+	w.tokens = append(w.tokens, float64(tokens.Load())/elapsed)
+	w.cores = append(w.cores, (after-before)/elapsed)
 	return nil
 }
 
 // call makes one streamed call. It returns the time to the first event, the time to the
 // end, and the number of tokens.
-func (p PathBenchmark) call(ctx context.Context, client *http.Client, address string, tokens int, id string) (first, whole time.Duration, n int, err error) {
+func (p PathBenchmark) call(ctx context.Context, client *http.Client, address string, tokens int, id string) (first, total time.Duration, n int, err error) {
 	started := time.Now()
 	resp, err := p.open(ctx, client, address, tokens, id)
 	if err != nil {
--- a/driver/slope.go
+++ b/driver/slope.go
@@ -95,8 +95,8 @@
 		for _, s := range steps {
 			fmt.Fprintf(w, "%.4g\t", median(valuesAt(sizes, values, s)))
 		}
-		base, slope, deviation := fit(sizes, values)
-		fmt.Fprintf(w, "%.4g\t%.4g\t%.2g\t\n", base, slope, deviation)
+		intercept, slope, deviation := fit(sizes, values)
+		fmt.Fprintf(w, "%.4g\t%.4g\t%.2g\t\n", intercept, slope, deviation)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -117,12 +117,12 @@
 }
 
 // fit returns the least-squares line and the standard error of the values about it.
-func fit(x, y []float64) (base, slope, deviation float64) {
-	base, slope = stat.LinearRegression(x, y, nil, false)
+func fit(x, y []float64) (intercept, slope, deviation float64) {
+	intercept, slope = stat.LinearRegression(x, y, nil, false)
 	var sum float64
 	for i := range x {
-		d := y[i] - base - slope*x[i]
+		d := y[i] - intercept - slope*x[i]
 		sum += d * d
 	}
-	return base, slope, math.Sqrt(sum / float64(max(len(x)-2, 1)))
+	return intercept, slope, math.Sqrt(sum / float64(max(len(x)-2, 1)))
 }
--- a/faker/fault.go
+++ b/faker/fault.go
@@ -84,7 +84,7 @@
 		active = append(active, f.planned[0]...)
 		f.planned = f.planned[1:]
 	}
-	kept := f.list[:0]
+	remaining := f.list[:0]
 	for _, x := range f.list {
 		if x.Times == 1 {
 			continue
@@ -92,9 +92,9 @@
 		if x.Times > 1 {
 			x.Times--
 		}
-		kept = append(kept, x)
+		remaining = append(remaining, x)
 	}
-	f.list = kept
+	f.list = remaining
 	return active
 }
 
--- a/faker/link.go
+++ b/faker/link.go
@@ -80,11 +80,11 @@
 		if err != nil {
 			return
 		}
-		go k.join(near)
+		go k.connect(near)
 	}
 }
 
-func (k *Link) join(near net.Conn) {
+func (k *Link) connect(near net.Conn) {
 	k.mu.Lock()
 	cut := k.mode == Cut
 	k.mu.Unlock()
--- a/faker/worker.go
+++ b/faker/worker.go
@@ -25,7 +25,7 @@
 	Slots       int
 	Events      int           // in a stream; 0 answers with one body
 	Delay       time.Duration // before the answer, or before each event
-	Address     string        // IP:port, set by Start; Register publishes it
+	Address     string        // IP:port that Register publishes; set by Start
 	Incarnation int           // differs after a restart
 	Poison      string        // text of a body on which the worker crashes; "" is none
 	OnCrash     func()        // called after such a crash; may be nil
@@ -122,14 +122,14 @@
 			times = append(times, a.at)
 		}
 	}
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= span {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
 // RunsOf returns how often the worker ran a request.
--- a/scripts/bench-path.sh
+++ b/scripts/bench-path.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
 # Measures what a host adds to a call: the same calls directly to a fake engine and
 # through one host, alternating in one run; then the memory of open streams (9,000: at two
-# descriptors each they stay under this machine's limit of 20,000). Usage: bench-path.sh
-# BIN
+# descriptors each they stay under this machine's limit of 20,000).
+#
+# Usage: bench-path.sh BIN
 set -euo pipefail
 bin=$1
 root=$(cd "$(dirname "$0")/.." && pwd)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
 # Runs the whole request path as separate processes on loopback: a fake platform, fake
 # engines and plain services, and four hosts in two availability zones. One host is killed
-# after 8 s, half way through the traffic. Usage: demo.sh DIR-OF-BINARIES
+# after 8 s, half way through the traffic.
+#
+# Usage: demo.sh DIR-OF-BINARIES
 set -euo pipefail
 bin=$1
 root=$(cd "$(dirname "$0")/.." && pwd)
--- a/scripts/matrix.sh
+++ b/scripts/matrix.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
 # Runs all Go tests, package by package, and prints the fault matrix from their reports:
-# decisions (ginkgo specs with cell labels) and processes (scenarios). Usage: matrix.sh
-# DIR-OF-BINARIES
+# decisions (ginkgo specs with cell labels) and processes (scenarios).
+#
+# Usage: matrix.sh DIR-OF-BINARIES
 set -uo pipefail
 cd "$(dirname "$0")/.."
 out=$(mktemp -d)
