--- a/commander/cmd_serve.go
+++ b/commander/cmd_serve.go
@@ -38,11 +38,11 @@
 		out, flush := logger.New(c.OutOrStdout(), level)
 		defer flush()
 		log := out.With(zap.String("host", settings.Name))
-		signals := runner.Signals{Reload: reloads(ctx, args[0], log), Dropped: out.Dropped}
+		signals := runner.Signals{Reload: reloads(ctx, args[0], log), DroppedLines: out.Dropped}
 		if settings.Limits.Grace == 0 {
 			// Where the platform kills after a grace anyway, a second signal to stop must
 			// not cut what the first one left to end.
-			signals.Hurry = again()
+			signals.Abort = again()
 		}
 		return runner.RunWith(ctx, signals, settings, log)
 	},
--- a/commander/cmd_status.go
+++ b/commander/cmd_status.go
@@ -71,7 +71,7 @@
 	Notes      []string `json:"notes"`
 
 	configuration publisher.Status
-	beliefs       *runner.Beliefs
+	beliefs       *runner.RoutingState
 	failure       error // why it is not reachable
 }
 
@@ -137,7 +137,7 @@
 	return hostStatus{
 		Name: s.Name, Zone: s.Zone, Reachable: true, Ready: s.Ready, Leaving: s.Leaving,
 		Generation: s.Configuration.Generation, Inflight: s.Inflight, Roles: s.Roles, configuration: s.Configuration,
-		beliefs: s.Beliefs,
+		beliefs: s.Routing,
 	}
 }
 
@@ -158,9 +158,9 @@
 	note(k.Reason != "", "refused generation %d: %s", k.Rejected, firstLine(k.Reason))
 	note(!k.Platform, "platform can't be read")
 	if b := h.beliefs; b != nil {
-		note(b.Listed < 0, "knows no workers")
-		note(b.Listed > listedOld, "last heard of workers %s ago", b.Listed.Round(time.Second))
-		note(b.Calls && !b.ForAll, "watches the store by itself")
+		note(b.ListAge < 0, "knows no workers")
+		note(b.ListAge > listedOld, "last heard of workers %s ago", b.ListAge.Round(time.Second))
+		note(b.WatchesStore && !b.WatchesForAll, "watches the store by itself")
 	}
 	return list
 }
--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -7,38 +7,38 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// Beliefs is what a host that serves host routes believes, for operators. Ages are of
-// the moment that it was asked.
-type Beliefs struct {
-	Listed   time.Duration        `json:"listed"`   // age of the last word of the workers' entries; -1ns where none came
-	Era      uint64               `json:"era"`      // of the store that it brought
-	Revision uint64               `json:"revision"` // in that era
-	Calls    bool                 `json:"calls"`    // the host watches the store itself
-	ForAll   bool                 `json:"for_all"`  // and for the others
-	Decides  bool                 `json:"decides"`  // it picks workers by its own view, not by another's
-	Sharing  int                  `json:"sharing"`  // hosts that the budget of repeats is shared between
-	Workers  []placer.WorkerState `json:"workers"`
+// RoutingState is what a host that serves host routes believes, for operators. Ages are of
+// the time of the query.
+type RoutingState struct {
+	ListAge       time.Duration        `json:"listed"`   // age of the last word of the workers' entries; -1ns where none came
+	Era           uint64               `json:"era"`      // of the store that it brought
+	Revision      uint64               `json:"revision"` // in that era
+	WatchesStore  bool                 `json:"calls"`    // the host watches the store itself
+	WatchesForAll bool                 `json:"for_all"`  // and for the others
+	Decides       bool                 `json:"decides"`  // it picks workers by its own view, not by another's
+	BudgetHosts   int                  `json:"sharing"`  // hosts that the budget of repeats is shared between
+	Workers       []placer.WorkerState `json:"workers"`
 
 	Quarantine []Quarantined `json:"quarantine"` // requests that are held back
 }
 
 // beliefsAsked asks for what the host believes.
-type beliefsAsked struct{ reply chan<- Beliefs }
+type beliefsAsked struct{ reply chan<- RoutingState }
 
 // beliefs is what the host believes now; the zero Beliefs where it is ending.
-func (p *choosing) beliefs() Beliefs {
-	return askChoosing(context.Background(), p, func(reply chan<- Beliefs) event { return beliefsAsked{reply: reply} })
+func (p *choosing) beliefs() RoutingState {
+	return askChoosing(context.Background(), p, func(reply chan<- RoutingState) event { return beliefsAsked{reply: reply} })
 }
 
 // believe is the answer to beliefs.
-func (p *choosing) believe(now time.Time) Beliefs {
+func (p *choosing) believe(now time.Time) RoutingState {
 	after, _, _ := p.relay.Next(now)
-	b := Beliefs{
-		Listed: -1, Era: after.Era(), Revision: after.Revision(), Calls: p.calls.Load(), ForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), Sharing: p.hosts, Workers: p.view.WorkerStates(now),
+	b := RoutingState{
+		ListAge: -1, Era: after.Era(), Revision: after.Revision(), WatchesStore: p.calls.Load(), WatchesForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), BudgetHosts: p.hosts, Workers: p.view.WorkerStates(now),
 	}
 	b.Quarantine = p.quarantine.state(now)
 	if !p.listed.IsZero() {
-		b.Listed = now.Sub(p.listed)
+		b.ListAge = now.Sub(p.listed)
 	}
 	return b
 }
--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -113,7 +113,7 @@
 			going := stream(a, 100000)
 			a.term()
 			hurry(a)
-			Eventually(a.done).WithTimeout(20 * time.Second).Should(Receive(MatchError(runner.ErrCut)))
+			Eventually(a.done).WithTimeout(20 * time.Second).Should(Receive(MatchError(runner.ErrAborted)))
 			var end answer
 			Eventually(going).WithTimeout(5 * time.Second).Should(Receive(&end))
 			Expect(strings.TrimSpace(end.text)).NotTo(HaveSuffix("[DONE]"))
--- a/runner/host.go
+++ b/runner/host.go
@@ -53,20 +53,20 @@
 
 // Signals is what a host is told while it runs. Nil fields tell nothing.
 type Signals struct {
-	// Hurry, when it is closed, ends a shutdown that takes too long: what is still in
-	// flight is cut, and the error says how much that was.
-	Hurry <-chan struct{}
+	// Abort, when it is closed, ends a shutdown that takes too long: what is still in
+	// are aborted, and the error reports their number.
+	Abort <-chan struct{}
 	// Reload brings new settings. Those that can change while a host runs are the
 	// bound on repeats and the memory.
 	Reload <-chan loader.Host
-	// Dropped is the lines of the log that were not written.
-	Dropped func() uint64
+	// DroppedLines is the lines of the log that were not written.
+	DroppedLines func() uint64
 }
 
 // RunUntil is Run with a way to end a shutdown that takes too long: closing
 // hurry cuts what is still in flight, and the error says how much that was.
 func RunUntil(ctx context.Context, hurry <-chan struct{}, settings loader.Host, log *zap.Logger) error {
-	return RunWith(ctx, Signals{Hurry: hurry}, settings, log)
+	return RunWith(ctx, Signals{Abort: hurry}, settings, log)
 }
 
 // RunWith is Run with all that a host is told while it runs.
@@ -93,8 +93,8 @@
 		return fmt.Errorf("start host: %w", err)
 	}
 	defer closeMessenger()
-	if signals.Dropped != nil {
-		registerDropped(h.registry, signals.Dropped)
+	if signals.DroppedLines != nil {
+		registerDropped(h.registry, signals.DroppedLines)
 	}
 	return h.run(ctx, signals, callers, operators)
 }
@@ -220,7 +220,7 @@
 	case err = <-failed:
 	}
 	if err == nil {
-		err = h.shutdown(signals.Hurry)
+		err = h.shutdown(signals.Abort)
 	}
 	h.State() // the control goroutine has now sent what the last requests gave back
 	leaveRoster()
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -15,8 +15,8 @@
 // flushTimeout is how long the last messages to other hosts may take.
 const flushTimeout = time.Second
 
-// ErrCut says that a shutdown ended before the requests in flight had.
-var ErrCut = errors.New("requests were cut")
+// ErrAborted says that a shutdown ended before the requests in flight had.
+var ErrAborted = errors.New("requests were cut")
 
 // Drain begins a graceful shutdown.
 func (h *Host) Drain() { h.once.Do(func() { close(h.leaving) }) }
@@ -44,7 +44,7 @@
 	}
 	if left := h.control.settleOnce(ctx); left > 0 {
 		h.log.Error("left", zap.Int("operations", left), zap.Int64("cut", 0))
-		return fmt.Errorf("%w: %d operations of other hosts", ErrCut, left)
+		return fmt.Errorf("%w: %d operations of other hosts", ErrAborted, left)
 	}
 	h.log.Info("left", zap.Int64("cut", 0))
 	return nil
@@ -75,7 +75,7 @@
 	}
 	h.log.Error("left", zap.Int64("cut", count), zap.Strings("requests", requests), zap.Error(err))
 	h.server.AbortAll()
-	return fmt.Errorf("%w: %d", ErrCut, count)
+	return fmt.Errorf("%w: %d", ErrAborted, count)
 }
 
 // flush gives the last messages time to arrive.
@@ -100,7 +100,7 @@
 	s.Configuration = h.following.Status()
 	if h.routing != nil {
 		b := h.routing.choosing.beliefs()
-		s.Beliefs = &b
+		s.Routing = &b
 	}
 	return s
 }
--- a/runner/state.go
+++ b/runner/state.go
@@ -32,7 +32,7 @@
 
 	Configuration publisher.Status `json:"configuration"`
 
-	Beliefs *Beliefs `json:"beliefs,omitempty"` // of a host that serves host routes
+	Routing *RoutingState `json:"beliefs,omitempty"` // of a host that serves host routes
 
 	Limits map[string]limiter.Rates `json:"limits"` // what limited organisations may use here, a second
 
