--- a/runner/admin.go
+++ b/runner/admin.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// admin is the operators' HTTP interface of a host.
+// admin returns the handler of the operators' HTTP interface.
 func (h *Host) admin(registry *prometheus.Registry) http.Handler {
 	r := mux.NewRouter()
 	r.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
@@ -22,12 +22,12 @@
 		h.Drain()
 		w.WriteHeader(http.StatusAccepted)
 	}).Methods(http.MethodPost)
-	profiles(r)
+	registerProfiles(r)
 	return r
 }
 
-// profiles serves net/http/pprof's profiles of this process.
-func profiles(r *mux.Router) {
+// registerProfiles adds the handlers of net/http/pprof.
+func registerProfiles(r *mux.Router) {
 	r.HandleFunc("/debug/pprof/profile", pprof.Profile)
 	r.HandleFunc("/debug/pprof/trace", pprof.Trace)
 	r.HandleFunc("/debug/pprof/symbol", pprof.Symbol)
--- a/runner/allocator.go
+++ b/runner/allocator.go
@@ -11,7 +11,7 @@
 // Acquire implements server.Allocator.
 func (c *control) Acquire(ctx context.Context, service string, a messenger.Ask) (server.Place, error) {
 	reply := make(chan placeReply, 1)
-	if !c.post(placeAsked{service: service, ask: a, reply: reply}) {
+	if !c.post(placeRequested{service: service, ask: a, reply: reply}) {
 		return server.Place{}, stopping()
 	}
 	select {
@@ -23,18 +23,18 @@
 	case <-c.ended:
 		return server.Place{}, stopping()
 	case <-ctx.Done():
-		c.post(placeLeft{request: a.Request})
+		c.post(placeCanceled{request: a.Request})
 		return server.Place{}, server.ErrCallerGone
 	}
 }
 
 // Progress implements server.Allocator.
 func (c *control) Progress(p server.Place, tokens int) {
-	c.events <- placeProgressed{place: p, tokens: tokens}
+	c.events <- progressReported{place: p, tokens: tokens}
 }
 
 // Release implements server.Allocator.
-func (c *control) Release(p server.Place, u server.Usage) { c.post(placeDone{place: p, use: u}) }
+func (c *control) Release(p server.Place, u server.Usage) { c.post(placeReleased{place: p, usage: u}) }
 
 // stopping refuses what comes after the control goroutine has ended.
 func stopping() server.Refusal {
--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -10,28 +10,28 @@
 // RoutingState is what a host that serves host routes believes, for operators. Ages are of
 // the time of the query.
 type RoutingState struct {
-	ListAge       time.Duration        `json:"listed"`   // age of the last word of the workers' entries; -1ns where none came
-	Era           uint64               `json:"era"`      // of the store that it brought
+	ListAge       time.Duration        `json:"listed"`   // age of the last update of the workers' entries; -1ns before the first
+	Era           uint64               `json:"era"`      // of the store, in that update
 	Revision      uint64               `json:"revision"` // in that era
 	WatchesStore  bool                 `json:"calls"`    // the host watches the store itself
-	WatchesForAll bool                 `json:"for_all"`  // and for the others
-	Decides       bool                 `json:"decides"`  // it picks workers by its own view, not by another's
-	BudgetHosts   int                  `json:"sharing"`  // hosts that the budget of repeats is shared between
+	WatchesForAll bool                 `json:"for_all"`  // and notifies the other hosts
+	Decides       bool                 `json:"decides"`  // it picks workers by its own view, not by another host's
+	BudgetHosts   int                  `json:"sharing"`  // number of hosts that share the retry budget
 	Workers       []placer.WorkerState `json:"workers"`
 
-	Quarantine []Quarantined `json:"quarantine"` // requests that are held back
+	Quarantine []Quarantined `json:"quarantine"` // requests in quarantine
 }
 
-// beliefsAsked asks for what the host believes.
-type beliefsAsked struct{ reply chan<- RoutingState }
+// routingStateRequested asks for the state of host routes.
+type routingStateRequested struct{ reply chan<- RoutingState }
 
-// beliefs is what the host believes now; the zero Beliefs where it is ending.
-func (p *choosing) beliefs() RoutingState {
-	return askChoosing(context.Background(), p, func(reply chan<- RoutingState) event { return beliefsAsked{reply: reply} })
+// routingState returns the current state; the zero value where the host is stopping.
+func (p *choosing) routingState() RoutingState {
+	return askChoosing(context.Background(), p, func(reply chan<- RoutingState) event { return routingStateRequested{reply: reply} })
 }
 
-// believe is the answer to beliefs.
-func (p *choosing) believe(now time.Time) RoutingState {
+// buildRoutingState collects the state of host routes.
+func (p *choosing) buildRoutingState(now time.Time) RoutingState {
 	after, _, _ := p.relay.Next(now)
 	b := RoutingState{
 		ListAge: -1, Era: after.Era(), Revision: after.Revision(), WatchesStore: p.calls.Load(), WatchesForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), BudgetHosts: p.hosts, Workers: p.view.WorkerStates(now),
@@ -43,4 +43,4 @@
 	return b
 }
 
-func (beliefsAsked) event() {}
+func (routingStateRequested) event() {}
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -22,8 +22,8 @@
 	preempted chan struct{}
 }
 
-func (c *control) ask(now time.Time, e placeAsked) {
-	cells := c.byService[e.service]
+func (c *control) ask(now time.Time, e placeRequested) {
+	cells := c.cellsByService[e.service]
 	if len(cells) == 0 {
 		e.reply <- placeReply{refusal: &server.Refusal{Reason: "no_workers", After: time.Second}}
 		return
@@ -43,9 +43,9 @@
 	if !k.asked.IsZero() {
 		k.ask.Waited += now.Sub(k.asked)
 	}
-	c.attempt++
+	c.lastAttempt++
 	k.owner, k.asked = owner.Name, now
-	k.ask.Attempt, k.ask.Epoch, k.ask.Deadline = c.attempt, c.epochs[k.ask.Cell], max(k.ends.Sub(now), 0)
+	k.ask.Attempt, k.ask.Epoch, k.ask.Deadline = c.lastAttempt, c.cellEpochs[k.ask.Cell], max(k.ends.Sub(now), 0)
 	if k.worker != "" {
 		c.send(now, k.owner, messenger.Claim{Ask: k.ask, Worker: k.worker, Tokens: k.tokens})
 		return
@@ -65,14 +65,14 @@
 		return // a duplicate of the one in use
 	}
 	worker, known := c.worker(g.Cell, g.Worker)
-	if !same || !known || k.worker != "" || g.Epoch < c.epochs[g.Cell] {
+	if !same || !known || k.worker != "" || g.Epoch < c.cellEpochs[g.Cell] {
 		c.send(now, from, messenger.Done{Request: g.Request, Attempt: g.Attempt, Cell: g.Cell, Worker: g.Worker})
 		if same && k.worker == "" && k.owner == from {
 			c.register(now, k)
 		}
 		return
 	}
-	c.epochs[g.Cell] = g.Epoch
+	c.cellEpochs[g.Cell] = g.Epoch
 	k.worker = g.Worker
 	// The fencing number is the epoch, one for all grants of a dispatcher. One for
 	// each grant was tried: calls that go out side by side arrive out of order, and
@@ -115,21 +115,21 @@
 	c.send(now, k.owner, messenger.Cancel{Request: request, Attempt: k.ask.Attempt, Cell: k.ask.Cell})
 }
 
-func (c *control) done(now time.Time, e placeDone) {
+func (c *control) done(now time.Time, e placeReleased) {
 	k := c.calls[e.place.Request]
 	if k == nil {
 		return
 	}
 	delete(c.calls, e.place.Request)
-	c.quarantine.use(now, e.place.Worker.Name, e.use)
+	c.quarantine.use(now, e.place.Worker.Name, e.usage)
 	c.send(now, k.owner, messenger.Done{
 		Request: e.place.Request, Attempt: k.ask.Attempt, Cell: e.place.Cell, Worker: e.place.Worker.Name,
-		Tokens: e.use.Tokens, First: e.use.FirstByte, Failed: e.use.Failed,
+		Tokens: e.usage.Tokens, First: e.usage.FirstByte, Failed: e.usage.Failed,
 	})
 }
 
 // progressed tells the dispatcher how far a request in flight has come.
-func (c *control) progressed(now time.Time, e placeProgressed) {
+func (c *control) progressed(now time.Time, e progressReported) {
 	k := c.calls[e.place.Request]
 	if k == nil || k.worker == "" {
 		return
--- a/runner/catching.go
+++ b/runner/catching.go
@@ -27,7 +27,7 @@
 	}
 	fresh := p.fresh(listened)
 	running := p.view.RunningFlights(now, few)
-	limits := limitsOf(p.view.Limits())
+	limits := limitMessages(p.view.Limits())
 	if len(fresh) == 0 || len(running) == 0 && len(limits) == 0 {
 		return
 	}
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -136,8 +136,8 @@
 		p.shared.Begun = append(p.shared.Begun, e.id)
 		p.shared.Took = append(p.shared.Took, e.took)
 		p.tellWithin(now, p.within(restWithin, restToDeciders))
-	case limitNamed:
-		p.name(now, e)
+	case limitReported:
+		p.updateLimit(now, e)
 	case sendEnded:
 		p.view.Ended(now, e.id, e.outcome)
 		p.tellEnded(now, e)
@@ -155,15 +155,15 @@
 		p.quarantine.stored(now, e)
 	case storeRestored:
 		p.quarantine.restore()
-	case beliefsAsked:
-		e.reply <- p.believe(now)
+	case routingStateRequested:
+		e.reply <- p.buildRoutingState(now)
 	case nextAsked:
 		e.reply <- p.callNext(now)
 	case rosterChanged:
 		p.enroll(now, e.roster)
 	case settingsChanged:
 		p.repeat = policyOf(e.settings.Repeat)
-	case folderChanged:
+	case configChanged:
 		p.folder = e.folder
 		p.setWorkers(now)
 	}
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -49,7 +49,7 @@
 
 // RateReported implements router.Placer.
 func (p *choosing) RateReported(x router.Placement, rate float64) {
-	p.post(limitNamed{worker: x.Worker.Name, rate: rate, known: x.RateLimit})
+	p.post(limitReported{worker: x.Worker.Name, rate: rate, previous: x.RateLimit})
 }
 
 // Ended implements router.Placer.
--- a/runner/control.go
+++ b/runner/control.go
@@ -17,138 +17,139 @@
 )
 
 const (
+	// eventBacklog is the capacity of a queue of events.
 	eventBacklog = 8192
-	// askAgain is how long a call waits for an answer before it is registered
-	// again: an Ask, Grant or Refuse that a broken connection lost shows only as
-	// silence.
-	askAgain = 2 * time.Second
-	// renewEvery is how often a call that holds a place says so, well within the
+	// askRetryInterval is how long a call waits for an answer before it is registered
+	// again: an Ask, Grant or Refuse that is lost with a broken connection shows no other
+	// sign.
+	askRetryInterval = 2 * time.Second
+	// renewInterval is how often a call that holds a place renews it, well within the
 	// dispatcher's lease on a grant.
-	renewEvery = 10 * time.Second
+	renewInterval = 10 * time.Second
 )
 
-// sender is the port to other hosts.
+// sender sends messages to other hosts.
 type sender interface {
 	Send(address string, m messenger.Message) error
 	SendAll(addresses []string, m messenger.Message) error
 	SetGeneration(g uint64)
 }
 
-// control owns all control state of a host. Only its run goroutine touches the
-// fields below events.
+// control owns all control state of a host. Only its run goroutine accesses the fields
+// below events.
 type control struct {
 	self   string
 	epoch  uint64
 	sender sender
 	log    *zap.Logger
 	events chan event
-	ended  chan struct{} // closed when run has
+	ended  chan struct{} // closed when run returns
 
-	incarnation uint64 // of this host in the roster; 0 before the first
-	roster      registrar.Roster
-	folder      *loader.Folder
-	generation  uint64
-	cells       map[string]dispatcher.Cell
-	byService   map[string][]string
-	owned       map[string]*dispatcher.Dispatcher
-	calls       map[string]*call
-	observer    observer.Observer
-	present     map[workerName]bool // as last told to the dispatchers
-	away        *atomic.Int64       // workers that get nothing new
-	limiting    limiting
-	attempt     uint64            // of the last Ask or Claim
-	epochs      map[string]uint64 // highest seen of each cell
-	chooser     dispatcher.Chooser
-	due         time.Time // when a dispatcher is next due; zero for never
-	again       time.Time // when calls are next looked through for askAgain
-	keeping     *keeping
-	quarantine  *quarantining // nil where the host serves host routes
+	incarnation        uint64 // of this host in the roster; 0 before the first roster
+	roster             registrar.Roster
+	folder             *loader.Folder
+	generation         uint64
+	cells              map[string]dispatcher.Cell
+	cellsByService     map[string][]string
+	dispatchers        map[string]*dispatcher.Dispatcher
+	calls              map[string]*call
+	observer           observer.Observer
+	available          map[workerName]bool // as last reported to the dispatchers
+	unavailable        *atomic.Int64       // number of workers that get no new work
+	limiting           limiting
+	lastAttempt        uint64            // number of the last Ask or Claim
+	cellEpochs         map[string]uint64 // highest epoch seen, by cell
+	chooser            dispatcher.Chooser
+	nextDispatcherTick time.Time // zero for never
+	nextCallCheck      time.Time // when calls are next checked for a retry or a renewal
+	once               *onceManager
+	quarantine         *quarantining // nil where the host serves host routes
 }
 
 func newControl(self string, epoch uint64, s sender, log *zap.Logger) *control {
 	return &control{
 		self: self, epoch: epoch, sender: s, log: log, events: make(chan event, eventBacklog), ended: make(chan struct{}),
-		cells: map[string]dispatcher.Cell{}, byService: map[string][]string{},
-		owned: map[string]*dispatcher.Dispatcher{}, calls: map[string]*call{}, present: map[workerName]bool{}, away: &atomic.Int64{},
-		epochs: map[string]uint64{},
+		cells: map[string]dispatcher.Cell{}, cellsByService: map[string][]string{},
+		dispatchers: map[string]*dispatcher.Dispatcher{}, calls: map[string]*call{}, available: map[workerName]bool{}, unavailable: &atomic.Int64{},
+		cellEpochs: map[string]uint64{},
 	}
 }
 
-// run takes events until ctx ends.
+// run handles events until ctx ends.
 func (c *control) run(ctx context.Context) {
 	defer close(c.ended)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var set time.Time // when the timer goes off
+	var armedFor time.Time // when the timer fires
 	for {
-		if next := c.next(); !next.Equal(set) {
-			set = next
+		if next := c.next(); !next.Equal(armedFor) {
+			armedFor = next
 			timer.Reset(time.Until(next))
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			set = time.Time{}
+			armedFor = time.Time{}
 			c.tick(time.Now())
 		case e := <-c.events:
-			c.take(time.Now(), e)
+			c.handle(time.Now(), e)
 		}
 	}
 }
 
-// tick does what is due.
+// tick performs all work that is due.
 func (c *control) tick(now time.Time) {
 	c.tickDispatchers(now)
 	c.borrow(now)
-	c.keeping.tick(now)
+	c.once.tick(now)
 	c.quarantine.tick(now)
-	if now.Before(c.again) {
+	if now.Before(c.nextCallCheck) {
 		return
 	}
-	c.again = now.Add(askAgain / 4)
+	c.nextCallCheck = now.Add(askRetryInterval / 4)
 	for _, k := range c.calls {
-		switch silent := now.Sub(k.asked); {
-		case k.worker == "" && silent >= askAgain:
+		switch elapsed := now.Sub(k.asked); {
+		case k.worker == "" && elapsed >= askRetryInterval:
 			c.register(now, k)
-		case k.worker != "" && silent >= renewEvery:
+		case k.worker != "" && elapsed >= renewInterval:
 			c.renew(now, k)
 		}
 	}
 }
 
-func (c *control) take(now time.Time, e event) {
+func (c *control) handle(now time.Time, e event) {
 	switch e := e.(type) {
-	case frameArrived:
-		c.deliver(now, e.from, e.message)
-	case placeAsked:
+	case frameReceived:
+		c.handleMessage(now, e.from, e.message)
+	case placeRequested:
 		c.ask(now, e)
-	case placeLeft:
+	case placeCanceled:
 		c.leave(now, e.request)
-	case placeDone:
+	case placeReleased:
 		c.done(now, e)
-	case placeProgressed:
+	case progressReported:
 		c.progressed(now, e)
-	case folderChanged:
+	case configChanged:
 		c.configure(now, e)
 	case rosterChanged:
-		c.enroll(now, e.roster)
+		c.setRoster(now, e.roster)
 	case workersListed, workerReported, workerRefused, reportsWanted:
 		c.observe(now, e)
 	case quarantineStored:
 		c.quarantine.stored(now, e)
 	case storeRestored:
 		c.quarantine.restore()
-		c.keeping.take(now, e)
-	case stateAsked:
+		c.once.handleEvent(now, e)
+	case stateRequested:
 		e.reply <- c.state()
 	default:
-		c.keeping.take(now, e)
+		c.once.handleEvent(now, e)
 	}
 }
 
-// deliver takes a message from a host, this one included.
-func (c *control) deliver(now time.Time, from string, m messenger.Message) {
+// handleMessage handles a message from a host, this one included.
+func (c *control) handleMessage(now time.Time, from string, m messenger.Message) {
 	switch m := m.(type) {
 	case messenger.Ask:
 		c.dispatch(now, m.Cell, from, m)
@@ -179,13 +180,13 @@
 		c.quarantine.hear(now, quarantineHeard{from: from, held: heldOf(m)})
 	case messenger.Moved:
 	default:
-		c.keeping.deliver(now, from, m)
+		c.once.handleMessage(now, from, m)
 	}
 }
 
 func (c *control) send(now time.Time, host string, m messenger.Message) {
 	if host == c.self {
-		c.deliver(now, c.self, m)
+		c.handleMessage(now, c.self, m)
 		return
 	}
 	h, ok := c.roster.Find(host)
@@ -197,49 +198,50 @@
 	}
 }
 
-func (c *control) configure(now time.Time, e folderChanged) {
+func (c *control) configure(now time.Time, e configChanged) {
 	c.folder, c.generation = e.folder, e.generation
 	c.sender.SetGeneration(e.generation)
 	c.observer.Configure(e.folder.Services)
 	c.limiting.configure(e.folder)
-	c.cells, c.byService = map[string]dispatcher.Cell{}, map[string][]string{}
+	c.cells, c.cellsByService = map[string]dispatcher.Cell{}, map[string][]string{}
 	for name, s := range c.observer.Services() {
 		for _, cell := range dispatcher.SplitCells(name, s) {
 			c.cells[cell.Name] = cell
-			c.byService[name] = append(c.byService[name], cell.Name)
+			c.cellsByService[name] = append(c.cellsByService[name], cell.Name)
 		}
 	}
-	for name, d := range c.owned {
+	for name, d := range c.dispatchers {
 		if cell, ok := c.cells[name]; ok {
 			d.Configure(c.filled(now, cell), e.folder.Classes)
 			out := d.Tick(now)
 			c.awaits(d)
 			c.emit(now, out)
 		} else {
-			delete(c.owned, name)
+			delete(c.dispatchers, name)
 		}
 	}
 	known := func(cell string) bool { _, ok := c.cells[cell]; return ok }
 	for _, k := range c.calls {
-		if cells := c.byService[k.service]; k.worker == "" && !known(k.ask.Cell) && len(cells) > 0 {
+		if cells := c.cellsByService[k.service]; k.worker == "" && !known(k.ask.Cell) && len(cells) > 0 {
 			k.ask.Cell = c.chooser.Choose(now, cells, k.ask.Class, rand.Uint64())
 			c.register(now, k)
 		}
 	}
 	c.chooser.Retain(known)
-	maps.DeleteFunc(c.epochs, func(cell string, _ uint64) bool { return !known(cell) })
+	maps.DeleteFunc(c.cellEpochs, func(cell string, _ uint64) bool { return !known(cell) })
 	c.ownAll(now)
 }
 
-// lose takes back what hosts held that were on the old roster and are not on the new one.
-func (c *control) lose(now time.Time, old, r registrar.Roster) {
+// reclaimLost reclaims the places of hosts that are on the old roster but not, or with
+// another incarnation, on the new one.
+func (c *control) reclaimLost(now time.Time, old, r registrar.Roster) {
 	var lost []string
 	for _, h := range old.Hosts() {
 		if n, ok := r.Find(h.Name); h.Name == c.self || ok && n.Incarnation == h.Incarnation {
 			continue
 		}
 		lost = append(lost, h.Name)
-		for _, d := range c.owned {
+		for _, d := range c.dispatchers {
 			out := d.HostLost(now, h.Name)
 			c.awaits(d)
 			c.emit(now, out)
@@ -249,30 +251,30 @@
 	case 0:
 	case 1:
 		c.log.Info("host lost", zap.String("peer", lost[0]))
-	default: // a line each would keep a small host busy when all come back at once
+	default: // one line per host would keep a small host busy when all return together
 		c.log.Info("hosts lost", zap.Int("count", len(lost)), zap.Strings("peers", lost))
 	}
 }
 
-// enroll takes a new roster: what hosts that are gone held is taken back, calls
-// whose cell has a new owner are registered there, and this host's dispatchers
-// of cells that have another owner now end: every entry registers with the
-// owner when it sees the roster, and a late one makes this host dispatch anew.
-func (c *control) enroll(now time.Time, r registrar.Roster) {
+// setRoster applies a new roster: places of hosts that are gone are reclaimed, and calls
+// whose cell has a new owner are registered there. This host's dispatchers of cells that
+// now have another owner end, as every entry host registers with the new owner when it sees
+// the roster; a late message from one starts a new dispatcher here.
+func (c *control) setRoster(now time.Time, r registrar.Roster) {
 	old := c.roster
 	c.roster = r
 	c.limiting.enroll(now, old, r)
 	c.quarantine.enroll(now, r)
-	c.lose(now, old, r)
-	c.rejoin(now, r)
-	for name := range c.owned {
+	c.reclaimLost(now, old, r)
+	c.detectRejoin(now, r)
+	for name := range c.dispatchers {
 		if owner, ok := r.Owner(name); ok && owner.Name != c.self {
 			c.log.Info("cell handed over", zap.String("cell", name), zap.String("to", owner.Name))
-			delete(c.owned, name)
+			delete(c.dispatchers, name)
 		}
 	}
 	c.ownAll(now)
-	owners := map[string]string{} // a host has more calls than cells
+	owners := map[string]string{} // looked up once per cell: a host has more calls than cells
 	for cell := range c.cells {
 		if owner, ok := r.Owner(cell); ok {
 			owners[cell] = owner.Name
@@ -283,5 +285,5 @@
 			c.register(now, k)
 		}
 	}
-	c.keeping.enroll(now, r)
+	c.once.setRoster(now, r)
 }
--- a/runner/due.go
+++ b/runner/due.go
@@ -6,15 +6,15 @@
 // hangs on it, as a host that looks fifty times a second whether there is
 // anything to do spends most of its control's processor time on that.
 func (c *control) next() time.Time {
-	next := earlier(c.due, c.limiting.next)
+	next := earlier(c.nextDispatcherTick, c.limiting.next)
 	if len(c.calls) > 0 {
-		next = earlier(next, c.again)
+		next = earlier(next, c.nextCallCheck)
 	}
 	if c.quarantine != nil {
 		next = earlier(next, c.quarantine.due)
 	}
-	if c.keeping != nil {
-		next = earlier(next, c.keeping.due)
+	if c.once != nil {
+		next = earlier(next, c.once.nextTick)
 	}
 	return next
 }
@@ -30,7 +30,7 @@
 // awaits notes when a dispatcher is due.
 func (c *control) awaits(d due) {
 	if at, ok := d.Next(); ok {
-		c.due = earlier(c.due, at)
+		c.nextDispatcherTick = earlier(c.nextDispatcherTick, at)
 	}
 }
 
@@ -39,11 +39,11 @@
 
 // tickDispatchers lets time pass for the dispatchers that are due.
 func (c *control) tickDispatchers(now time.Time) {
-	if c.due.IsZero() || now.Before(c.due) {
+	if c.nextDispatcherTick.IsZero() || now.Before(c.nextDispatcherTick) {
 		return
 	}
-	c.due = time.Time{}
-	for _, d := range c.owned {
+	c.nextDispatcherTick = time.Time{}
+	for _, d := range c.dispatchers {
 		if at, ok := d.Next(); ok && !now.Before(at) {
 			out := d.Tick(now)
 			c.emit(now, out)
--- a/runner/event.go
+++ b/runner/event.go
@@ -1,5 +1,3 @@
-// Package runner composes one host: its roles, its adapters, and the goroutine
-// that owns all control state.
 package runner
 
 import (
@@ -9,45 +7,46 @@
 	"github.com/cicadawood/cicadawood/server"
 )
 
-// event is what the control goroutine takes in.
+// event is an input of the control goroutine, or of the one that selects workers for host
+// routes.
 type event interface{ event() }
 
-// frameArrived is a message from another host.
-type frameArrived struct {
+// frameReceived is a message from another host.
+type frameReceived struct {
 	from    string
 	message messenger.Message
 }
 
-// placeAsked is a request of this host's entry that wants a place.
-type placeAsked struct {
+// placeRequested is a request of this host's entry for a place.
+type placeRequested struct {
 	service string
 	ask     messenger.Ask
 	reply   chan<- placeReply
 }
 
-// placeReply answers placeAsked: a Place, or a Refusal.
+// placeReply answers placeRequested with a Place or a Refusal.
 type placeReply struct {
 	place   server.Place
 	refusal *server.Refusal
 }
 
-// placeLeft is a request whose caller went away while it waited.
-type placeLeft struct{ request string }
+// placeCanceled withdraws a request whose caller went away while it waited.
+type placeCanceled struct{ request string }
 
-// placeDone gives a place back.
-type placeDone struct {
+// placeReleased returns a place to its dispatcher.
+type placeReleased struct {
 	place server.Place
-	use   server.Usage
+	usage server.Usage
 }
 
-// placeProgressed tells of a stream's tokens so far.
-type placeProgressed struct {
+// progressReported has the number of tokens that a stream has produced so far.
+type progressReported struct {
 	place  server.Place
 	tokens int
 }
 
-// folderChanged is a configuration that came in force.
-type folderChanged struct {
+// configChanged puts a configuration in force.
+type configChanged struct {
 	folder     *loader.Folder
 	generation uint64
 }
@@ -55,14 +54,14 @@
 // rosterChanged is a new roster.
 type rosterChanged struct{ roster registrar.Roster }
 
-// stateAsked wants a copy of the control state.
-type stateAsked struct{ reply chan<- State }
+// stateRequested asks for a copy of the control state.
+type stateRequested struct{ reply chan<- State }
 
-func (frameArrived) event()    {}
-func (placeAsked) event()      {}
-func (placeLeft) event()       {}
-func (placeDone) event()       {}
-func (placeProgressed) event() {}
-func (folderChanged) event()   {}
-func (rosterChanged) event()   {}
-func (stateAsked) event()      {}
+func (frameReceived) event()    {}
+func (placeRequested) event()   {}
+func (placeCanceled) event()    {}
+func (placeReleased) event()    {}
+func (progressReported) event() {}
+func (configChanged) event()    {}
+func (rosterChanged) event()    {}
+func (stateRequested) event()   {}
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -53,13 +53,13 @@
 
 // Deliver hands over a message from a host.
 func (k Control) Deliver(now time.Time, from string, m messenger.Message) {
-	k.c.take(now, frameArrived{from: from, message: m})
+	k.c.handle(now, frameReceived{from: from, message: m})
 }
 
 // Ask starts a call; the function returned polls its answer.
 func (k Control) Ask(now time.Time, service string, a messenger.Ask) func() (Answer, bool) {
 	reply := make(chan placeReply, 2)
-	k.c.take(now, placeAsked{service: service, ask: a, reply: reply})
+	k.c.handle(now, placeRequested{service: service, ask: a, reply: reply})
 	return func() (Answer, bool) {
 		select {
 		case r := <-reply:
@@ -71,25 +71,27 @@
 }
 
 // Leave ends a call that waits.
-func (k Control) Leave(now time.Time, request string) { k.c.take(now, placeLeft{request: request}) }
+func (k Control) Leave(now time.Time, request string) {
+	k.c.handle(now, placeCanceled{request: request})
+}
 
 // Done gives a place back.
 func (k Control) Done(now time.Time, p server.Place) {
-	k.c.take(now, placeDone{place: p, use: server.Usage{Tokens: 10, FirstByte: 50 * time.Millisecond}})
+	k.c.handle(now, placeReleased{place: p, usage: server.Usage{Tokens: 10, FirstByte: 50 * time.Millisecond}})
 }
 
 // Advance tells how far a call has come.
 func (k Control) Advance(now time.Time, p server.Place, tokens int) {
-	k.c.take(now, placeProgressed{place: p, tokens: tokens})
+	k.c.handle(now, progressReported{place: p, tokens: tokens})
 }
 
 // Configure puts a configuration in force.
 func (k Control) Configure(now time.Time, f *loader.Folder) {
-	k.c.take(now, folderChanged{folder: f, generation: 1})
+	k.c.handle(now, configChanged{folder: f, generation: 1})
 }
 
 // Enroll takes a roster.
-func (k Control) Enroll(now time.Time, r registrar.Roster) { k.c.take(now, rosterChanged{roster: r}) }
+func (k Control) Enroll(now time.Time, r registrar.Roster) { k.c.handle(now, rosterChanged{roster: r}) }
 
 // Tick lets time pass.
 func (k Control) Tick(now time.Time) { k.c.tick(now) }
@@ -110,21 +112,21 @@
 
 // Keeper is the control state's keeper of a partition. It has no store.
 func (k Control) Keeper(partition int) *keeper.Keeper {
-	if k.c.keeping == nil {
-		k.c.keeping = newKeeping(k.c, nil, nil, loader.Once{}, newKeepingMetrics(prometheus.NewRegistry()), zap.NewNop())
+	if k.c.once == nil {
+		k.c.once = newOnceManager(k.c, nil, nil, loader.Once{}, newOnceMetrics(prometheus.NewRegistry()), zap.NewNop())
 	}
-	return k.c.keeping.keeperOf(partition).keeper
+	return k.c.once.keeperOf(partition).keeper
 }
 
 // Next is when the next tick is due.
 func (k Control) Next() time.Time { return k.c.next() }
 
 // Holding is what waits for a configuration.
-type Holding struct{ h holding }
+type Holding struct{ h pendingFrames }
 
 // Take says whether a message has to wait for a newer configuration.
 func (k *Holding) Take(now time.Time, from string, m messenger.Message, generation uint64) bool {
-	return k.h.take(now, frameArrived{from: from, message: m}, generation)
+	return k.h.add(now, frameReceived{from: from, message: m}, generation)
 }
 
 // Release returns the messages that waited for a configuration.
@@ -187,8 +189,8 @@
 // Hear takes a message of another host. Time passes by hand, see Silent: what a real
 // timer says is dropped.
 func (x Choosing) Hear(now time.Time, from string, m messenger.Message) {
-	g := &routing{choosing: x.c}
-	g.hear(from, m)
+	g := &hostRoutes{selector: x.c}
+	g.receive(from, m)
 	for {
 		e := <-x.c.events
 		if _, timer := e.(seekLate); !timer {
--- a/runner/following.go
+++ b/runner/following.go
@@ -14,60 +14,62 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// peersAsked is how many hosts a fresh host asks for the configuration.
-const peersAsked = 3
+// maxPeersAsked bounds the hosts of the roster, and the peers in the settings, that a new
+// host asks for the configuration.
+const maxPeersAsked = 3
 
-// following joins the follower to the host's frames, roster and readiness.
-type following struct {
+// configFollower connects the configuration's follower to the host's frames, roster and
+// readiness.
+type configFollower struct {
 	*publisher.Follower
 	settings loader.Host
 	log      *zap.Logger
 
 	sender sender
-	// calls says whether this host is to watch the store, as no other does so for it;
-	// nil is always.
-	calls func() bool
+	// shouldWatch returns whether this host must watch the store because no other host does
+	// so for it; nil means always.
+	shouldWatch func() bool
 
 	mu     sync.Mutex
 	roster registrar.Roster
 }
 
-// newFollowing returns the follower of a host; ready tells the balancer, and
-// enforce the control goroutine.
-func newFollowing(s loader.Host, store storer.Store, m sender, log *zap.Logger, ready func(bool), enforce func(*loader.Folder, uint64)) *following {
-	g := &following{settings: s, log: log, sender: m}
+// newConfigFollower returns the follower of a host; ready receives the host's readiness,
+// and enforce each configuration that comes in force.
+func newConfigFollower(s loader.Host, store storer.Store, m sender, log *zap.Logger, ready func(bool), enforce func(*loader.Folder, uint64)) *configFollower {
+	g := &configFollower{settings: s, log: log, sender: m}
 	timing := publisher.Timing{Confirm: s.Limits.Confirm.Std()}
 	if s.Dialect == loader.DialectPlatform {
-		timing.Poll, timing.Current = operatorPoll, true
+		timing.Poll, timing.Current = operatorPollInterval, true
 	}
-	g.Follower = publisher.NewFollower(store, timing, log, publisher.Actions{Enforce: enforce, Ask: g.ask, Ready: ready})
+	g.Follower = publisher.NewFollower(store, timing, log, publisher.Actions{Enforce: enforce, Ask: g.requestConfig, Ready: ready})
 	if s.Dialect == loader.DialectPlatform {
-		g.SetSource(operatorSource(func() bool { return g.calls == nil || g.calls() }))
+		g.SetSource(operatorSource(func() bool { return g.shouldWatch == nil || g.shouldWatch() }))
 	}
 	return g
 }
 
-// enroll takes a new roster: where a fresh host finds hosts to ask.
-func (g *following) enroll(r registrar.Roster) {
+// setRoster applies a new roster, whose hosts a new host asks for the configuration.
+func (g *configFollower) setRoster(r registrar.Roster) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.roster = r
 }
 
-func (g *following) send(address string, m messenger.Message) {
+func (g *configFollower) send(address string, m messenger.Message) {
 	if err := g.sender.Send(address, m); err != nil {
 		g.log.Warn("send configuration", zap.String("to", address), zap.Error(err))
 	}
 }
 
-// take looks at a frame before the control goroutine does, and says whether that
-// was all: configurations travel beside the control state, so that one of a
-// megabyte does not hold up grants.
-func (g *following) take(e messenger.Envelope, m messenger.Message) bool {
+// receive handles a frame before the control goroutine sees it, and returns whether that
+// was all. Configurations bypass the control state, so that one of a megabyte does not
+// delay grants.
+func (g *configFollower) receive(e messenger.Envelope, m messenger.Message) bool {
 	g.Confirmed(e.From, e.Generation, time.Now())
 	switch m := m.(type) {
 	case messenger.ConfigRequest:
-		g.answer(m)
+		g.sendConfig(m)
 	case messenger.ConfigReply:
 		g.Received(e.From, m.Packed)
 	default:
@@ -76,8 +78,9 @@
 	return true
 }
 
-// answer sends the configuration in force to a host that asked.
-func (g *following) answer(f messenger.ConfigRequest) {
+// sendConfig sends the configuration in force to a host that asked for it, or an empty
+// reply where that host has it.
+func (g *configFollower) sendConfig(f messenger.ConfigRequest) {
 	h := g.Head()
 	var c messenger.ConfigReply
 	if h.Generation > f.Have {
@@ -86,17 +89,17 @@
 	g.send(f.Reply, c)
 }
 
-// ask asks a peer, or a few for "", for a configuration newer than have.
-func (g *following) ask(peer string, have uint64) {
+// requestConfig asks a peer, or several hosts for "", for a configuration newer than have.
+func (g *configFollower) requestConfig(peer string, have uint64) {
 	m := messenger.ConfigRequest{Have: have, Reply: g.settings.Control}
-	for _, address := range g.addresses(peer) {
+	for _, address := range g.peerAddresses(peer) {
 		g.send(address, m)
 	}
 }
 
-// addresses is where a peer listens; for "", or for one that left the roster,
-// some of the roster's hosts and of the peers in the settings.
-func (g *following) addresses(peer string) []string {
+// peerAddresses returns the address of a peer; for "", or for a peer that left the roster,
+// those of some hosts of the roster and of peers in the settings.
+func (g *configFollower) peerAddresses(peer string) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if h, ok := g.roster.Find(peer); ok {
@@ -104,10 +107,10 @@
 	}
 	var found []string
 	hosts := g.roster.Hosts()
-	for _, i := range rand.Perm(len(hosts)) { // the same few each time may know nothing either
-		if h := hosts[i]; h.Name != g.settings.Name && len(found) < peersAsked {
+	for _, i := range rand.Perm(len(hosts)) { // a fixed few might not have it either
+		if h := hosts[i]; h.Name != g.settings.Name && len(found) < maxPeersAsked {
 			found = append(found, h.Control)
 		}
 	}
-	return append(found, g.settings.Peers[:min(peersAsked, len(g.settings.Peers))]...)
+	return append(found, g.settings.Peers[:min(maxPeersAsked, len(g.settings.Peers))]...)
 }
--- a/runner/following_metrics.go
+++ b/runner/following_metrics.go
@@ -3,7 +3,7 @@
 import "github.com/prometheus/client_golang/prometheus"
 
 // register adds the follower's metrics to the host's.
-func (g *following) register(r *prometheus.Registry) {
+func (g *configFollower) register(r *prometheus.Registry) {
 	gauge := func(name, help string, value func() float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "cicadawood", Subsystem: "configuration", Name: name, Help: help}, value))
 	}
--- a/runner/holding.go
+++ b/runner/holding.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// maxHeld bounds the frames that wait for a configuration.
-	maxHeld = 1024
-	// holdFor is how long one waits at most; its sender has asked again by then.
-	holdFor = 2 * time.Second
+	// maxPendingFrames bounds the frames that wait for a configuration.
+	maxPendingFrames = 1024
+	// pendingTimeout is how long a frame waits at most; its sender has sent it again by
+	// then.
+	pendingTimeout = 2 * time.Second
 )
 
-// holding keeps the asks and claims that come for a cell which only a newer
-// configuration knows. A host that has just started, or that the change reaches
-// a moment after others, would drop them: their callers would see nothing until
-// the entry asks again. The zero value knows no cells.
-type holding struct {
+// pendingFrames queues asks and claims for a cell that only a newer configuration has. A
+// host that has just started, or that receives the change a moment after others, would
+// otherwise drop them, and their callers would wait until the entry host asks again. The
+// zero value knows no cells.
+type pendingFrames struct {
 	mu         sync.Mutex
-	generation uint64 // that the control state has
+	generation uint64 // in force at the control goroutine
 	cells      map[string]bool
-	held       []heldFrame
+	frames     []pendingFrame
 }
 
-type heldFrame struct {
-	frame frameArrived
-	at    time.Time
+type pendingFrame struct {
+	frame      frameReceived
+	receivedAt time.Time
 }
 
-// take says whether a frame has to wait; generation is the one that its sender
-// has in force.
-func (h *holding) take(now time.Time, f frameArrived, generation uint64) bool {
-	cell := cellOf(f.message)
+// add queues a frame that has to wait, and returns whether it does; generation is the one
+// in force at its sender.
+func (h *pendingFrames) add(now time.Time, f frameReceived, generation uint64) bool {
+	cell := requiredCell(f.message)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if cell == "" || generation <= h.generation || h.cells[cell] || len(h.held) >= maxHeld {
+	if cell == "" || generation <= h.generation || h.cells[cell] || len(h.frames) >= maxPendingFrames {
 		return false
 	}
-	h.held = append(h.held, heldFrame{frame: f, at: now})
+	h.frames = append(h.frames, pendingFrame{frame: f, receivedAt: now})
 	return true
 }
 
-// release takes a configuration that came in force and returns the frames that
-// waited for it, in order.
-func (h *holding) release(now time.Time, f *loader.Folder, generation uint64) []frameArrived {
+// release applies a configuration that came in force and returns the frames that waited for
+// it, in order. It drops those older than pendingTimeout.
+func (h *pendingFrames) release(now time.Time, f *loader.Folder, generation uint64) []frameReceived {
 	cells := map[string]bool{}
 	for name, s := range f.Services {
 		for _, c := range dispatcher.SplitCells(name, s) {
@@ -57,18 +58,18 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.generation, h.cells = generation, cells
-	var due []frameArrived
-	for _, k := range h.held {
-		if now.Sub(k.at) < holdFor {
+	var due []frameReceived
+	for _, k := range h.frames {
+		if now.Sub(k.receivedAt) < pendingTimeout {
 			due = append(due, k.frame)
 		}
 	}
-	h.held = nil
+	h.frames = nil
 	return due
 }
 
-// cellOf is the cell that a frame needs to be known; "" where it needs none.
-func cellOf(m messenger.Message) string {
+// requiredCell returns the cell that must be known to handle a message; "" for none.
+func requiredCell(m messenger.Message) string {
 	switch m := m.(type) {
 	case messenger.Ask:
 		return m.Cell
--- a/runner/host.go
+++ b/runner/host.go
@@ -22,27 +22,27 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// ackDelay is how long a frame of another host waits for its acknowledgement, so that
-// one takes all that came meanwhile: a fifth of the silence after which a connection
-// is replaced.
+// ackDelay is how long the acknowledgement of a frame from another host is delayed, so that
+// one acknowledgement covers all frames received in the meantime: a fifth of the silence
+// after which a connection is replaced.
 const ackDelay = 100 * time.Millisecond
 
 // Host is one running host.
 type Host struct {
-	settings  loader.Host
-	log       *zap.Logger
-	control   *control
-	following *following
-	holding   holding
-	registrar *registrar.Registrar
-	messenger *messenger.Messenger
-	server    *server.Server
-	observing *observing
-	registry  *prometheus.Registry
-	routing   *routing // nil where the host speaks the product's own dialect
-	era       era
-	leaving   chan struct{}
-	once      sync.Once
+	settings       loader.Host
+	log            *zap.Logger
+	control        *control
+	follower       *configFollower
+	pending        pendingFrames
+	registrar      *registrar.Registrar
+	messenger      *messenger.Messenger
+	server         *server.Server
+	observing      *observing
+	registry       *prometheus.Registry
+	routes         *hostRoutes // nil where the host speaks the product's own dialect
+	era            eraTracker
+	drainRequested chan struct{}
+	drainOnce      sync.Once
 }
 
 // Run runs a host until ctx ends or it is drained, then shuts it down
@@ -51,55 +51,56 @@
 	return RunUntil(ctx, nil, settings, log)
 }
 
-// Signals is what a host is told while it runs. Nil fields tell nothing.
+// Signals are the external inputs of a running host. A nil field is not used.
 type Signals struct {
 	// Abort, when it is closed, ends a shutdown that takes too long: what is still in
 	// are aborted, and the error reports their number.
 	Abort <-chan struct{}
-	// Reload brings new settings. Those that can change while a host runs are the
-	// bound on repeats and the memory.
+	// Reload delivers new settings. Only the retry budget and the memory limit can change
+	// while a host runs.
 	Reload <-chan loader.Host
 	// DroppedLines is the lines of the log that were not written.
 	DroppedLines func() uint64
 }
 
-// RunUntil is Run with a way to end a shutdown that takes too long: closing
-// hurry cuts what is still in flight, and the error says how much that was.
-func RunUntil(ctx context.Context, hurry <-chan struct{}, settings loader.Host, log *zap.Logger) error {
-	return RunWith(ctx, Signals{Abort: hurry}, settings, log)
+// RunUntil is Run with a way to end a shutdown that takes too long: closing abort aborts
+// the requests still in flight, and the error reports their number.
+func RunUntil(ctx context.Context, abort <-chan struct{}, settings loader.Host, log *zap.Logger) error {
+	return RunWith(ctx, Signals{Abort: abort}, settings, log)
 }
 
-// RunWith is Run with all that a host is told while it runs.
+// RunWith is Run with all signals.
 func RunWith(ctx context.Context, signals Signals, settings loader.Host, log *zap.Logger) error {
-	callers, err := net.Listen("tcp", settings.Listen)
+	callerListener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	defer callers.Close()
-	operators, err := net.Listen("tcp", settings.Admin)
+	defer callerListener.Close()
+	adminListener, err := net.Listen("tcp", settings.Admin)
 	if err != nil {
 		return fmt.Errorf("listen for operators: %w", err)
 	}
-	defer operators.Close()
+	defer adminListener.Close()
 	store, closeStore := platform.NewStore(settings.Platform)
 	defer closeStore()
 	forward, closeForward := forwarder.New(settings.Limits.Silence.Std())
 	defer closeForward()
-	h := &Host{settings: settings, log: log, leaving: make(chan struct{})}
+	h := &Host{settings: settings, log: log, drainRequested: make(chan struct{})}
 	h.era.log = log
-	store.OnEra(func(n uint64) { h.era.reach(n, "store") })
+	store.OnEra(func(n uint64) { h.era.advance(n, "store") })
 	closeMessenger, err := h.compose(store, forward)
 	if err != nil {
 		return fmt.Errorf("start host: %w", err)
 	}
 	defer closeMessenger()
 	if signals.DroppedLines != nil {
-		registerDropped(h.registry, signals.DroppedLines)
+		registerDroppedLines(h.registry, signals.DroppedLines)
 	}
-	return h.run(ctx, signals, callers, operators)
+	return h.run(ctx, signals, callerListener, adminListener)
 }
 
-// compose makes the host's parts and joins them; nothing runs yet but the messenger.
+// compose creates the host's parts and connects them. Only the messenger runs afterwards;
+// the function returned closes it.
 func (h *Host) compose(store storer.Store, forward *forwarder.Forwarder) (func(), error) {
 	s := h.settings
 	incarnation := uint64(time.Now().UnixNano())
@@ -107,7 +108,7 @@
 		s.Name = processName(s.Name)
 	}
 	registry := prometheus.NewRegistry()
-	store = metered(store, registry)
+	store = countStoreCalls(store, registry)
 	h.control = newControl(s.Name, incarnation, nil, h.log)
 	h.observing = newObserving(h.control, s.Platform, h.log)
 	forward.OnRefused(h.observing.refused)
@@ -126,103 +127,103 @@
 		return nil, err
 	}
 	h.messenger, h.control.sender = m, m
-	h.following = newFollowing(s, store, m, h.log, func(ready bool) { h.server.SetReady(ready) }, func(f *loader.Folder, g uint64) {
-		if h.routing != nil {
-			h.routing.choosing.post(folderChanged{folder: f, generation: g})
-			f = dispatched(f)
+	h.follower = newConfigFollower(s, store, m, h.log, func(ready bool) { h.server.SetReady(ready) }, func(f *loader.Folder, g uint64) {
+		if h.routes != nil {
+			h.routes.selector.post(configChanged{folder: f, generation: g})
+			f = dispatcherConfig(f)
 		}
-		h.control.post(folderChanged{folder: f, generation: g})
-		for _, waited := range h.holding.release(time.Now(), f, g) {
-			h.control.post(waited)
+		h.control.post(configChanged{folder: f, generation: g})
+		for _, frame := range h.pending.release(time.Now(), f, g) {
+			h.control.post(frame)
 		}
 	})
-	var turn func() bool
+	var shouldWatch func() bool
 	if s.Dialect == loader.DialectPlatform {
-		turn = func() bool { return h.routing.choosing.calls.Load() }
+		shouldWatch = func() bool { return h.routes.selector.calls.Load() }
 	}
 	h.registrar = registrar.New(registrar.Config{
 		Self: registrar.Record{
 			Name: s.Name, Zone: s.Zone, Region: s.Region, Control: s.Control, Admin: s.Admin, Incarnation: incarnation,
 			Weight: int(100 * s.Limits.Cores),
 		},
-		HeartbeatInterval: s.Limits.Beat.Std(), LeaseDuration: s.Limits.Lease.Std(), Store: store, Transport: m, Log: h.log, Peers: s.Peers, ShouldWatch: turn,
+		HeartbeatInterval: s.Limits.Beat.Std(), LeaseDuration: s.Limits.Lease.Std(), Store: store, Transport: m, Log: h.log, Peers: s.Peers, ShouldWatch: shouldWatch,
 		Notify: func(r registrar.Roster) {
-			h.following.enroll(r)
+			h.follower.setRoster(r)
 			h.control.post(rosterChanged{roster: r})
-			h.routing.enroll(r)
+			h.routes.setRoster(r)
 		},
 	})
-	h.server = server.New(s.Limits, h.following, h.control, forward, h.log, server.NewMetrics(registry))
+	h.server = server.New(s.Limits, h.follower, h.control, forward, h.log, server.NewMetrics(registry))
 	h.server.SetLimiter(limits{&h.control.limiting.gates})
-	h.control.keeping = newKeeping(h.control, store, forward, s.Limits.Once, newKeepingMetrics(registry), h.log)
-	h.control.keeping.era = h.era.now
+	h.control.once = newOnceManager(h.control, store, forward, s.Limits.Once, newOnceMetrics(registry), h.log)
+	h.control.once.era = h.era.current
 	h.server.SetOnce(h.control)
 	if s.Dialect != loader.DialectPlatform {
 		h.control.keepQuarantine(m, store, registry)
 		h.server.SetQuarantine(h.control.quarantine)
 	}
 	if s.Dialect == loader.DialectPlatform {
-		h.routing = newRouting(s, store, m, h.following, h.log, registry)
-		h.following.calls = h.routing.choosing.calls.Load
-		h.routing.choosing.reach = h.era.reach
-		h.server.SetRoutes(h.routing.router)
+		h.routes = newHostRoutes(s, store, m, h.follower, h.log, registry)
+		h.follower.shouldWatch = h.routes.selector.calls.Load
+		h.routes.selector.reach = h.era.advance
+		h.server.SetRoutes(h.routes.router)
 	}
-	h.era.onLost(func(n uint64) {
+	h.era.onRestored(func(n uint64) {
 		h.registrar.StoreRestored()
 		h.control.post(storeRestored{era: n})
-		if h.routing != nil {
-			h.routing.choosing.post(storeRestored{era: n})
+		if h.routes != nil {
+			h.routes.selector.post(storeRestored{era: n})
 		}
 	})
 	h.registerMetrics(registry)
 	h.era.register(registry)
-	h.following.register(registry)
+	h.follower.register(registry)
 	close(connected)
 	return closeMessenger, nil
 }
 
-// receive takes a frame of another host.
+// receive passes a frame of another host to the part that handles it.
 func (h *Host) receive(e messenger.Envelope, msg messenger.Message) {
-	if h.following.take(e, msg) || h.registrar.Receive(e.From, msg) || h.routing.hear(e.From, msg) {
+	if h.follower.receive(e, msg) || h.registrar.Receive(e.From, msg) || h.routes.receive(e.From, msg) {
 		return
 	}
-	f := frameArrived{from: e.From, message: msg}
-	if !h.holding.take(time.Now(), f, e.Generation) {
+	f := frameReceived{from: e.From, message: msg}
+	if !h.pending.add(time.Now(), f, e.Generation) {
 		h.control.post(f)
 	}
 }
 
 // run starts the host's goroutines, waits for the end, and stops them in order.
-func (h *Host) run(ctx context.Context, signals Signals, callers, operators net.Listener) error {
+func (h *Host) run(ctx context.Context, signals Signals, callerListener, adminListener net.Listener) error {
 	roles, stopRoles := context.WithCancel(context.Background())
 	defer stopRoles()
 	member, leaveRoster := context.WithCancel(context.Background())
 	defer leaveRoster()
 	var tasks, membership sync.WaitGroup
 	tasks.Go(func() { h.control.run(roles) })
-	tasks.Go(func() { h.following.Run(roles) })
+	tasks.Go(func() { h.follower.Run(roles) })
 	stopRouting, err := h.runRoutes(roles, &tasks)
 	if err != nil {
 		return err
 	}
 	membership.Go(func() { h.registrar.Run(member) })
 	admin := &http.Server{Handler: h.admin(h.registry), ReadHeaderTimeout: time.Second}
-	tasks.Go(func() { _ = admin.Serve(operators) })
+	tasks.Go(func() { _ = admin.Serve(adminListener) })
 	failed := make(chan error, 1)
-	tasks.Go(func() { failed <- h.server.Serve(callers) })
+	tasks.Go(func() { failed <- h.server.Serve(callerListener) })
 	h.log.Info("serving", zap.String("zone", h.settings.Zone), zap.String("listen", h.settings.Listen), zap.String("platform", h.settings.Platform),
 		zap.String("dialect", h.settings.Dialect), zap.Int("memory", h.settings.Limits.Memory), zap.Int("calls", h.settings.Limits.Calls),
 		zap.Duration("settle", h.settings.Limits.Settle.Std()), zap.Duration("drain", h.settings.Limits.Drain.Std()))
-	tasks.Go(func() { h.follow(roles, signals.Reload) })
+	tasks.Go(func() { h.applyReloads(roles, signals.Reload) })
 	select {
 	case <-ctx.Done():
-	case <-h.leaving:
+	case <-h.drainRequested:
 	case err = <-failed:
 	}
 	if err == nil {
 		err = h.shutdown(signals.Abort)
 	}
-	h.State() // the control goroutine has now sent what the last requests gave back
+	h.State() // waits until the control goroutine has sent the releases of the last requests
 	leaveRoster()
 	membership.Wait()
 	h.flush()
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -15,164 +15,165 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// caller is the port to backend servers.
+// caller sends calls to backend servers.
 type caller interface {
 	Do(ctx context.Context, address string, c forwarder.Call) (*forwarder.Answer, error)
 }
 
-// keeping is a host's part in running calls at most once: the keepers of its
-// partitions, and its entry's calls. The control goroutine owns it.
-type keeping struct {
+// onceManager is a host's part in running calls at most once: the keepers of its partitions
+// and the calls of its entry. The control goroutine owns it.
+type onceManager struct {
 	control *control
 	store   storer.Store
 	forward caller
 	limits  loader.Once
-	metrics *keepingMetrics
+	metrics *onceMetrics
 	log     *zap.Logger
 
-	partitions int           // 0 until the Object API has told
-	layout     layout        // that told it
-	era        func() uint64 // the latest era of the store
-	keepers    map[int]*kept
-	owned      map[int]time.Time    // since when, by partition
-	opened     time.Time            // when partitions were last looked through
-	calls      map[string]*onceCall // of this host's entry, by request
-	places     uint64               // asked for so far
-	due        time.Time            // when the next tick is
+	partitions    int           // 0 until the layout has been read
+	layout        layout        // as read from the store
+	era           func() uint64 // returns the latest era of the store
+	keepers       map[int]*partitionKeeper
+	ownedSince    map[int]time.Time    // by partition
+	lastLoadCheck time.Time            // when partitions were last checked for logs to load
+	calls         map[string]*onceCall // of this host's entry, by request
+	placeRequests uint64               // number of places requested so far
+	nextTick      time.Time            // when the next tick is due
 }
 
-// kept is one partition's keeper with what its outputs need.
-type kept struct {
-	partition int
-	keeper    *keeper.Keeper
-	payloads  map[string]payload // by request
-	places    map[attempt]*placing
-	tried     map[keeper.ID][]string // workers that did not run the call
-	epoch     uint64
-	inputs    []keeper.Input // that came while an earlier one is handled
-	handling  bool
+// partitionKeeper is the keeper of one partition with the state that its outputs need.
+type partitionKeeper struct {
+	partition    int
+	keeper       *keeper.Keeper
+	payloads     map[string]payload // by request
+	acquisitions map[attempt]*acquisition
+	triedWorkers map[keeper.ID][]string // workers that did not run the call
+	epoch        uint64
+	inputs       []keeper.Input // queued while an earlier one is handled
+	handling     bool
 }
 
 // payload is a call that a keeper may have to send.
 type payload struct {
-	message messenger.Once
-	until   time.Time
+	message  messenger.Once
+	deadline time.Time
 }
 
-// attempt names one Acquire.
+// attempt identifies one Acquire.
 type attempt struct {
 	id     keeper.ID
 	number int
 }
 
-// placing is an Acquire from its start to its Release.
-type placing struct {
-	cancel  context.CancelFunc
-	place   *server.Place // nil while it waits
-	use     server.Usage
-	granted time.Time
+// acquisition is an Acquire from its start to its Release.
+type acquisition struct {
+	cancel    context.CancelFunc
+	place     *server.Place // nil while it waits
+	usage     server.Usage
+	grantedAt time.Time
 }
 
-func newKeeping(c *control, s storer.Store, f caller, l loader.Once, m *keepingMetrics, log *zap.Logger) *keeping {
-	return &keeping{
+func newOnceManager(c *control, s storer.Store, f caller, l loader.Once, m *onceMetrics, log *zap.Logger) *onceManager {
+	return &onceManager{
 		control: c, store: s, forward: f, limits: l, metrics: m, log: log,
-		keepers: map[int]*kept{}, owned: map[int]time.Time{}, calls: map[string]*onceCall{},
+		keepers: map[int]*partitionKeeper{}, ownedSince: map[int]time.Time{}, calls: map[string]*onceCall{},
 		era: func() uint64 { return 0 },
 	}
 }
 
-func (k *keeping) settings() keeper.Settings {
+func (k *onceManager) settings() keeper.Settings {
 	return keeper.Settings{
 		WritesPerSecond: k.limits.Writes, MaxOperations: k.limits.Operations, MaxRecords: k.limits.Records,
 		AnswerCacheBytes: k.limits.Answers, MaxAnswerBytes: k.limits.Answer, Retention: k.limits.Retention.Std(), LayoutEra: k.layout.Era,
 	}
 }
 
-// role is the name by which the roster gives a partition to a host.
-func role(partition int) string { return fmt.Sprintf("once/%d", partition) }
+// partitionRole is the role under which the roster assigns a partition to a host.
+func partitionRole(partition int) string { return fmt.Sprintf("once/%d", partition) }
 
-// take takes an event about calls that must not be repeated.
-func (k *keeping) take(now time.Time, e event) {
-	k.soon(now)
+// handleEvent handles an event about at-most-once calls.
+func (k *onceManager) handleEvent(now time.Time, e event) {
+	k.tickSoon(now)
 	switch e := e.(type) {
-	case onceAsked:
-		k.begin(now, e)
-	case keptInput:
-		k.handle(now, e.kept, e.input)
-	case placeFound:
-		k.found(now, e)
-	case callEnded:
-		k.ended(now, e)
-	case layoutKnown:
+	case onceRequested:
+		k.startCall(now, e)
+	case keeperInput:
+		k.handle(now, e.keeper, e.input)
+	case placeAcquired:
+		k.handlePlace(now, e)
+	case callFinished:
+		k.handleFinished(now, e)
+	case layoutRead:
 		k.partitions, k.layout = e.layout.Partitions, e.layout
-		k.own(now, k.control.roster)
+		k.updateOwned(now, k.control.roster)
 	case storeRestored:
-		k.restored(now, e.era)
-	case busyAsked:
-		e.reply <- k.busy()
+		k.handleRestore(now, e.era)
+	case inFlightRequested:
+		e.reply <- k.inFlight()
 	}
 }
 
-// deliver takes a message about a call that must not be repeated.
-func (k *keeping) deliver(now time.Time, from string, m messenger.Message) {
+// handleMessage handles a message about an at-most-once call.
+func (k *onceManager) handleMessage(now time.Time, from string, m messenger.Message) {
 	if k == nil {
 		return
 	}
-	k.soon(now)
+	k.tickSoon(now)
 	switch m := m.(type) {
 	case messenger.Once:
-		k.asked(now, from, m)
+		k.receiveCall(now, from, m)
 	case messenger.OnceReadyReply:
 		if p := k.keepers[m.Partition]; p != nil && len(m.ID) == len(keeper.ID{}) {
 			k.handle(now, p, keeper.ReadyAnswered{ID: keeper.ID(m.ID), Request: m.Request, OK: m.OK})
 		}
 	case messenger.OnceReady:
-		k.ready(now, from, m)
+		k.confirmReady(now, from, m)
 	case messenger.OnceVerdict:
-		k.verdict(now, m)
+		k.handleVerdict(now, m)
 	}
 }
 
-// asked takes a call for a partition. A host that is not its owner says so: two
-// keepers that both serve would only seal each other out, again and again.
-func (k *keeping) asked(now time.Time, from string, m messenger.Once) {
-	if !k.keeps(m) || len(m.ID) != len(keeper.ID{}) || len(m.Hash) != len(keeper.ID{}) {
+// receiveCall accepts a call for a partition. A host that is not responsible for it replies
+// that the partition has moved: two keepers that both serve a partition would seal each
+// other out repeatedly.
+func (k *onceManager) receiveCall(now time.Time, from string, m messenger.Once) {
+	if !k.accepts(m) || len(m.ID) != len(keeper.ID{}) || len(m.Hash) != len(keeper.ID{}) {
 		k.control.send(now, from, messenger.OnceVerdict{Request: m.Request, Kind: uint8(keeper.KindMoved), Reason: keeper.ReasonMoved})
 		return
 	}
 	p := k.keeperOf(m.Partition)
 	deadline := now.Add(m.Ask.Deadline)
-	p.payloads[m.Request] = payload{message: m, until: deadline}
+	p.payloads[m.Request] = payload{message: m, deadline: deadline}
 	k.handle(now, p, keeper.CallReceived{Call: keeper.Call{
 		ID: keeper.ID(m.ID), Hash: [16]byte(m.Hash), KeyTime: m.KeyTime, Request: m.Request, From: from, Deadline: deadline,
 	}})
 }
 
-func (k *keeping) keeperOf(partition int) *kept {
+func (k *onceManager) keeperOf(partition int) *partitionKeeper {
 	p := k.keepers[partition]
 	if p == nil {
-		p = &kept{
+		p = &partitionKeeper{
 			partition: partition, keeper: keeper.New(k.control.self, k.control.epoch, k.settings()),
-			payloads: map[string]payload{}, places: map[attempt]*placing{}, tried: map[keeper.ID][]string{},
+			payloads: map[string]payload{}, acquisitions: map[attempt]*acquisition{}, triedWorkers: map[keeper.ID][]string{},
 		}
 		k.keepers[partition] = p
 	}
 	return p
 }
 
-// keeps says whether this host answers for a call: as the owner of its partition,
-// or because it has begun it.
-func (k *keeping) keeps(m messenger.Once) bool {
-	if owner, ok := k.control.roster.Owner(role(m.Partition)); ok && owner.Name == k.control.self {
+// accepts returns whether this host is responsible for a call: as the owner of its
+// partition, or because it has already started it.
+func (k *onceManager) accepts(m messenger.Once) bool {
+	if owner, ok := k.control.roster.Owner(partitionRole(m.Partition)); ok && owner.Name == k.control.self {
 		return true
 	}
 	p := k.keepers[m.Partition]
 	return p != nil && len(m.ID) == len(keeper.ID{}) && p.keeper.InFlight(keeper.ID(m.ID))
 }
 
-// handle gives a keeper an input and does what it wants done, in order: an input
-// that this causes at once, by a message to this host itself, waits its turn.
-func (k *keeping) handle(now time.Time, p *kept, in keeper.Input) {
+// handle passes an input to a keeper and performs its outputs in order. An input that these
+// cause immediately, by a message to this host itself, is queued.
+func (k *onceManager) handle(now time.Time, p *partitionKeeper, in keeper.Input) {
 	p.inputs = append(p.inputs, in)
 	if p.handling {
 		return
@@ -187,10 +188,12 @@
 	p.handling = false
 }
 
-// later brings an input from a traffic goroutine back to the control goroutine.
-func (k *keeping) later(p *kept, in keeper.Input) { k.control.post(keptInput{kept: p, input: in}) }
+// postInput passes an input from a traffic goroutine to the control goroutine.
+func (k *onceManager) postInput(p *partitionKeeper, in keeper.Input) {
+	k.control.post(keeperInput{keeper: p, input: in})
+}
 
-func (k *keeping) perform(now time.Time, p *kept, o keeper.Output) {
+func (k *onceManager) perform(now time.Time, p *partitionKeeper, o keeper.Output) {
 	switch o := o.(type) {
 	case keeper.Acquire:
 		k.acquire(now, p, o)
@@ -203,15 +206,15 @@
 	case keeper.Reply:
 		k.reply(now, p, o)
 	default:
-		k.metrics.count(o)
-		go k.call(p, o)
+		k.metrics.countCall(o)
+		go k.callStore(p, o)
 	}
 }
 
-func (k *keeping) reply(now time.Time, p *kept, o keeper.Reply) {
+func (k *onceManager) reply(now time.Time, p *partitionKeeper, o keeper.Reply) {
 	v := o.Verdict
 	delete(p.payloads, o.Request)
-	k.metrics.verdict(v.Kind)
+	k.metrics.countVerdict(v.Kind)
 	k.log.Info("once", zap.String("request", o.Request), zap.String("entry", o.To), zap.Int("partition", p.partition),
 		zap.String("verdict", v.Kind.String()), zap.String("reason", v.Reason), zap.Uint64("order", v.Order))
 	m := messenger.OnceVerdict{Request: o.Request, Kind: uint8(v.Kind), Reason: v.Reason, RetryAfter: v.RetryAfter, Order: v.Order}
@@ -221,15 +224,15 @@
 	k.control.send(now, o.To, m)
 }
 
-// tick lets time pass for keepers and for the entry's calls.
-func (k *keeping) tick(now time.Time) {
-	if k == nil || now.Before(k.due) {
+// tick advances keepers and the entry's calls.
+func (k *onceManager) tick(now time.Time) {
+	if k == nil || now.Before(k.nextTick) {
 		return
 	}
 	for _, p := range k.keepers {
 		k.handle(now, p, keeper.Ticked{})
-		for request, load := range p.payloads {
-			if now.After(load.until) {
+		for request, pl := range p.payloads {
+			if now.After(pl.deadline) {
 				delete(p.payloads, request)
 			}
 		}
@@ -238,25 +241,25 @@
 			p.epoch = s.Epoch
 		}
 	}
-	k.metrics.gauge(k.keepers)
+	k.metrics.setGauges(k.keepers)
 	for _, c := range k.calls {
-		k.watch(now, c)
+		k.checkCall(now, c)
 	}
-	k.open(now)
-	k.rearm(now)
+	k.loadLogs(now)
+	k.scheduleTick(now)
 }
 
-// busyAsked wants the operations in flight at this host's keepers.
-type busyAsked struct{ reply chan<- int }
+// inFlightRequested asks for the number of operations in flight at this host's keepers.
+type inFlightRequested struct{ reply chan<- int }
 
-func (busyAsked) event() {}
+func (inFlightRequested) event() {}
 
-// settleOnce waits until this host's keepers have no operation in flight, or
-// ctx ends: a planned stop cuts none off. It returns how many are left.
-func (c *control) settleOnce(ctx context.Context) int {
+// waitOnceIdle waits until this host's keepers have no operation in flight, so that a
+// planned stop aborts none, or until ctx ends. It returns how many are left.
+func (c *control) waitOnceIdle(ctx context.Context) int {
 	for {
 		reply := make(chan int, 1)
-		if !c.post(busyAsked{reply: reply}) {
+		if !c.post(inFlightRequested{reply: reply}) {
 			return 0
 		}
 		left := <-reply
@@ -265,13 +268,13 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tickEvery):
+		case <-time.After(onceTickInterval):
 		}
 	}
 }
 
-// busy is the operations in flight at this host's keepers.
-func (k *keeping) busy() int {
+// inFlight returns the number of operations in flight at this host's keepers.
+func (k *onceManager) inFlight() int {
 	n := 0
 	if k == nil {
 		return n
@@ -283,7 +286,7 @@
 	return n
 }
 
-func (k *keeping) state() map[int]keeper.Summary {
+func (k *onceManager) state() map[int]keeper.Summary {
 	out := map[int]keeper.Summary{}
 	if k == nil {
 		return out
--- a/runner/keeping_due.go
+++ b/runner/keeping_due.go
@@ -2,30 +2,29 @@
 
 import "time"
 
-// tickEvery is the time between ticks while calls that must not be repeated are
-// under way.
-const tickEvery = 20 * time.Millisecond
+// onceTickInterval is the time between ticks while at-most-once calls are in progress.
+const onceTickInterval = 20 * time.Millisecond
 
-// soon makes the next tick follow an event.
-func (k *keeping) soon(now time.Time) {
-	if k != nil && now.Add(tickEvery).Before(k.due) {
-		k.due = now.Add(tickEvery)
+// tickSoon schedules a tick within onceTickInterval, after an event.
+func (k *onceManager) tickSoon(now time.Time) {
+	if k != nil && now.Add(onceTickInterval).Before(k.nextTick) {
+		k.nextTick = now.Add(onceTickInterval)
 	}
 }
 
-// rearm sets the next tick after one: soon where a call is under way, a record is
-// not in the store, a refusal waits for the head or the store is down, else when
-// logs are next looked for. A keeper of which nobody wants anything has nothing
-// that hangs on a tick.
-func (k *keeping) rearm(now time.Time) {
-	k.due = now.Add(openEvery)
+// scheduleTick sets the time of the next tick after one: within onceTickInterval where a
+// call is in progress, a record is not in the store, a refusal waits for the head or the
+// store is down, otherwise when logs are next checked. An idle keeper has no work that
+// depends on ticks.
+func (k *onceManager) scheduleTick(now time.Time) {
+	k.nextTick = now.Add(loadCheckInterval)
 	if len(k.calls) > 0 {
-		k.soon(now)
+		k.tickSoon(now)
 	}
 	for _, p := range k.keepers {
 		s := p.keeper.Summary()
 		if len(p.payloads) > 0 || s.Operations > 0 || s.Pending > 0 || s.Unconfirmed > 0 || s.Down {
-			k.soon(now)
+			k.tickSoon(now)
 		}
 	}
 }
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	keeperSilence = time.Second            // before the owner is asked again
-	movedPause    = 50 * time.Millisecond  // before the next owner is asked
-	entryExtra    = 250 * time.Millisecond // past its deadline, for the keeper's word
+	keeperTimeout = time.Second            // before the keeper is asked again
+	movedDelay    = 50 * time.Millisecond  // before the next owner is asked
+	verdictGrace  = 250 * time.Millisecond // past the call's deadline, for the keeper's verdict
 )
 
-// onceCall is one call of this host's entry that must not be repeated.
+// onceCall is one at-most-once call of this host's entry.
 type onceCall struct {
-	message messenger.Once
-	waiter  keeper.Waiter
-	reply   chan<- messenger.OnceVerdict
-	asked   registrar.Record // host asked last
-	moved   bool             // it said that it does not keep the partition
-	again   time.Time        // when to ask next
-	ends    time.Time        // its deadline
+	message    messenger.Once
+	waiter     keeper.Waiter
+	reply      chan<- messenger.OnceVerdict
+	keeperHost registrar.Record // host that was last asked
+	moved      bool             // it replied that it does not keep the partition
+	nextSend   time.Time        // when to ask again
+	deadline   time.Time
 }
 
-// onceAsked starts a call.
-type onceAsked struct {
+// onceRequested starts a call.
+type onceRequested struct {
 	message messenger.Once
 	reply   chan<- messenger.OnceVerdict
 }
 
-func (onceAsked) event() {}
+func (onceRequested) event() {}
 
 var _ server.OnceRunner = (*control)(nil)
 
 // RunOnce implements server.OnceRunner.
 func (c *control) RunOnce(ctx context.Context, m messenger.Once) (messenger.OnceVerdict, error) {
 	reply := make(chan messenger.OnceVerdict, 1)
-	if !c.post(onceAsked{message: m, reply: reply}) {
+	if !c.post(onceRequested{message: m, reply: reply}) {
 		return messenger.OnceVerdict{}, server.ErrCallerGone
 	}
 	select {
@@ -53,83 +53,83 @@
 	}
 }
 
-func (k *keeping) begin(now time.Time, e onceAsked) {
+func (k *onceManager) startCall(now time.Time, e onceRequested) {
 	if k == nil || k.partitions == 0 {
-		// The key may have run before this host was started.
+		// The call with this key may have run before this host was started.
 		e.reply <- messenger.OnceVerdict{Kind: uint8(keeper.KindUnknown), Reason: keeper.ReasonStore, RetryAfter: time.Second}
 		return
 	}
-	c := &onceCall{message: e.message, reply: e.reply, ends: now.Add(e.message.Ask.Deadline)}
+	c := &onceCall{message: e.message, reply: e.reply, deadline: now.Add(e.message.Ask.Deadline)}
 	c.message.Partition = keeper.ID(e.message.ID).Partition(k.partitions)
 	k.calls[e.message.Request] = c
-	k.register(now, c)
+	k.sendToKeeper(now, c)
 }
 
-// register asks the keeper of the call's partition: the one asked before as long
-// as it is there, else the present owner. A host that is leaving ends what it has
-// begun, and only it knows the answer: to ask its successor would seal it out,
-// and the caller be told that its call may have run.
-func (k *keeping) register(now time.Time, c *onceCall) {
-	c.again = now.Add(keeperSilence)
-	if !k.still(c) {
-		owner, ok := k.control.roster.Owner(role(c.message.Partition))
+// sendToKeeper sends the call to the keeper of its partition: the one asked before while
+// its host is on the roster, otherwise the current owner. A leaving host finishes the calls
+// that it has started, and only it knows their answers: a call to its successor would seal
+// it out, and the caller would be told that its call may have run.
+func (k *onceManager) sendToKeeper(now time.Time, c *onceCall) {
+	c.nextSend = now.Add(keeperTimeout)
+	if !k.keeperHostAlive(c) {
+		owner, ok := k.control.roster.Owner(partitionRole(c.message.Partition))
 		if !ok {
 			return
 		}
-		c.asked, c.moved = owner, false
+		c.keeperHost, c.moved = owner, false
 	}
-	if !now.Before(c.ends) {
+	if !now.Before(c.deadline) {
 		return
 	}
 	m := c.message
-	m.Ask.Deadline = c.ends.Sub(now)
+	m.Ask.Deadline = c.deadline.Sub(now)
 	m.Ask.Waited += c.message.Ask.Deadline - m.Ask.Deadline
-	k.control.send(now, c.asked.Name, m)
+	k.control.send(now, c.keeperHost.Name, m)
 }
 
-// still says that the host asked last is there, and may have the call.
-func (k *keeping) still(c *onceCall) bool {
-	if c.asked.Name == "" || c.moved {
+// keeperHostAlive returns whether the host asked last is still on the roster and has not
+// declined the call.
+func (k *onceManager) keeperHostAlive(c *onceCall) bool {
+	if c.keeperHost.Name == "" || c.moved {
 		return false
 	}
-	h, ok := k.control.roster.Find(c.asked.Name)
-	return ok && h.Incarnation == c.asked.Incarnation
+	h, ok := k.control.roster.Find(c.keeperHost.Name)
+	return ok && h.Incarnation == c.keeperHost.Incarnation
 }
 
-// watch asks again where the keeper's word does not come, and gives up after
-// the deadline.
-func (k *keeping) watch(now time.Time, c *onceCall) {
+// checkCall asks again where the verdict is overdue, and gives up after the deadline.
+func (k *onceManager) checkCall(now time.Time, c *onceCall) {
 	switch {
-	case now.After(c.ends.Add(entryExtra)):
+	case now.After(c.deadline.Add(verdictGrace)):
 		v := c.waiter.Expired()
-		k.tell(c, messenger.OnceVerdict{Kind: uint8(v.Kind), Reason: v.Reason})
-	case now.After(c.again):
-		k.register(now, c)
+		k.finishCall(c, messenger.OnceVerdict{Kind: uint8(v.Kind), Reason: v.Reason})
+	case now.After(c.nextSend):
+		k.sendToKeeper(now, c)
 	}
 }
 
-func (k *keeping) tell(c *onceCall, v messenger.OnceVerdict) {
+func (k *onceManager) finishCall(c *onceCall, v messenger.OnceVerdict) {
 	delete(k.calls, c.message.Request)
 	c.reply <- v
 }
 
-// ready answers a keeper whether the entry still waits for a request.
-func (k *keeping) ready(now time.Time, from string, m messenger.OnceReady) {
+// confirmReady answers a keeper whether the entry still waits for a request.
+func (k *onceManager) confirmReady(now time.Time, from string, m messenger.OnceReady) {
 	c := k.calls[m.Request]
 	ok := c != nil && c.waiter.Confirm(keeper.Ready{Order: m.Order})
 	k.control.send(now, from, messenger.OnceReadyReply{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
 }
 
-func (k *keeping) verdict(now time.Time, m messenger.OnceVerdict) {
+func (k *onceManager) handleVerdict(now time.Time, m messenger.OnceVerdict) {
 	c := k.calls[m.Request]
 	if c == nil {
-		return // late, or twice
+		return // late or duplicate
 	}
-	v, last := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, RetryAfter: m.RetryAfter, Order: m.Order})
-	if !last {
-		c.again, c.moved = now.Add(movedPause), true
+	v, final := c.waiter.Resolve(keeper.Verdict{Kind: keeper.Kind(m.Kind), Reason: m.Reason, RetryAfter: m.RetryAfter, Order: m.Order})
+	if !final {
+		c.nextSend, c.moved = now.Add(movedDelay), true
 		return
 	}
 	m.Kind, m.Reason, m.RetryAfter = uint8(v.Kind), v.Reason, v.RetryAfter
-	k.tell(c, m)
+	k.finishCall(c, m)
 }
--- a/runner/keeping_metrics.go
+++ b/runner/keeping_metrics.go
@@ -6,9 +6,9 @@
 	"github.com/cicadawood/cicadawood/keeper"
 )
 
-// keepingMetrics is the keeper role's metrics. Their number does not grow with
+// onceMetrics are the metrics of the keeper role. Their number does not grow with
 // partitions, organisations or hosts.
-type keepingMetrics struct {
+type onceMetrics struct {
 	verdicts   *prometheus.CounterVec
 	calls      *prometheus.CounterVec
 	written    prometheus.Counter
@@ -18,11 +18,11 @@
 	down       prometheus.Gauge
 }
 
-func newKeepingMetrics(r prometheus.Registerer) *keepingMetrics {
+func newOnceMetrics(r prometheus.Registerer) *onceMetrics {
 	gauge := func(name, help string) prometheus.Gauge {
 		return prometheus.NewGauge(prometheus.GaugeOpts{Name: name, Help: help})
 	}
-	m := &keepingMetrics{
+	m := &onceMetrics{
 		verdicts:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cicadawood_once_verdicts_total", Help: "What keepers said of calls that must not be repeated."}, []string{"verdict"}),
 		calls:      prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cicadawood_once_store_calls_total", Help: "Calls of the Object API by keepers."}, []string{"call"}),
 		written:    prometheus.NewCounter(prometheus.CounterOpts{Name: "cicadawood_once_store_bytes_total", Help: "Bytes of heads written."}),
@@ -35,11 +35,11 @@
 	return m
 }
 
-func (m *keepingMetrics) verdict(k keeper.Kind) { m.verdicts.WithLabelValues(k.String()).Inc() }
+func (m *onceMetrics) countVerdict(k keeper.Kind) { m.verdicts.WithLabelValues(k.String()).Inc() }
 
-func (m *keepingMetrics) bytes(n int) { m.written.Add(float64(n)) }
+func (m *onceMetrics) countBytes(n int) { m.written.Add(float64(n)) }
 
-func (m *keepingMetrics) count(o keeper.Output) {
+func (m *onceMetrics) countCall(o keeper.Output) {
 	name := ""
 	switch o.(type) {
 	case keeper.WriteHead:
@@ -56,7 +56,7 @@
 	m.calls.WithLabelValues(name).Inc()
 }
 
-func (m *keepingMetrics) gauge(keepers map[int]*kept) {
+func (m *onceMetrics) setGauges(keepers map[int]*partitionKeeper) {
 	ready, operations, records, down := 0, 0, 0, 0
 	for _, p := range keepers {
 		s := p.keeper.Summary()
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -18,45 +18,45 @@
 	"github.com/cicadawood/cicadawood/server"
 )
 
-// answerExtra is how long past its deadline a call that was sent may go on: its
-// outcome is worth knowing for a repeated key.
-const answerExtra = 10 * time.Second
-
-// mostTried bounds the operations whose refusing workers are remembered: to
-// forget one costs a needless try.
-const mostTried = 1024
-
-// placeFound ends an Acquire with a place.
-type placeFound struct {
-	kept  *kept
-	at    attempt
-	place server.Place
+// outcomeGrace is how long past its deadline a call that was sent may run: its outcome is
+// still needed for a repeated key.
+const outcomeGrace = 10 * time.Second
+
+// maxTriedOperations bounds the operations whose refusing workers are remembered.
+// Forgetting one costs an unnecessary attempt.
+const maxTriedOperations = 1024
+
+// placeAcquired completes an Acquire with a place.
+type placeAcquired struct {
+	keeper  *partitionKeeper
+	attempt attempt
+	place   server.Place
 }
 
-// keptInput is an input for a keeper.
-type keptInput struct {
-	kept  *kept
-	input keeper.Input
+// keeperInput is an input for a keeper.
+type keeperInput struct {
+	keeper *partitionKeeper
+	input  keeper.Input
 }
 
-func (placeFound) event() {}
-func (keptInput) event()  {}
+func (placeAcquired) event() {}
+func (keeperInput) event()   {}
 
-// acquire gets a place through the dispatcher, as any request does.
-func (k *keeping) acquire(now time.Time, p *kept, o keeper.Acquire) {
+// acquire requests a place from the dispatcher, as for any other request.
+func (k *onceManager) acquire(now time.Time, p *partitionKeeper, o keeper.Acquire) {
 	m := p.payloads[o.Request].message
 	ask := m.Ask
-	k.places++
-	ask.Request = fmt.Sprintf("%s.%d", o.Request, k.places)
-	ask.Exclude = p.tried[o.ID]
-	ask.Deadline = max(p.payloads[o.Request].until.Sub(now), 0)
+	k.placeRequests++
+	ask.Request = fmt.Sprintf("%s.%d", o.Request, k.placeRequests)
+	ask.Exclude = p.triedWorkers[o.ID]
+	ask.Deadline = max(p.payloads[o.Request].deadline.Sub(now), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	at := attempt{o.ID, o.Attempt}
-	p.places[at] = &placing{cancel: cancel}
+	p.acquisitions[at] = &acquisition{cancel: cancel}
 	go func() {
 		place, err := k.control.Acquire(ctx, m.Service, ask)
 		if err == nil {
-			k.control.post(placeFound{kept: p, at: at, place: place})
+			k.control.post(placeAcquired{keeper: p, attempt: at, place: place})
 			return
 		}
 		u := keeper.Unplaced{ID: o.ID, Attempt: o.Attempt, Reason: keeper.ReasonCaller}
@@ -64,89 +64,89 @@
 		if errors.As(err, &r) {
 			u.Reason, u.RetryAfter = r.Reason, r.After
 		}
-		k.later(p, u)
+		k.postInput(p, u)
 	}()
 }
 
-func (k *keeping) found(now time.Time, e placeFound) {
-	x := e.kept.places[e.at]
-	if x == nil { // released meanwhile
-		k.control.done(now, placeDone{place: e.place})
+func (k *onceManager) handlePlace(now time.Time, e placeAcquired) {
+	x := e.keeper.acquisitions[e.attempt]
+	if x == nil { // released in the meantime
+		k.control.done(now, placeReleased{place: e.place})
 		return
 	}
-	x.place, x.granted = &e.place, now
-	k.handle(now, e.kept, keeper.Placed{ID: e.at.id, Attempt: e.at.number})
+	x.place, x.grantedAt = &e.place, now
+	k.handle(now, e.keeper, keeper.Placed{ID: e.attempt.id, Attempt: e.attempt.number})
 }
 
-func (k *keeping) release(now time.Time, p *kept, o keeper.Release) {
+func (k *onceManager) release(now time.Time, p *partitionKeeper, o keeper.Release) {
 	at := attempt{o.ID, o.Attempt}
-	x := p.places[at]
+	x := p.acquisitions[at]
 	if x == nil {
 		return
 	}
-	delete(p.places, at)
+	delete(p.acquisitions, at)
 	x.cancel()
 	if x.place != nil {
-		k.control.done(now, placeDone{place: *x.place, use: x.use})
+		k.control.done(now, placeReleased{place: *x.place, usage: x.usage})
 	}
 }
 
-// send sends a call to its place. The keeper has recorded its intent.
-func (k *keeping) send(now time.Time, p *kept, o keeper.Send) {
-	x := p.places[attempt{o.ID, o.Attempt}]
-	load, ok := p.payloads[o.Request]
+// send sends a call to its worker. The keeper has recorded its intent.
+func (k *onceManager) send(now time.Time, p *partitionKeeper, o keeper.Send) {
+	x := p.acquisitions[attempt{o.ID, o.Attempt}]
+	pl, ok := p.payloads[o.Request]
 	if x == nil || x.place == nil || !ok {
-		// Its deadline is over on this very tick: it was not sent.
-		go k.later(p, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallNotRun})
+		// The deadline passed in this same tick: the call was not sent.
+		go k.postInput(p, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallNotRun})
 		return
 	}
-	m := load.message
+	m := pl.message
 	c := forwarder.Call{Method: m.Method, Path: m.Path, Header: http.Header(m.Header), Body: m.Body, RequestID: o.Request, Fence: x.place.Fence, Tier: m.Tier}
-	place, limit := *x.place, load.until.Sub(now)+answerExtra
+	place, limit := *x.place, pl.deadline.Sub(now)+outcomeGrace
 	k.log.Info("send", zap.String("request", o.Request), zap.String("worker", place.Worker.Name), zap.Uint64("fence", place.Fence), zap.Stringer("id", o.ID))
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
-		fate, answer, err := k.exchange(ctx, place.Worker.Address, c)
-		k.control.post(callEnded{kept: p, message: m, ended: errors.Is(err, forwarder.ErrClosedByPeer), answered: keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: fate, Answer: answer}})
+		result, answer, err := k.callWorker(ctx, place.Worker.Address, c)
+		k.control.post(callFinished{keeper: p, message: m, closedByPeer: errors.Is(err, forwarder.ErrClosedByPeer), answered: keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: result, Answer: answer}})
 	}()
 }
 
-// callEnded is the end of a call to a backend server.
-type callEnded struct {
-	kept     *kept
-	message  messenger.Once
-	ended    bool // the worker's end of the connection closed under it
-	answered keeper.Answered
+// callFinished is the end of a call to a backend server.
+type callFinished struct {
+	keeper       *partitionKeeper
+	message      messenger.Once
+	closedByPeer bool // the worker closed the connection during the call
+	answered     keeper.Answered
 }
 
-func (callEnded) event() {}
+func (callFinished) event() {}
 
-func (k *keeping) ended(now time.Time, e callEnded) {
+func (k *onceManager) handleFinished(now time.Time, e callFinished) {
 	a := e.answered
-	if x := e.kept.places[attempt{a.ID, a.Attempt}]; x != nil && x.place != nil {
-		x.use = server.Usage{
-			Failed: a.Result != keeper.CallRan, FirstByte: now.Sub(x.granted), ClosedByPeer: e.ended, Took: now.Sub(x.granted),
+	if x := e.keeper.acquisitions[attempt{a.ID, a.Attempt}]; x != nil && x.place != nil {
+		x.usage = server.Usage{
+			Failed: a.Result != keeper.CallRan, FirstByte: now.Sub(x.grantedAt), ClosedByPeer: e.closedByPeer, Took: now.Sub(x.grantedAt),
 			Fingerprint: server.Fingerprint(e.message.Ask.Organisation, e.message.Service, e.message.Method, e.message.Path, e.message.Body),
 		}
 		if a.Answer != nil {
-			x.use.Tokens = len(a.Answer.Body) / 4
+			x.usage.Tokens = len(a.Answer.Body) / 4
 		}
 		if a.Result == keeper.CallNotRun {
-			if len(e.kept.tried) >= mostTried {
-				clear(e.kept.tried)
+			if len(e.keeper.triedWorkers) >= maxTriedOperations {
+				clear(e.keeper.triedWorkers)
 			}
-			e.kept.tried[a.ID] = append(e.kept.tried[a.ID], x.place.Worker.Name)
+			e.keeper.triedWorkers[a.ID] = append(e.keeper.triedWorkers[a.ID], x.place.Worker.Name)
 		} else {
-			delete(e.kept.tried, a.ID)
+			delete(e.keeper.triedWorkers, a.ID)
 		}
 	}
-	k.handle(now, e.kept, a)
+	k.handle(now, e.keeper, a)
 }
 
-// exchange does one call and tells what is known of it. An answer whose end can't
-// be told from a cut is taken for a cut one.
-func (k *keeping) exchange(ctx context.Context, address string, c forwarder.Call) (keeper.CallResult, *keeper.Answer, error) {
+// callWorker sends one call and returns what is known of its outcome. An answer whose end
+// can't be told from a cut connection counts as cut.
+func (k *onceManager) callWorker(ctx context.Context, address string, c forwarder.Call) (keeper.CallResult, *keeper.Answer, error) {
 	answer, err := k.forward.Do(ctx, address, c)
 	switch {
 	case errors.Is(err, forwarder.ErrNotRun):
@@ -156,24 +156,24 @@
 	}
 	defer answer.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, k.limits.Whole+1))
-	if err != nil || !answer.Framed || !whole(answer.Header, body) {
+	if err != nil || !answer.Framed || !isComplete(answer.Header, body) {
 		return keeper.CallUnknown, nil, err
 	}
 	if int64(len(body)) > k.limits.Whole {
-		return keeper.CallRan, tooLarge(k.limits.Whole), nil
+		return keeper.CallRan, answerTooLarge(k.limits.Whole), nil
 	}
 	return keeper.CallRan, &keeper.Answer{Status: answer.Status, Header: answer.Header, Body: body}, nil
 }
 
-// whole says whether an event stream came to its end mark; it has no length that
-// would tell.
-func whole(h http.Header, body []byte) bool {
+// isComplete returns false for an event stream without its end marker, which has no length
+// to check.
+func isComplete(h http.Header, body []byte) bool {
 	stream := strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 	return !stream || bytes.HasSuffix(bytes.TrimSpace(body), []byte("data: [DONE]"))
 }
 
-// tooLarge stands for an answer that does not fit a frame: the call ran.
-func tooLarge(limit int64) *keeper.Answer {
+// answerTooLarge replaces an answer that does not fit into a frame. The call ran.
+func answerTooLarge(limit int64) *keeper.Answer {
 	body := fmt.Sprintf(`{"error":{"message":"the call ran; its answer is over %d bytes: ask the service","type":"server_error","code":"answer_too_large","run":"yes"}}`, limit)
 	h := http.Header{"Content-Type": {"application/json"}, server.HeaderRun: {string(server.RunYes)}}
 	return &keeper.Answer{Status: http.StatusBadGateway, Header: h, Body: []byte(body)}
--- a/runner/keeping_store.go
+++ b/runner/keeping_store.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	layoutKey  = keeper.Prefix + "layout"
-	layoutWait = 500 * time.Millisecond // between tries to read the layout
-	// relayoutSpread is the time in which hosts write the layout again, one after the other.
-	relayoutSpread = 2 * time.Second
+	layoutKey           = keeper.Prefix + "layout"
+	layoutRetryInterval = 500 * time.Millisecond // between attempts to read the layout
+	// layoutRewriteSpread is the time over which hosts spread their rewrites of the layout.
+	layoutRewriteSpread = 2 * time.Second
 )
 
-// layoutKnown tells how keys fall into partitions.
-type layoutKnown struct{ layout layout }
+// layoutRead reports how keys are divided into partitions.
+type layoutRead struct{ layout layout }
 
-func (layoutKnown) event() {}
+func (layoutRead) event() {}
 
-// result turns an error of the store into the keeper's words.
-func result(err error) keeper.Result {
+// resultOf converts an error of the store to the keeper's result.
+func resultOf(err error) keeper.Result {
 	switch {
 	case err == nil:
 		return keeper.Done
@@ -42,106 +42,107 @@
 	}
 }
 
-// call does one call of the store on a goroutine of its own.
-func (k *keeping) call(p *kept, o keeper.Output) {
+// callStore performs one call of the store. It runs on its own goroutine.
+func (k *onceManager) callStore(p *partitionKeeper, o keeper.Output) {
 	ctx := context.Background()
 	switch o := o.(type) {
 	case keeper.WriteHead:
-		k.later(p, k.writeHead(ctx, p, o))
+		k.postInput(p, k.writeHead(ctx, p, o))
 	case keeper.ReadHead:
-		k.later(p, k.readHead(ctx, p))
+		k.postInput(p, k.readHead(ctx, p))
 	case keeper.WriteSegment:
 		value, err := keeper.EncodeRecords(o.Records)
 		if err == nil {
 			_, err = k.store.Put(ctx, o.Segment.Key(p.partition), value, storer.Condition{})
 		}
-		k.warn("write segment", p, err)
-		k.later(p, keeper.SegmentWritten{Segment: o.Segment, Result: result(err)})
+		k.logWarning("write segment", p, err)
+		k.postInput(p, keeper.SegmentWritten{Segment: o.Segment, Result: resultOf(err)})
 	case keeper.ReadSegment:
-		k.later(p, k.readSegment(ctx, p, o.Segment))
+		k.postInput(p, k.readSegment(ctx, p, o.Segment))
 	case keeper.DropSegment:
-		k.warn("drop segment", p, k.store.Delete(ctx, o.Segment.Key(p.partition), storer.Condition{}))
+		k.logWarning("drop segment", p, k.store.Delete(ctx, o.Segment.Key(p.partition), storer.Condition{}))
 	}
 }
 
-func (k *keeping) warn(what string, p *kept, err error) {
+func (k *onceManager) logWarning(what string, p *partitionKeeper, err error) {
 	if err != nil {
 		k.log.Warn(what, zap.Int("partition", p.partition), zap.Error(err))
 	}
 }
 
-func (k *keeping) writeHead(ctx context.Context, p *kept, o keeper.WriteHead) keeper.Input {
+func (k *onceManager) writeHead(ctx context.Context, p *partitionKeeper, o keeper.WriteHead) keeper.Input {
 	value, err := o.Head.Encode()
 	if err != nil {
-		k.warn("write head", p, err)
+		k.logWarning("write head", p, err)
 		return keeper.HeadWritten{Stamp: o.Head.Stamp, Result: keeper.Down}
 	}
-	k.metrics.bytes(len(value))
+	k.metrics.countBytes(len(value))
 	version, err := k.store.Put(ctx, keeper.HeadKey(p.partition), value, storer.Condition{Match: o.Match, Absent: o.Match == 0})
-	k.warn("write head", p, err)
-	return keeper.HeadWritten{Stamp: o.Head.Stamp, Version: version, Result: result(err)}
+	k.logWarning("write head", p, err)
+	return keeper.HeadWritten{Stamp: o.Head.Stamp, Version: version, Result: resultOf(err)}
 }
 
-func (k *keeping) readHead(ctx context.Context, p *kept) keeper.Input {
+func (k *onceManager) readHead(ctx context.Context, p *partitionKeeper) keeper.Input {
 	object, err := k.store.Get(ctx, keeper.HeadKey(p.partition))
 	if err != nil {
 		if !errors.Is(err, storer.ErrNotFound) {
-			k.warn("read head", p, err)
+			k.logWarning("read head", p, err)
 		}
-		return keeper.HeadRead{Era: k.era(), Result: result(err)}
+		return keeper.HeadRead{Era: k.era(), Result: resultOf(err)}
 	}
 	head, err := keeper.DecodeHead(object.Value)
 	if err != nil {
-		k.warn("read head", p, err)
+		k.logWarning("read head", p, err)
 		return keeper.HeadRead{Result: keeper.Down}
 	}
 	return keeper.HeadRead{Head: head, Version: object.Version, Result: keeper.Done}
 }
 
-func (k *keeping) readSegment(ctx context.Context, p *kept, s keeper.Segment) keeper.Input {
+func (k *onceManager) readSegment(ctx context.Context, p *partitionKeeper, s keeper.Segment) keeper.Input {
 	object, err := k.store.Get(ctx, s.Key(p.partition))
-	var entries []*keeper.Record
+	var records []*keeper.Record
 	if err == nil {
-		entries, err = keeper.DecodeRecords(object.Value)
+		records, err = keeper.DecodeRecords(object.Value)
 	}
 	if err != nil {
-		k.warn("read segment", p, err)
+		k.logWarning("read segment", p, err)
 		if errors.Is(err, storer.ErrNotFound) {
 			return keeper.SegmentRead{Segment: s, Result: keeper.Missing}
 		}
 		return keeper.SegmentRead{Segment: s, Result: keeper.Down}
 	}
-	return keeper.SegmentRead{Segment: s, Records: entries, Result: keeper.Done}
+	return keeper.SegmentRead{Segment: s, Records: records, Result: keeper.Done}
 }
 
-// layout is how keys fall into partitions. It is written once and never again:
-// under another count, a repeated key could meet a keeper that does not know it.
+// layout defines how keys are divided into partitions. It is written once and never
+// changed: with another number of partitions, a repeated key could reach a keeper that does
+// not know it.
 type layout struct {
 	Partitions int    `json:"partitions"`
-	Era        uint64 `json:"era,omitempty"` // of the store, when it was written first
+	Era        uint64 `json:"era,omitempty"` // of the store when the layout was first written
 }
 
-// runLayout reads the layout, or fixes it where there is none yet.
-func (k *keeping) runLayout(ctx context.Context) {
+// loadLayout reads the layout, or creates it where there is none yet.
+func (k *onceManager) loadLayout(ctx context.Context) {
 	for ctx.Err() == nil {
 		l, err := k.readLayout(ctx)
 		if err == nil {
-			k.control.post(layoutKnown{layout: l})
+			k.control.post(layoutRead{layout: l})
 			return
 		}
 		k.log.Warn("layout", zap.Error(err))
 		select {
 		case <-ctx.Done():
-		case <-time.After(layoutWait):
+		case <-time.After(layoutRetryInterval):
 		}
 	}
 }
 
-func (k *keeping) readLayout(ctx context.Context) (layout, error) {
+func (k *onceManager) readLayout(ctx context.Context) (layout, error) {
 	object, err := k.store.Get(ctx, layoutKey)
 	if errors.Is(err, storer.ErrNotFound) {
 		k.writeLayout(ctx, layout{Partitions: k.limits.Partitions, Era: k.era()})
-		// Whoever wrote it, and whether the reply came or not: read what is there.
+		// Read what is stored, whoever wrote it and whether or not the reply arrived.
 		object, err = k.store.Get(ctx, layoutKey)
 	}
 	if err != nil {
@@ -155,7 +156,7 @@
 }
 
 // writeLayout writes a layout where there is none.
-func (k *keeping) writeLayout(ctx context.Context, l layout) {
+func (k *onceManager) writeLayout(ctx context.Context, l layout) {
 	value, err := json.Marshal(l)
 	if err == nil {
 		_, err = k.store.Put(ctx, layoutKey, value, storer.Condition{Absent: true})
@@ -165,9 +166,9 @@
 	}
 }
 
-// relayout writes the layout again where a store that came back from an older copy has
-// lost it. Failure: under another one a repeated key meets a keeper that does not know it.
-func (k *keeping) relayout(ctx context.Context, l layout) {
-	pause(ctx, rand.N(relayoutSpread))
+// rewriteLayout writes the layout again where a store restored from an older snapshot has
+// lost it. Under another layout, a repeated key would reach a keeper that does not know it.
+func (k *onceManager) rewriteLayout(ctx context.Context, l layout) {
+	pause(ctx, rand.N(layoutRewriteSpread))
 	k.writeLayout(ctx, l)
 }
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -9,40 +9,40 @@
 	"go.uber.org/zap"
 )
 
-// cutsLogged bounds the request ids in the line that says what was cut.
-const cutsLogged = 50
+// maxLoggedRequests bounds the request IDs in the log line about aborted requests.
+const maxLoggedRequests = 50
 
-// flushTimeout is how long the last messages to other hosts may take.
+// flushTimeout bounds the time for sending the last messages to other hosts.
 const flushTimeout = time.Second
 
 // ErrAborted says that a shutdown ended before the requests in flight had.
-var ErrAborted = errors.New("requests were cut")
+var ErrAborted = errors.New("requests were aborted")
 
-// Drain begins a graceful shutdown.
-func (h *Host) Drain() { h.once.Do(func() { close(h.leaving) }) }
+// Drain starts a graceful shutdown.
+func (h *Host) Drain() { h.drainOnce.Do(func() { close(h.drainRequested) }) }
 
-// shutdown ends the host without cutting a request: unready first, then time
-// for the balancer to notice, then the requests in flight. Meanwhile its record
-// says that it is leaving, so that its roles move to other hosts; they rebuild
-// the state from the entries. The drain limit, or hurry, ends it at once.
-func (h *Host) shutdown(hurry <-chan struct{}) error {
+// shutdown ends the host without aborting a request: it reports unready, gives the balancer
+// time to notice, and waits for the requests in flight. Meanwhile its record is marked as
+// leaving, so that its roles move to other hosts, which rebuild the state from the entry
+// hosts. The drain limit, or abort, ends it immediately.
+func (h *Host) shutdown(abort <-chan struct{}) error {
 	h.log.Info("leaving", zap.Int64("inflight", h.server.InFlight()))
 	h.server.Drain()
 	h.registrar.Leave()
 	limit := h.settings.Limits.Settle.Std() + h.settings.Limits.Drain.Std()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	defer h.hasten(hurry, cancel)()
-	settled := time.NewTimer(h.settings.Limits.Settle.Std())
-	defer settled.Stop()
+	defer h.cancelOn(abort, cancel)()
+	settleTimer := time.NewTimer(h.settings.Limits.Settle.Std())
+	defer settleTimer.Stop()
 	select {
-	case <-settled.C:
+	case <-settleTimer.C:
 	case <-ctx.Done():
 	}
 	if err := h.server.Shutdown(ctx); err != nil {
-		return h.cut(err)
+		return h.abort(err)
 	}
-	if left := h.control.settleOnce(ctx); left > 0 {
+	if left := h.control.waitOnceIdle(ctx); left > 0 {
 		h.log.Error("left", zap.Int("operations", left), zap.Int64("cut", 0))
 		return fmt.Errorf("%w: %d operations of other hosts", ErrAborted, left)
 	}
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// hasten cancels when hurry is closed; the result ends its goroutine.
-func (h *Host) hasten(hurry <-chan struct{}, cancel func()) func() {
+// cancelOn calls cancel when abort is closed. The function returned ends its goroutine.
+func (h *Host) cancelOn(abort <-chan struct{}, cancel func()) func() {
 	done := make(chan struct{})
 	go func() {
 		select {
-		case <-hurry:
+		case <-abort:
 			h.log.Warn("hurried")
 			cancel()
 		case <-done:
@@ -64,12 +64,12 @@
 	return func() { close(done) }
 }
 
-// cut ends the requests still in flight, and says which.
-func (h *Host) cut(err error) error {
+// abort aborts the requests still in flight and logs their IDs.
+func (h *Host) abort(err error) error {
 	count := h.server.InFlight()
 	var requests []string
 	for id := range h.State().Calls {
-		if len(requests) < cutsLogged {
+		if len(requests) < maxLoggedRequests {
 			requests = append(requests, id)
 		}
 	}
@@ -85,11 +85,11 @@
 	h.messenger.Flush(ctx)
 }
 
-// State is the host's whole state.
+// State returns the host's complete state.
 func (h *Host) State() State {
 	reply := make(chan State, 1)
 	s := State{Name: h.settings.Name, Roles: []string{}}
-	if h.control.post(stateAsked{reply: reply}) {
+	if h.control.post(stateRequested{reply: reply}) {
 		select {
 		case s = <-reply:
 		case <-h.control.ended:
@@ -97,9 +97,9 @@
 	}
 	s.Zone, s.Ready, s.Leaving, s.Inflight = h.settings.Zone, h.server.Ready(), h.server.Draining(), h.server.InFlight()
 	s.Membership, s.Messenger = h.registrar.Counts(), h.messenger.Counts()
-	s.Configuration = h.following.Status()
-	if h.routing != nil {
-		b := h.routing.choosing.beliefs()
+	s.Configuration = h.follower.Status()
+	if h.routes != nil {
+		b := h.routes.selector.routingState()
 		s.Routing = &b
 	}
 	return s
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -8,8 +8,8 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// metered counts the calls of the platform's store.
-func metered(s storer.Store, r prometheus.Registerer) storer.Store {
+// countStoreCalls wraps the platform's store to count its calls.
+func countStoreCalls(s storer.Store, r prometheus.Registerer) storer.Store {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "cicadawood_store_calls_total", Help: "Calls of the platform's store that ended, by call, kind of object and result.",
 	}, []string{"call", "kind", "result"})
--- a/runner/naming.go
+++ b/runner/naming.go
@@ -9,18 +9,19 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// limitNamed is how many requests a second a worker named as it answered a request.
-type limitNamed struct {
-	worker string
-	rate   float64 // 0 is any number
-	known  float64 // as the request was placed
+// limitReported is a rate limit, in requests a second, that a worker reported with an
+// answer.
+type limitReported struct {
+	worker   string
+	rate     float64 // 0 for unlimited
+	previous float64 // limit known when the request was placed
 }
 
-// name takes a worker's limit, and has the others told where it is new: it is for all hosts
-// together.
-func (p *choosing) name(now time.Time, e limitNamed) {
+// updateLimit applies a worker's limit and forwards a new one to the other hosts: it
+// applies to all hosts together.
+func (p *choosing) updateLimit(now time.Time, e limitReported) {
 	was := p.view.RateLimit(e.worker)
-	if !p.view.UpdateLimit(now, e.worker, e.rate, e.known) {
+	if !p.view.UpdateLimit(now, e.worker, e.rate, e.previous) {
 		return
 	}
 	rate := p.view.RateLimit(e.worker)
@@ -31,8 +32,8 @@
 	p.tellWithin(now, p.within(sentWithin, sentByDeciders))
 }
 
-// hearLimits takes what workers named to other hosts.
-func (p *choosing) hearLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
+// receiveLimits applies the limits that workers reported to another host.
+func (p *choosing) receiveLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
 	for _, l := range limits {
 		if was := p.view.RateLimit(l.Worker); was != l.Rate {
 			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", was), zap.Float64("rate", l.Rate), zap.String("by", from))
@@ -41,8 +42,8 @@
 	}
 }
 
-// limitsOf is all limits that this host knows of.
-func limitsOf(list []placer.WorkerLimit) []messenger.WorkerLimit {
+// limitMessages converts limits to their messages.
+func limitMessages(list []placer.WorkerLimit) []messenger.WorkerLimit {
 	var out []messenger.WorkerLimit
 	for _, n := range list {
 		out = append(out, messenger.WorkerLimit{Worker: n.Worker, Rate: n.Rate})
@@ -50,4 +51,4 @@
 	return out
 }
 
-func (limitNamed) event() {}
+func (limitReported) event() {}
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -59,7 +59,7 @@
 
 func newObserving(c *control, platform string, log *zap.Logger) *observing {
 	o := &observing{control: c, platform: platform, log: log}
-	c.away = &o.away
+	c.unavailable = &o.away
 	return o
 }
 
@@ -149,7 +149,7 @@
 		forgotten = c.observer.Sweep(now)
 	}
 	if changed := c.observed(now); c.folder != nil && (changed || forgotten) {
-		c.configure(now, folderChanged{folder: c.folder, generation: c.generation})
+		c.configure(now, configChanged{folder: c.folder, generation: c.generation})
 	}
 }
 
@@ -167,11 +167,11 @@
 		if !s.Available {
 			away++
 		}
-		if before, known := c.present[workerName{s.Service, s.Name}]; !known || before != s.Available {
+		if before, known := c.available[workerName{s.Service, s.Name}]; !known || before != s.Available {
 			fresh = append(fresh, s)
 		}
 	}
-	c.away.Store(away)
+	c.unavailable.Store(away)
 	observer.Sort(fresh)
 	for _, s := range fresh {
 		c.note(s)
@@ -182,8 +182,8 @@
 // note takes a worker's new state.
 func (c *control) note(s observer.State) {
 	n := workerName{s.Service, s.Name}
-	_, known := c.present[n]
-	c.present[n] = s.Available
+	_, known := c.available[n]
+	c.available[n] = s.Available
 	if known || !s.Available {
 		c.log.Info("worker", zap.String("service", s.Service), zap.String("worker", s.Name), zap.Bool("present", s.Available), zap.String("why", s.Reason))
 	}
@@ -192,14 +192,14 @@
 // forget drops the workers that are not among the count known now, and says
 // whether there were any.
 func (c *control) forget(now time.Time, count int) bool {
-	if len(c.present) == count {
+	if len(c.available) == count {
 		return false
 	}
 	seen := map[workerName]bool{}
 	for s := range c.observer.All(now) {
 		seen[workerName{s.Service, s.Name}] = true
 	}
-	maps.DeleteFunc(c.present, func(n workerName, _ bool) bool { return !seen[n] })
+	maps.DeleteFunc(c.available, func(n workerName, _ bool) bool { return !seen[n] })
 	return true
 }
 
--- a/runner/rejoining.go
+++ b/runner/rejoining.go
@@ -7,11 +7,11 @@
 	"github.com/cicadawood/cicadawood/registrar"
 )
 
-// rejoin finds out that this host was declared dead and is back. Failure: it was
-// frozen; the others took back what its calls held. Its cells went with the
-// roster that it was not on; its calls are registered anew here, also where the
-// owner is the same as before. Its keepers' logs may have been sealed.
-func (c *control) rejoin(now time.Time, r registrar.Roster) {
+// detectRejoin handles that this host was declared dead and has rejoined, as it was frozen.
+// The others have reclaimed the places of its calls. Its cells went with the roster that it
+// was not on; its calls are registered again here, also where the owner is unchanged. Its
+// keepers' logs may have been sealed.
+func (c *control) detectRejoin(now time.Time, r registrar.Roster) {
 	self, ok := r.Find(c.self)
 	if !ok || self.Incarnation == c.incarnation {
 		return
@@ -24,11 +24,11 @@
 	for _, k := range c.calls {
 		k.owner = ""
 	}
-	c.keeping.rejoined(now)
+	c.once.handleRejoin(now)
 }
 
-// rejoined has every keeper forget its log before it says another word.
-func (k *keeping) rejoined(now time.Time) {
+// handleRejoin has every keeper discard its log before it sends anything else.
+func (k *onceManager) handleRejoin(now time.Time) {
 	if k == nil {
 		return
 	}
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -20,94 +20,94 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// routing is the parts of a host that answer host routes.
-type routing struct {
-	choosing *choosing
+// hostRoutes are the parts of a host that serve host routes.
+type hostRoutes struct {
+	selector *choosing
 	listing  *listing
 	router   *router.Router
 	pool     *connector.Pool
 	close    func()
 }
 
-func newRouting(s loader.Host, store storer.Store, m sender, f *following, log *zap.Logger, registry prometheus.Registerer) *routing {
-	g := &routing{choosing: newChoosing(s.Name, s.Zone, m, store, s.Repeat, log)}
-	g.choosing.quarantine.register(registry)
+func newHostRoutes(s loader.Host, store storer.Store, m sender, f *configFollower, log *zap.Logger, registry prometheus.Registerer) *hostRoutes {
+	g := &hostRoutes{selector: newChoosing(s.Name, s.Zone, m, store, s.Repeat, log)}
+	g.selector.quarantine.register(registry)
 	g.pool, g.close = connector.New()
-	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.choosing.post(e) }, next: g.choosing.next}
+	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.selector.post(e) }, next: g.selector.next}
 	g.router = router.New(router.Config{
-		Dialect: platform.Wire{}, Configuration: f, Placer: g.choosing, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
+		Dialect: platform.Wire{}, Configuration: f, Placer: g.selector, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
 		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
 	})
 	return g
 }
 
-// hear takes a frame of another host, and says whether it was for the routing.
-func (g *routing) hear(from string, m messenger.Message) bool {
+// receive handles a frame of another host, and returns whether it was for host routes.
+func (g *hostRoutes) receive(from string, m messenger.Message) bool {
 	if g == nil {
 		return false
 	}
 	switch m := m.(type) {
 	case messenger.FlightUpdate:
-		g.choosing.post(sharedHeard{from: from, shared: m})
+		g.selector.post(sharedHeard{from: from, shared: m})
 	case messenger.PlacementRequest:
-		g.choosing.post(seekHeard{from: from, seek: m})
+		g.selector.post(seekHeard{from: from, seek: m})
 	case messenger.PlacementReply:
-		g.choosing.post(soughtHeard{from: from, sought: m})
+		g.selector.post(soughtHeard{from: from, sought: m})
 	case messenger.Quarantine:
-		g.choosing.post(quarantineHeard{from: from, held: heldOf(m)})
+		g.selector.post(quarantineHeard{from: from, held: heldOf(m)})
 	case messenger.ListUpdate:
-		g.choosing.post(wordHeard{from: from, word: m})
+		g.selector.post(wordHeard{from: from, word: m})
 	case messenger.ListSnapshot:
-		g.choosing.post(entriesHeard{from: from, entries: m})
+		g.selector.post(entriesHeard{from: from, entries: m})
 	default:
 		return false
 	}
 	return true
 }
 
-// enroll takes a new roster.
-func (g *routing) enroll(r registrar.Roster) {
+// setRoster applies a new roster.
+func (g *hostRoutes) setRoster(r registrar.Roster) {
 	if g != nil {
-		g.choosing.post(rosterChanged{roster: r})
+		g.selector.post(rosterChanged{roster: r})
 	}
 }
 
-// runRoutes starts the goroutines of host routes, or, where the host serves none,
-// those that only the product's own interface needs. It returns how to end what
-// listens.
+// runRoutes starts the goroutines of host routes, or, where the host serves none, those
+// that only the product's own interface needs. It returns a function that closes the
+// listener and the connections.
 func (h *Host) runRoutes(ctx context.Context, tasks *sync.WaitGroup) (func(), error) {
-	if h.routing == nil {
-		tasks.Go(func() { h.control.keeping.runLayout(ctx) })
+	if h.routes == nil {
+		tasks.Go(func() { h.control.once.loadLayout(ctx) })
 		tasks.Go(func() { h.control.quarantine.store.run(ctx) })
 		tasks.Go(func() { h.observing.run(ctx) })
 		return func() {}, nil
 	}
-	boundMemory(h.settings.Limits)
-	tasks.Go(func() { h.routing.choosing.run(ctx) })
-	tasks.Go(func() { h.routing.listing.run(ctx) })
-	tasks.Go(func() { h.routing.choosing.quarantine.store.run(ctx) })
-	tasks.Go(func() { h.routing.sweep(ctx) })
+	setMemoryLimit(h.settings.Limits)
+	tasks.Go(func() { h.routes.selector.run(ctx) })
+	tasks.Go(func() { h.routes.listing.run(ctx) })
+	tasks.Go(func() { h.routes.selector.quarantine.store.run(ctx) })
+	tasks.Go(func() { h.routes.closeExpired(ctx) })
 	if h.settings.Ready == "" {
-		return h.routing.close, nil
+		return h.routes.close, nil
 	}
 	l, err := net.Listen("tcp", h.settings.Ready)
 	if err != nil {
 		return nil, fmt.Errorf("listen for the balancer: %w", err)
 	}
-	ready := &http.Server{Handler: h.ready(), ReadHeaderTimeout: time.Second}
+	ready := &http.Server{Handler: h.readyHandler(), ReadHeaderTimeout: time.Second}
 	tasks.Go(func() { _ = ready.Serve(l) })
 	return func() {
 		_ = ready.Close()
-		h.routing.close()
+		h.routes.close()
 	}, nil
 }
 
-// ready answers the balancer. A host that knows no workers yet would refuse what
-// another host can serve.
-func (h *Host) ready() http.Handler {
+// readyHandler answers the balancer. A host that knows no workers yet is unready: it would
+// refuse what another host can serve.
+func (h *Host) readyHandler() http.Handler {
 	own := h.server.ReadyHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !h.routing.choosing.known.Load() {
+		if !h.routes.selector.known.Load() {
 			http.Error(w, "no workers known", http.StatusServiceUnavailable)
 			return
 		}
@@ -115,8 +115,8 @@
 	})
 }
 
-// sweep closes idle connections to workers that were not used for long.
-func (g *routing) sweep(ctx context.Context) {
+// closeExpired closes connections to workers that have been idle for too long.
+func (g *hostRoutes) closeExpired(ctx context.Context) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -131,7 +131,7 @@
 
 // hear takes what another host sent to workers.
 func (p *choosing) hear(now time.Time, e sharedHeard) {
-	p.hearLimits(now, e.from, e.shared.Limits)
+	p.receiveLimits(now, e.from, e.shared.Limits)
 	for _, s := range e.shared.Sent {
 		p.view.Receive(now, cmp.Or(s.Host, e.from), flightOf(s))
 	}
--- a/runner/state.go
+++ b/runner/state.go
@@ -14,7 +14,7 @@
 	"github.com/cicadawood/cicadawood/registrar"
 )
 
-// State is a host's whole control state, for operators.
+// State is a host's complete control state, for operators.
 type State struct {
 	Name       string             `json:"name"`
 	Zone       string             `json:"zone"`
@@ -34,24 +34,24 @@
 
 	Routing *RoutingState `json:"beliefs,omitempty"` // of a host that serves host routes
 
-	Limits map[string]limiter.Rates `json:"limits"` // what limited organisations may use here, a second
+	Limits map[string]limiter.Rates `json:"limits"` // rates per second that limited organisations may use at this host
 
 	Keepers map[int]keeper.Summary `json:"keepers"` // by partition
 
-	Quarantine []Quarantined `json:"quarantine,omitempty"` // calls that are held back, by a host of the product's own dialect
+	Quarantine []Quarantined `json:"quarantine,omitempty"` // calls in quarantine, on a host of the product's own dialect
 }
 
 func (c *control) state() State {
 	s := State{Name: c.self, Generation: c.generation, Roles: []string{"entry"}, Roster: c.roster.Hosts(), Cells: []dispatcher.State{}, Calls: map[string]string{}, Workers: c.observer.States(time.Now())}
-	for _, name := range slices.Sorted(maps.Keys(c.owned)) {
-		s.Cells = append(s.Cells, c.owned[name].State())
+	for _, name := range slices.Sorted(maps.Keys(c.dispatchers)) {
+		s.Cells = append(s.Cells, c.dispatchers[name].State())
 		s.Roles = append(s.Roles, "dispatcher:"+name)
 	}
 	s.Limits = c.limiting.gates.Rates(time.Now())
 	for id, k := range c.calls {
 		s.Calls[id] = k.worker
 	}
-	s.Keepers = c.keeping.state()
+	s.Keepers = c.once.state()
 	s.Quarantine = c.quarantine.state(time.Now())
 	return s
 }
