--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -7,8 +7,8 @@
 	"github.com/cicadawood/cicadawood/placer"
 )
 
-// RoutingState is what a host that serves host routes believes, for operators. Ages are of
-// the time of the query.
+// RoutingState is the state of host routes, for operators. Ages are relative to the time of
+// the query.
 type RoutingState struct {
 	ListAge       time.Duration        `json:"listed"`   // age of the last update of the workers' entries; -1ns before the first
 	Era           uint64               `json:"era"`      // of the store, in that update
--- a/runner/catching_test.go
+++ b/runner/catching_test.go
@@ -46,17 +46,17 @@
 	It("is told by each of a few hosts what that one has under way", func() {
 		var out []sent
 		now := time.Now()
-		c := runner.NewChoosing("h-00", workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
-		c.Enroll(now, roster(span(4)...))
+		c := runner.NewSelector("h-00", workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
+		c.SetRoster(now, roster(span(4)...))
 		for range 3 {
 			Eventually(c.Ask(now, quote)).Should(Receive())
 		}
 		out = nil
-		c.Enroll(now, roster(0, 1, 2, 3, 9))
+		c.SetRoster(now, roster(0, 1, 2, 3, 9))
 		Expect(told(out)).To(Equal(map[string]int{"h-09": 3}))
-		fresh := runner.NewChoosing("h-09", workers, func(string, messenger.Message) {})
+		fresh := runner.NewSelector("h-09", workers, func(string, messenger.Message) {})
 		for _, s := range out {
-			fresh.Hear(now, "h-00", s.m)
+			fresh.Receive(now, "h-00", s.m)
 		}
 		Expect(fresh.Flights(now, "d-1")).To(Equal(3))
 	})
@@ -74,11 +74,11 @@
 		tellers := 0
 		for _, h := range owners[1:] {
 			var out []sent
-			c := runner.NewChoosing(h.Name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
-			c.Enroll(now, before)
-			c.Hear(now, owners[0].Name, messenger.FlightUpdate{Sent: []messenger.Flight{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
+			c := runner.NewSelector(h.Name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
+			c.SetRoster(now, before)
+			c.Receive(now, owners[0].Name, messenger.FlightUpdate{Sent: []messenger.Flight{{ID: 7, Worker: "d-1", Left: time.Second, Host: owners[9].Name}}})
 			out = nil
-			c.Enroll(now, registrar.NewRoster(left...))
+			c.SetRoster(now, registrar.NewRoster(left...))
 			if n := told(out); len(n) > 0 {
 				tellers++
 				Expect(n).To(Equal(map[string]int{owners[5].Name: 1}))
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -30,9 +30,9 @@
 		quote   = placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
 		workers = []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}, {Name: "d-2", Service: "desk", Zone: "z", Slots: 8}}
 	)
-	choosing := func(name string, r registrar.Roster) runner.Choosing {
-		c := runner.NewChoosing(name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
-		c.Enroll(now, r)
+	choosing := func(name string, r registrar.Roster) runner.Selector {
+		c := runner.NewSelector(name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
+		c.SetRoster(now, r)
 		return c
 	}
 	seek := func() (sent, messenger.PlacementRequest) {
@@ -59,11 +59,11 @@
 		to, s := seek()
 		Expect(names[:3]).To(ContainElement(to.to))
 		Expect(got).NotTo(Receive())
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
+		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 		got = c.Ask(now, quote)
 		to, s = seek()
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Reason: "overload", RetryAfter: time.Second})
+		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Reason: "overload", RetryAfter: time.Second})
 		Eventually(got).Should(Receive(Equal("refused overload")))
 	})
 
@@ -82,7 +82,7 @@
 		for range 3 {
 			to, s := seek()
 			asked[to.to] = true
-			c.Silent(now, s.ID)
+			c.DeciderTimedOut(now, s.ID)
 		}
 		Expect(asked).To(HaveLen(3))
 		Eventually(got).Should(Receive(HaveSuffix(" by ")))
@@ -102,18 +102,18 @@
 		for range 3 {
 			to, s := seek()
 			late[to.to] = s.ID
-			c.Silent(now, s.ID)
+			c.DeciderTimedOut(now, s.ID)
 		}
-		least := c.Patience()
+		least := c.DeciderTimeout()
 		for name, id := range late {
-			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
+			c.Receive(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
 		}
-		Expect(c.Patience()).To(And(BeNumerically(">", least), BeNumerically("<=", 200*time.Millisecond)))
+		Expect(c.DeciderTimeout()).To(And(BeNumerically(">", least), BeNumerically("<=", 200*time.Millisecond)))
 		before := len(out)
 		got := c.Ask(now.Add(100*time.Millisecond), quote)
 		Expect(out).To(HaveLen(before + 1))
 		to, s := seek()
-		c.Hear(now.Add(103*time.Millisecond), to.to, messenger.PlacementReply{ID: s.ID, Flight: 9, Worker: "d-2"})
+		c.Receive(now.Add(103*time.Millisecond), to.to, messenger.PlacementReply{ID: s.ID, Flight: 9, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 	})
 
@@ -123,10 +123,10 @@
 		c := choosing(names[10], roster)
 		c.Ask(now, quote)
 		to, s := seek()
-		c.Silent(now, s.ID)
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
+		c.DeciderTimedOut(now, s.ID)
+		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		out = nil
-		c.Tell()
+		c.Share()
 		Expect(out).To(HaveLen(5), "the deciders and two that come after them")
 		for _, x := range out {
 			Expect(names[:5]).To(ContainElement(x.to))
@@ -139,14 +139,14 @@
 	It("counts requests under the host that sends them, until it is gone", func() {
 		c := choosing(names[0], roster)
 		for id := range uint64(4) {
-			c.Hear(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
+			c.Receive(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
 		}
-		c.Tell()
+		c.Share()
 		shared := out[len(out)-1].m.(messenger.FlightUpdate)
 		Expect(shared.Sent).To(HaveLen(4))
 		other := choosing(names[1], roster)
-		other.Hear(now, names[0], shared)
-		for _, x := range []runner.Choosing{c, other} {
+		other.Receive(now, names[0], shared)
+		for _, x := range []runner.Selector{c, other} {
 			Expect(x.Flights(now, "d-1") + x.Flights(now, "d-2")).To(Equal(4))
 			var rest []registrar.Record
 			for _, h := range roster.Hosts() {
@@ -154,7 +154,7 @@
 					rest = append(rest, h)
 				}
 			}
-			x.Enroll(now, registrar.NewRoster(rest...))
+			x.SetRoster(now, registrar.NewRoster(rest...))
 			Expect(x.Flights(now, "d-1") + x.Flights(now, "d-2")).To(BeZero())
 		}
 	})
@@ -166,21 +166,21 @@
 		const soon = 5 * time.Millisecond
 		small := choosing("h-03", registrar.NewRoster(roster.Hosts()[:16]...))
 		decider := choosing(names[0], roster)
-		for _, c := range []runner.Choosing{small, decider} {
+		for _, c := range []runner.Selector{small, decider} {
 			var places []router.Placement
 			for range 8 { // half the slots of both
 				p, ok := c.Place(now, quote)
 				Expect(ok).To(BeTrue())
 				places = append(places, p)
 			}
-			c.Tell()
+			c.Share()
 			c.End(now, places[0])
-			Expect(c.Due(now)).To(BeNumerically(">", soon), "the worker had room")
+			Expect(c.ShareDelay(now)).To(BeNumerically(">", soon), "the worker had room")
 			c.End(now, places[7])
-			Expect(c.Due(now)).To(BeNumerically("<", soon))
+			Expect(c.ShareDelay(now)).To(BeNumerically("<", soon))
 		}
 		// What another host sends, the decider tells it of.
-		decider.Hear(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
+		decider.Receive(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
 		Expect(out[len(out)-1].m.(messenger.PlacementReply).HalfFull).To(BeTrue())
 	})
 
@@ -195,6 +195,6 @@
 		}
 		c.Ask(now, ask)
 		_, s := seek()
-		Expect(runner.AskOf(s)).To(Equal(ask))
+		Expect(runner.RequestOf(s)).To(Equal(ask))
 	})
 })
--- a/runner/entry_test.go
+++ b/runner/entry_test.go
@@ -10,8 +10,8 @@
 	"github.com/cicadawood/cicadawood/prover"
 )
 
-// sentBy is the messages of one type that are on their way.
-func sentBy[M messenger.Message](w *hosts) []M {
+// inTransit returns the messages of one type that are in transit.
+func inTransit[M messenger.Message](w *cluster) []M {
 	var found []M
 	for _, f := range w.frames {
 		if m, ok := f.message.(M); ok {
@@ -22,23 +22,23 @@
 }
 
 var _ = Describe("An entry", func() {
-	// The host that dispatched froze; another took over and granted; the first
-	// comes back and grants what it still has in its queue. Whoever takes both
-	// holds two places and gives one back.
-	DescribeTable("takes one grant, of the newest dispatcher, and gives all others back",
+	// Guards against an entry that accepts two grants, holds two places and returns only
+	// one. The host that dispatched froze and another took over and granted; the first
+	// resumes and grants what is still in its queue.
+	DescribeTable("accepts one grant, of the newest dispatcher, and returns all others",
 		func(change func(g *messenger.Grant)) {
-			w := newHosts("a", "b")
-			first := hold(w, 10*time.Millisecond)
+			w := newCluster("a", "b")
+			first := holdPlace(w, 10*time.Millisecond)
 			e := first.host
 			c := w.ask(e)
 			g := messenger.Grant{
-				Request: c.id, Cell: cell, Worker: "w0", Attempt: sentBy[messenger.Ask](w)[0].Attempt,
+				Request: c.id, Cell: cell, Worker: "w0", Attempt: inTransit[messenger.Ask](w)[0].Attempt,
 				Epoch: first.place.Fence, Class: "check",
 			}
 			change(&g)
 			w.frames = nil
 			e.control.Deliver(w.now, w.owner().name, g)
-			Expect(sentBy[messenger.Done](w)).To(ConsistOf(HaveField("Request", g.Request)))
+			Expect(inTransit[messenger.Done](w)).To(ConsistOf(HaveField("Request", g.Request)))
 			_, answered := c.poll()
 			Expect(answered).To(BeFalse())
 		},
@@ -48,58 +48,58 @@
 		Entry("a request it does not have", func(g *messenger.Grant) { g.Request = "r99" }),
 	)
 
-	// The caller hangs up while its request waits.
+	// The caller disconnects while its request waits.
 	It("withdraws the ask of a caller that went away", func() {
-		w := newHosts("a", "b")
+		w := newCluster("a", "b")
 		c := w.ask(w.entry())
-		w.run(10 * time.Millisecond)
+		w.advance(10 * time.Millisecond)
 		w.frames = nil
 		d := w.ask(c.host)
-		d.host.control.Leave(w.now, d.id)
-		Expect(sentBy[messenger.Cancel](w)).To(ConsistOf(HaveField("Request", d.id)))
+		d.host.control.Cancel(w.now, d.id)
+		Expect(inTransit[messenger.Cancel](w)).To(ConsistOf(HaveField("Request", d.id)))
 	})
 
-	// A long answer takes most of a minute. A place that is not renewed would be
-	// given to another meanwhile.
-	It("keeps its place while it says so", func() {
-		w := newHosts("a", "b")
-		c := hold(w, 10*time.Millisecond)
-		c.until = w.now.Add(time.Minute)
-		w.run(50 * time.Second)
+	// Guards against a place that is granted to another call during an answer of most of a
+	// minute, as nobody renewed it.
+	It("keeps its place while it renews it", func() {
+		w := newCluster("a", "b")
+		c := holdPlace(w, 10*time.Millisecond)
+		c.runsUntil = w.now.Add(time.Minute)
+		w.advance(50 * time.Second)
 		Expect(w.owner().control.State().Cells[0].Granted).To(HaveKey(c.id))
 	})
 
 	// Its Ask was lost with a connection that shows no error.
 	It("asks again when nobody answers", Label(prover.Cell(prover.Asked, prover.Silence)), func() {
-		w := newHosts("a", "b")
+		w := newCluster("a", "b")
 		c := w.ask(w.entry())
 		w.frames = nil
-		w.run(2 * time.Second)
+		w.advance(2 * time.Second)
 		Expect(c.place).To(BeNil())
-		w.run(time.Second)
+		w.advance(time.Second)
 		Expect(c.place).NotTo(BeNil())
 	})
 
-	// A host was given another's cell and still has the old one's queue: it would
-	// go on granting from it beside the new owner.
+	// Guards against a host that goes on granting from its old queue beside the new owner
+	// of the cell.
 	It("ends its dispatcher of a cell that has another owner", func() {
-		w := newHosts("a", "b", "c")
-		hold(w, 10*time.Millisecond)
+		w := newCluster("a", "b", "c")
+		holdPlace(w, 10*time.Millisecond)
 		old := w.owner()
 		old.left = true
 		w.roster()
 		Expect(old.control.State().Cells).To(BeEmpty())
 	})
 
-	// A dispatcher's host dies while a call holds a place.
+	// The dispatcher's host fails while a call holds a place.
 	It("claims its place from the next dispatcher", Label(prover.Cell(prover.Sent, prover.Kill)), func() {
-		w := newHosts("a", "b", "c")
-		c := hold(w, 10*time.Millisecond)
+		w := newCluster("a", "b", "c")
+		c := holdPlace(w, 10*time.Millisecond)
 		old := w.owner()
-		old.dead, old.left = true, true
+		old.crashed, old.left = true, true
 		w.frames = nil
 		w.roster()
-		w.run(10 * time.Millisecond)
+		w.advance(10 * time.Millisecond)
 		state := w.owner().control.State()
 		Expect(state.Cells).To(HaveLen(1))
 		Expect(state.Cells[0].Granted).To(HaveKeyWithValue(c.id, "w0"))
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -18,16 +18,16 @@
 	"github.com/cicadawood/cicadawood/storer"
 )
 
-// Control is a host's control state, driven by a test in place of its goroutine.
+// Control is a host's control state, driven by a test instead of its goroutine.
 type Control struct{ c *control }
 
-// Answer is what a call was told: a place, or a refusal.
+// Answer is the reply to a call: a place or a refusal.
 type Answer struct {
 	Place   server.Place
 	Refusal *server.Refusal
 }
 
-// NewControl returns the control state of a host that sends by send.
+// NewControl returns the control state of a host that sends through send.
 func NewControl(self string, send func(address string, m messenger.Message)) Control {
 	return Control{newControl(self, 1, sendFunc(send), zap.NewNop())}
 }
@@ -51,12 +51,12 @@
 // SetGeneration implements sender.
 func (sendFunc) SetGeneration(uint64) {}
 
-// Deliver hands over a message from a host.
+// Deliver delivers a message from a host.
 func (k Control) Deliver(now time.Time, from string, m messenger.Message) {
 	k.c.handle(now, frameReceived{from: from, message: m})
 }
 
-// Ask starts a call; the function returned polls its answer.
+// Ask starts a call. The function returned polls its answer.
 func (k Control) Ask(now time.Time, service string, a messenger.Ask) func() (Answer, bool) {
 	reply := make(chan placeReply, 2)
 	k.c.handle(now, placeRequested{service: service, ask: a, reply: reply})
@@ -70,18 +70,18 @@
 	}
 }
 
-// Leave ends a call that waits.
-func (k Control) Leave(now time.Time, request string) {
+// Cancel withdraws a call that waits.
+func (k Control) Cancel(now time.Time, request string) {
 	k.c.handle(now, placeCanceled{request: request})
 }
 
-// Done gives a place back.
-func (k Control) Done(now time.Time, p server.Place) {
+// Release returns a place.
+func (k Control) Release(now time.Time, p server.Place) {
 	k.c.handle(now, placeReleased{place: p, usage: server.Usage{Tokens: 10, FirstByte: 50 * time.Millisecond}})
 }
 
-// Advance tells how far a call has come.
-func (k Control) Advance(now time.Time, p server.Place, tokens int) {
+// Progress reports how many tokens a call has produced.
+func (k Control) Progress(now time.Time, p server.Place, tokens int) {
 	k.c.handle(now, progressReported{place: p, tokens: tokens})
 }
 
@@ -90,27 +90,29 @@
 	k.c.handle(now, configChanged{folder: f, generation: 1})
 }
 
-// Enroll takes a roster.
-func (k Control) Enroll(now time.Time, r registrar.Roster) { k.c.handle(now, rosterChanged{roster: r}) }
+// SetRoster applies a roster.
+func (k Control) SetRoster(now time.Time, r registrar.Roster) {
+	k.c.handle(now, rosterChanged{roster: r})
+}
 
-// Tick lets time pass.
+// Tick performs all work that is due.
 func (k Control) Tick(now time.Time) { k.c.tick(now) }
 
-// State is the control state's dump.
+// State returns the control state.
 func (k Control) State() State { return k.c.state() }
 
-// Admit charges a request of an organisation, as the entry does.
+// Admit charges a request to an organisation, as the entry does.
 func (k Control) Admit(now time.Time, organisation string) bool {
 	_, ok := k.c.limiting.gates.Admit(now, organisation, 0, 0)
 	return ok
 }
 
-// Allowed is the requests a second that the entry lets in now.
-func (k Control) Allowed(now time.Time, organisation string) float64 {
+// RequestRate returns the requests a second that the entry admits now.
+func (k Control) RequestRate(now time.Time, organisation string) float64 {
 	return k.c.limiting.gates.Rates(now)[organisation].Requests
 }
 
-// Keeper is the control state's keeper of a partition. It has no store.
+// Keeper returns the keeper of a partition. It has no store.
 func (k Control) Keeper(partition int) *keeper.Keeper {
 	if k.c.once == nil {
 		k.c.once = newOnceManager(k.c, nil, nil, loader.Once{}, newOnceMetrics(prometheus.NewRegistry()), zap.NewNop())
@@ -118,19 +120,19 @@
 	return k.c.once.keeperOf(partition).keeper
 }
 
-// Next is when the next tick is due.
+// Next returns when the next tick is due.
 func (k Control) Next() time.Time { return k.c.next() }
 
-// Holding is what waits for a configuration.
-type Holding struct{ h pendingFrames }
+// PendingFrames are the frames that wait for a configuration.
+type PendingFrames struct{ h pendingFrames }
 
-// Take says whether a message has to wait for a newer configuration.
-func (k *Holding) Take(now time.Time, from string, m messenger.Message, generation uint64) bool {
+// Add returns whether a message has to wait for a newer configuration.
+func (k *PendingFrames) Add(now time.Time, from string, m messenger.Message, generation uint64) bool {
 	return k.h.add(now, frameReceived{from: from, message: m}, generation)
 }
 
 // Release returns the messages that waited for a configuration.
-func (k *Holding) Release(now time.Time, f *loader.Folder, generation uint64) []messenger.Message {
+func (k *PendingFrames) Release(now time.Time, f *loader.Folder, generation uint64) []messenger.Message {
 	var out []messenger.Message
 	for _, f := range k.h.release(now, f, generation) {
 		out = append(out, f.message)
@@ -138,22 +140,24 @@
 	return out
 }
 
-// Choosing is a host's choice of workers, driven by hand.
-type Choosing struct{ c *choosing }
+// Selector is a host's selection of workers, driven by a test instead of its goroutine.
+type Selector struct{ c *choosing }
 
-// NewChoosing returns the choosing of a host that sends by send; its workers are known.
-func NewChoosing(self string, workers []placer.Worker, send func(address string, m messenger.Message)) Choosing {
+// NewSelector returns the selector of a host that sends through send and knows the workers.
+func NewSelector(self string, workers []placer.Worker, send func(address string, m messenger.Message)) Selector {
 	c := newChoosing(self, "z", sendFunc(send), nil, loader.Repeat{}, zap.NewNop())
 	c.share = time.NewTimer(time.Hour)
 	c.view.SetWorkers(time.Now(), workers)
-	return Choosing{c}
+	return Selector{c}
 }
 
-// Enroll takes the hosts that are there.
-func (x Choosing) Enroll(now time.Time, r registrar.Roster) { x.c.take(now, rosterChanged{roster: r}) }
+// SetRoster applies a roster.
+func (x Selector) SetRoster(now time.Time, r registrar.Roster) {
+	x.c.take(now, rosterChanged{roster: r})
+}
 
-// Ask asks for a worker; the result comes at once or later.
-func (x Choosing) Ask(now time.Time, a placer.Request) <-chan string {
+// Ask requests a worker; the result follows immediately or later.
+func (x Selector) Ask(now time.Time, a placer.Request) <-chan string {
 	reply, out := make(chan workerReply, 1), make(chan string, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	go func() {
@@ -166,8 +170,8 @@
 	return out
 }
 
-// Place asks for a worker and returns what came at once; false where nothing did.
-func (x Choosing) Place(now time.Time, a placer.Request) (router.Placement, bool) {
+// Place requests a worker and returns the immediate result; false where there is none.
+func (x Selector) Place(now time.Time, a placer.Request) (router.Placement, bool) {
 	reply := make(chan workerReply, 1)
 	x.c.take(now, workerAsked{ask: a, reply: reply})
 	select {
@@ -178,17 +182,17 @@
 	}
 }
 
-// End ends a request at its place.
-func (x Choosing) End(now time.Time, p router.Placement) {
+// End ends a request at its worker.
+func (x Selector) End(now time.Time, p router.Placement) {
 	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.HalfFull})
 }
 
-// Due is how long after now the others are told of what happened.
-func (x Choosing) Due(now time.Time) time.Duration { return x.c.shareAt.Sub(now) }
+// ShareDelay returns how long after now the other hosts are notified of what happened.
+func (x Selector) ShareDelay(now time.Time) time.Duration { return x.c.shareAt.Sub(now) }
 
-// Hear takes a message of another host. Time passes by hand, see Silent: what a real
-// timer says is dropped.
-func (x Choosing) Hear(now time.Time, from string, m messenger.Message) {
+// Receive handles a message of another host. The test drives the time, see DeciderTimedOut:
+// events of real timers are dropped.
+func (x Selector) Receive(now time.Time, from string, m messenger.Message) {
 	g := &hostRoutes{selector: x.c}
 	g.receive(from, m)
 	for {
@@ -200,20 +204,20 @@
 	}
 }
 
-// Silent has the time pass that a decider has to answer a question.
-func (x Choosing) Silent(now time.Time, id uint64) { x.c.take(now, seekLate{id: id}) }
+// DeciderTimedOut ends the time that a decider has to answer a request.
+func (x Selector) DeciderTimedOut(now time.Time, id uint64) { x.c.take(now, seekLate{id: id}) }
 
-// Patience is how long a decider may take to answer.
-func (x Choosing) Patience() time.Duration { return x.c.deciding.within() }
+// DeciderTimeout returns how long a decider may take to answer.
+func (x Selector) DeciderTimeout() time.Duration { return x.c.deciding.within() }
 
-// AskOf is the request that a question of another host is about.
-func AskOf(s messenger.PlacementRequest) placer.Request { return askOf(s) }
+// RequestOf returns the request that a message asks a decider to place.
+func RequestOf(s messenger.PlacementRequest) placer.Request { return askOf(s) }
 
-// Tell tells the others what happened since it last did.
-func (x Choosing) Tell() { x.c.tell() }
+// Share notifies the other hosts of what happened since it was last called.
+func (x Selector) Share() { x.c.tell() }
 
-// Flights is the requests that the host counts at a worker.
-func (x Choosing) Flights(now time.Time, worker string) int {
+// Flights returns the number of requests that the host counts at a worker.
+func (x Selector) Flights(now time.Time, worker string) int {
 	for _, b := range x.c.view.WorkerStates(now) {
 		if b.Worker == worker {
 			return b.Flights
@@ -222,19 +226,19 @@
 	return 0
 }
 
-// QuarantineStore is the store of what is held back, driven by a test in place of the
+// QuarantineStore is the store of quarantined requests, driven by a test instead of the
 // goroutines that call it.
 type QuarantineStore struct{ q *quarantineStore }
 
-// NewQuarantineStore returns one over a store.
+// NewQuarantineStore returns a QuarantineStore over a store.
 func NewQuarantineStore(s storer.Store) QuarantineStore {
 	return QuarantineStore{newQuarantineStore(s)}
 }
 
-// Restore has the store come back from an older copy.
+// Restore reports that the store was restored from an older snapshot.
 func (s QuarantineStore) Restore() { s.q.restore() }
 
-// Sweep lets it make the call that is due, and returns what was read, and the errors; false
+// Sweep performs the call that is due, and returns what was read and the errors; false
 // where none was due.
 func (s QuarantineStore) Sweep(now time.Time, owns bool, held []quarantiner.Entry) (read []quarantiner.Entry, bad, err error, due bool) {
 	s.q.sweep(now, owns, held)
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// faultTime is how long a fault that ends lasts.
-	faultTime = 3 * time.Second
-	// settleTime is a grant's lease and a little: far less than a deadline, which
-	// would tidy up anything.
-	settleTime = 28 * time.Second
+	// faultDuration is how long a temporary fault lasts.
+	faultDuration = 3 * time.Second
+	// settleDuration is a little over a grant's lease: far less than a deadline, which
+	// would clean up any leak.
+	settleDuration = 28 * time.Second
 )
 
-// victim is which host a fault hits.
+// victim is the host that a fault hits.
 type victim string
 
 const (
@@ -25,145 +25,145 @@
 	atEntry victim = "entry"
 )
 
-// reach brings a call to a step: the last thing that happens before the fault.
-var reach = map[prover.Step]func(w *hosts){
-	prover.Asked: func(w *hosts) { w.ask(w.entry()) }, // its Ask is on its way
-	prover.Queued: func(w *hosts) {
+// reachStep brings a call to a step, the last event before the fault.
+var reachStep = map[prover.Step]func(w *cluster){
+	prover.Asked: func(w *cluster) { w.ask(w.entry()) }, // its Ask is in transit
+	prover.Queued: func(w *cluster) {
 		for range slots {
 			w.ask(w.entry())
 		}
-		w.run(10 * time.Millisecond)
+		w.advance(10 * time.Millisecond)
 		w.ask(w.entry())
-		w.run(5 * time.Millisecond)
+		w.advance(5 * time.Millisecond)
 	},
-	prover.Granted: func(w *hosts) { // its Grant is on its way
+	prover.Granted: func(w *cluster) { // its Grant is in transit
 		w.ask(w.entry())
 		for len(w.frames) == 0 || w.frames[0].to == w.owner().name {
-			w.run(time.Millisecond)
+			w.advance(time.Millisecond)
 		}
 	},
-	prover.Sent:  func(w *hosts) { hold(w, 10*time.Millisecond) },
-	prover.First: func(w *hosts) { hold(w, 60*time.Millisecond) },
-	prover.Mid: func(w *hosts) {
-		c := hold(w, 100*time.Millisecond)
-		c.host.control.Advance(w.now, *c.place, 5)
-		w.run(5 * time.Millisecond)
+	prover.Sent:  func(w *cluster) { holdPlace(w, 10*time.Millisecond) },
+	prover.First: func(w *cluster) { holdPlace(w, 60*time.Millisecond) },
+	prover.Mid: func(w *cluster) {
+		c := holdPlace(w, 100*time.Millisecond)
+		c.host.control.Progress(w.now, *c.place, 5)
+		w.advance(5 * time.Millisecond)
 	},
-	prover.Taken: func(w *hosts) { // by the next host, which is gathering
-		hold(w, 10*time.Millisecond)
+	prover.Taken: func(w *cluster) { // by the next host, in its claim window
+		holdPlace(w, 10*time.Millisecond)
 		w.owner().left = true
 		w.roster()
 		w.ask(w.entry())
-		w.run(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	},
-	prover.HandedOver: func(w *hosts) { // by a host that leaves
-		hold(w, 10*time.Millisecond)
+	prover.HandedOver: func(w *cluster) { // by a leaving host
+		holdPlace(w, 10*time.Millisecond)
 		w.owner().left = true
 		w.roster()
 	},
 }
 
-// hold is a call that has had its place for a while.
-func hold(w *hosts, d time.Duration) *call {
+// holdPlace returns a call that has its place, after a time.
+func holdPlace(w *cluster, d time.Duration) *call {
 	c := w.ask(w.entry())
-	w.run(d)
+	w.advance(d)
 	Expect(c.place).NotTo(BeNil())
-	Expect(c.over).To(BeFalse())
+	Expect(c.finished).To(BeFalse())
 	return c
 }
 
-// strike begins a fault at a host and returns what ends it.
-func strike(w *hosts, f prover.Fault, h *host) func() {
+// injectFault starts a fault at a host and returns a function that ends it.
+func injectFault(w *cluster, f prover.Fault, h *host) func() {
 	switch f {
 	case prover.Kill:
-		h.dead = true
-		w.run(time.Second)
+		h.crashed = true
+		w.advance(time.Second)
 		h.left = true
 		w.roster()
-		return func() { h.dead, h.left, h.number = false, false, h.number+1; w.boot(h); w.roster() }
+		return func() { h.crashed, h.left, h.incarnation = false, false, h.incarnation+1; w.restart(h); w.roster() }
 	case prover.Freeze:
 		h.frozen = true
-		w.run(lease)
+		w.advance(lease)
 		h.left = true
 		w.roster()
-		return func() { h.frozen, h.left = false, false; w.run(50 * time.Millisecond); w.roster() }
+		return func() { h.frozen, h.left = false, false; w.advance(50 * time.Millisecond); w.roster() }
 	case prover.CutOne:
-		h.mute = true
-		return func() { h.mute = false }
+		h.dropsSent = true
+		return func() { h.dropsSent = false }
 	case prover.CutBoth:
-		h.mute, h.deaf = true, true
-		w.run(lease)
+		h.dropsSent, h.dropsReceived = true, true
+		w.advance(lease)
 		h.left = true
 		w.roster()
-		return func() { h.mute, h.deaf, h.left = false, false, false; w.roster() }
-	case prover.Silence: // the roster never hears of it
-		h.mute, h.deaf = true, true
-		return func() { h.mute, h.deaf = false, false }
+		return func() { h.dropsSent, h.dropsReceived, h.left = false, false, false; w.roster() }
+	case prover.Silence: // the roster does not notice it
+		h.dropsSent, h.dropsReceived = true, true
+		return func() { h.dropsSent, h.dropsReceived = false, false }
 	case prover.Slow:
 		h.delay = 700 * time.Millisecond
 		return func() { h.delay = 0 }
 	default: // prover.Reorder
-		h.shuffle = true
-		return func() { h.shuffle = false }
+		h.reorders = true
+		return func() { h.reorders = false }
 	}
 }
 
-// play reaches a step, lets the fault come and go, and checks what must hold.
-func play(s prover.Step, f prover.Fault, at victim, then func(w *hosts)) {
-	w := newHosts("a", "b", "c", "d")
-	reach[s](w)
+// runScenario brings a call to a step, injects a fault for a while, and checks the state
+// afterwards.
+func runScenario(s prover.Step, f prover.Fault, at victim, then func(w *cluster)) {
+	w := newCluster("a", "b", "c", "d")
+	reachStep[s](w)
 	h := w.owner()
 	if at == atEntry {
 		h = w.entry()
 	}
-	end := strike(w, f, h)
+	end := injectFault(w, f, h)
 	if then != nil {
 		then(w)
 	}
 	for range 3 {
 		w.ask(w.entry())
 	}
-	w.run(faultTime)
+	w.advance(faultDuration)
 	end()
-	w.run(settleTime)
-	// Two dispatchers at once may fill the worker twice over, never more.
-	Expect(w.most).To(BeNumerically("<=", 2*slots+2))
-	w.settled()
+	w.advance(settleDuration)
+	// Two concurrent dispatchers may fill the worker twice over, never more.
+	Expect(w.maxBusy).To(BeNumerically("<=", 2*slots+2))
+	w.expectSettled()
 }
 
 var (
-	hitSteps  = []prover.Step{prover.Queued, prover.Asked, prover.Granted, prover.Sent, prover.First, prover.Mid, prover.Taken, prover.HandedOver}
-	hitFaults = []prover.Fault{prover.Kill, prover.Freeze, prover.CutOne, prover.CutBoth, prover.Silence, prover.Slow, prover.Reorder}
+	faultSteps = []prover.Step{prover.Queued, prover.Asked, prover.Granted, prover.Sent, prover.First, prover.Mid, prover.Taken, prover.HandedOver}
+	faultKinds = []prover.Fault{prover.Kill, prover.Freeze, prover.CutOne, prover.CutBoth, prover.Silence, prover.Slow, prover.Reorder}
 )
 
-// A caller waits for a place, or has one, when a host dies, freezes, is cut off,
-// falls silent, gets slow, or its frames come twice and in disorder. The caller
-// must hear once what became of its request, and the place must come free again:
-// a place that nobody holds is lost to all callers, one at a time, until none is
-// left.
+// A host fails, freezes, is cut off, falls silent or slows down, or its frames are
+// duplicated and reordered, while a caller waits for a place or has one. Guards against a
+// caller that gets no answer or two, and against a place that is held by nobody and never
+// released: such places add up until none is left.
 var _ = Describe("Places of a cell", func() {
-	for _, s := range hitSteps {
-		for _, f := range hitFaults {
+	for _, s := range faultSteps {
+		for _, f := range faultKinds {
 			if prover.Impossible(s, f) != "" {
 				continue
 			}
 			for _, at := range []victim{atOwner, atEntry} {
 				It("settle when "+string(f)+" hits the "+string(at)+" at "+string(s), Label(prover.Cell(s, f)), func() {
-					play(s, f, at, nil)
+					runScenario(s, f, at, nil)
 				})
 			}
 		}
 	}
 
-	for _, f := range hitFaults {
-		for _, g := range hitFaults {
+	for _, f := range faultKinds {
+		for _, g := range faultKinds {
 			It("settle when "+string(f)+" hits the dispatcher while a call waits, and "+string(g)+" the next one",
 				Label(prover.Pair(prover.Queued, f, prover.Taken, g)), func() {
 					var end func()
-					play(prover.Queued, f, atOwner, func(w *hosts) {
-						w.run(500 * time.Millisecond)
-						end = strike(w, g, w.owner())
-						w.run(faultTime)
+					runScenario(prover.Queued, f, atOwner, func(w *cluster) {
+						w.advance(500 * time.Millisecond)
+						end = injectFault(w, g, w.owner())
+						w.advance(faultDuration)
 						end()
 					})
 				})
--- a/runner/fencing_test.go
+++ b/runner/fencing_test.go
@@ -14,8 +14,8 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// askOnce sends a completion with a key to a plain service and returns the status.
-func askOnce(h *running, id string) (int, error) {
+// sendKeyed sends a completion with a key to a plain service and returns the status.
+func sendKeyed(h *runningHost, id string) (int, error) {
 	body := `{"model":"lm","max_tokens":2,"messages":[{"role":"user","content":"trip"}]}`
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.listen+"/services/app/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -32,12 +32,12 @@
 	return resp.StatusCode, err
 }
 
-// Two hosts send keyed calls side by side to an engine that refuses old fencing
-// numbers. They arrive out of the order of their grants: those refused did not run,
-// get a new grant, and must all end whole, each run once.
+// Two hosts send keyed calls concurrently to an engine that refuses old fencing numbers,
+// and the calls arrive in another order than that of their grants. Those refused did not
+// run: they must get a new grant and complete, each run once.
 var _ = Describe("Keyed calls at an engine that refuses old fencing numbers", func() {
-	It("run once each, and end whole", func() {
-		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*running{}}
+	It("run once each, and complete", func() {
+		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*runningHost{}}
 		t.url = serve(t.platform.Handler())
 		counter := &faker.Counter{}
 		engine := faker.NewEngine("lm1", faker.Model{Step: time.Millisecond, Slots: 32}, counter)
@@ -48,14 +48,14 @@
 			"organisations": {"dock": {"keys": [%q], "classes": ["hold"]}},
 			"services": {"app": {"kind": "plain", "owner": "ops", "routes": [{"class": "hold", "once": true}],
 				"workers": [{"name": "app", "address": %q, "zone": "a", "slots": 32}]}}}`, loader.HashKey(key), app))
-		hosts := []*running{t.start("a", "z1", nil), t.start("b", "z2", nil)}
+		hosts := []*runningHost{t.start("a", "z1", nil), t.start("b", "z2", nil)}
 		for i, h := range hosts {
-			Eventually(func() (int, error) { return askOnce(h, fmt.Sprint("warm", i)) }).WithTimeout(20 * time.Second).Should(Equal(http.StatusOK))
+			Eventually(func() (int, error) { return sendKeyed(h, fmt.Sprint("warm", i)) }).WithTimeout(20 * time.Second).Should(Equal(http.StatusOK))
 		}
 		ended := make(chan string, 64)
 		for i := range cap(ended) {
 			go func() {
-				status, err := askOnce(hosts[i%2], fmt.Sprint("k", i))
+				status, err := sendKeyed(hosts[i%2], fmt.Sprint("k", i))
 				ended <- fmt.Sprint(status, err)
 			}()
 		}
--- a/runner/fixture_test.go
+++ b/runner/fixture_test.go
@@ -30,22 +30,22 @@
 // key is the API key of the test's organisation.
 const key = "demo-key"
 
-// fixture is hosts, backend servers and a platform in this process, on loopback.
+// fixture is a platform, backend servers and hosts in this process, on loopback.
 type fixture struct {
 	platform *faker.Platform
 	url      string
 	engines  map[string]string // address by name
 	counters map[string]*faker.Counter
 	holds    *faker.Counter
-	hosts    map[string]*running
+	hosts    map[string]*runningHost
 	mu       sync.Mutex
 }
 
-// running is one runner.Run.
-type running struct {
+// runningHost is one host that is run by runner.RunUntil.
+type runningHost struct {
 	listen, admin string
 	term          func()
-	hurry         chan struct{}
+	abort         chan struct{}
 	done          chan error
 	logs          *observer.ObservedLogs
 }
@@ -55,7 +55,7 @@
 }
 
 func newFixtureOf(m faker.Model, took time.Duration, engines ...string) *fixture {
-	t := &fixture{platform: faker.NewPlatform(), engines: map[string]string{}, counters: map[string]*faker.Counter{}, holds: &faker.Counter{}, hosts: map[string]*running{}}
+	t := &fixture{platform: faker.NewPlatform(), engines: map[string]string{}, counters: map[string]*faker.Counter{}, holds: &faker.Counter{}, hosts: map[string]*runningHost{}}
 	t.url = serve(t.platform.Handler())
 	var workers []string
 	for _, e := range engines {
@@ -87,18 +87,18 @@
 	Expect(commander.Main([]string{"push", dir, "--platform", t.url}, strings.NewReader(""), &out, &out)).To(Equal(commander.ExitOK), "%s", &out)
 }
 
-// ports counts the addresses given out in this process.
+// ports counts the ports given out in this process.
 var ports atomic.Int32
 
-// freeAddress is a loopback address that no other test process uses: a port that
-// the kernel gave out and took back may come twice.
+// freeAddress returns a loopback address that no other test process uses: a port that the
+// kernel assigned and released may be assigned twice.
 func freeAddress() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1:%d", 20+pid/250%40, 1+pid%250, 20000+ports.Add(1))
 }
 
-// start runs a host until it is told to stop.
-func (t *fixture) start(name, zone string, change func(*loader.Host)) *running {
+// start runs a host until the test ends or term is called.
+func (t *fixture) start(name, zone string, change func(*loader.Host)) *runningHost {
 	settings := loader.Host{Name: name, Zone: zone, Region: "r", Listen: freeAddress(), Control: freeAddress(), Admin: freeAddress(), Platform: t.url}
 	settings.Limits.Settle = loader.Duration(200 * time.Millisecond)
 	if change != nil {
@@ -110,14 +110,14 @@
 	Expect(err).NotTo(HaveOccurred())
 	core, logs := observer.New(zapcore.InfoLevel)
 	ctx, term := context.WithCancel(context.Background())
-	h := &running{listen: settings.Listen, admin: settings.Admin, term: term, hurry: make(chan struct{}), done: make(chan error, 1), logs: logs}
+	h := &runningHost{listen: settings.Listen, admin: settings.Admin, term: term, abort: make(chan struct{}), done: make(chan error, 1), logs: logs}
 	t.mu.Lock()
 	t.hosts[name] = h
 	t.mu.Unlock()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		h.done <- runner.RunUntil(ctx, h.hurry, settings, zap.New(core))
+		h.done <- runner.RunUntil(ctx, h.abort, settings, zap.New(core))
 	}()
 	DeferCleanup(func() {
 		term()
@@ -126,7 +126,7 @@
 	return h
 }
 
-func (h *running) ready() bool {
+func (h *runningHost) ready() bool {
 	resp, err := http.Get("http://" + h.listen + "/readyz")
 	if err != nil {
 		return false
@@ -135,7 +135,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (h *running) state() runner.State {
+func (h *runningHost) state() runner.State {
 	var s runner.State
 	resp, err := http.Get("http://" + h.admin + "/state")
 	if err != nil {
@@ -146,7 +146,7 @@
 	return s
 }
 
-// settled says whether every host knows n hosts, none of them leaving.
+// settled returns a check that every running host is ready and has n hosts on its roster.
 func (t *fixture) settled(n int) func() error {
 	return func() error {
 		for name, h := range t.hosts {
@@ -161,7 +161,8 @@
 	}
 }
 
-// post sends one request and returns the status, the body and the connection's fate.
+// post sends one request and returns the status, the body, and whether the connection
+// closes.
 func post(client *http.Client, address, path, body string) (status int, text string, closes bool, err error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
@@ -186,16 +187,17 @@
 	return fmt.Sprintf(`{"model":"lm","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"hello"}]}`, tokens)
 }
 
-// balancer is the platform's: it sends callers to hosts that were ready lately.
+// balancer stands in for the platform's: it sends callers to hosts that were ready
+// recently.
 type balancer struct {
 	t    *fixture
 	mu   sync.Mutex
 	list []string
 }
 
-func (b *balancer) look() {
+func (b *balancer) refresh() {
 	b.t.mu.Lock()
-	hosts := make([]*running, 0, len(b.t.hosts))
+	hosts := make([]*runningHost, 0, len(b.t.hosts))
 	for _, h := range b.t.hosts {
 		hosts = append(hosts, h)
 	}
@@ -217,8 +219,8 @@
 	return b.list[i%len(b.list)]
 }
 
-// traffic sends quotes and chats through the balancer until stop is closed, and
-// returns what went wrong, and how many were answered whole.
+// traffic sends quotes and chats through the balancer until stop is closed, and returns the
+// failures and the number of complete answers.
 func (b *balancer) traffic(stop <-chan struct{}) (bad []string, whole int) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
@@ -249,15 +251,15 @@
 			}
 		})
 	}
-	looks := time.NewTicker(20 * time.Millisecond)
-	defer looks.Stop()
+	refreshes := time.NewTicker(20 * time.Millisecond)
+	defer refreshes.Stop()
 	for {
 		select {
 		case <-stop:
 			callers.Wait()
 			return bad, whole
-		case <-looks.C:
-			b.look()
+		case <-refreshes.C:
+			b.refresh()
 		}
 	}
 }
--- a/runner/holding_test.go
+++ b/runner/holding_test.go
@@ -12,9 +12,9 @@
 	"github.com/cicadawood/cicadawood/runner"
 )
 
-// A service is added. The entry that has the change sends an ask to the cell's
-// dispatcher, which the change reaches a moment later, or which has just started.
-// Dropped there, the caller's quote waits until the entry asks again.
+// Guards against an ask that is dropped because the dispatcher's host has just started, or
+// receives the configuration with a new service a moment after the entry: the caller would
+// wait until the entry asks again.
 var _ = Describe("A frame for a cell that is not known yet", Label(prover.Cell(prover.Asked, prover.Reorder)), func() {
 	now := time.Unix(1000, 0)
 	folder := func(services ...string) *loader.Folder {
@@ -25,35 +25,35 @@
 		return f
 	}
 	ask := messenger.Ask{Request: "r", Cell: "new/0"}
-	var h *runner.Holding
+	var h *runner.PendingFrames
 	BeforeEach(func() {
-		h = &runner.Holding{}
+		h = &runner.PendingFrames{}
 		Expect(h.Release(now, folder("old"), 7)).To(BeEmpty())
 	})
 
 	It("waits for the sender's configuration", func() {
-		Expect(h.Take(now, "a", ask, 8)).To(BeTrue())
+		Expect(h.Add(now, "a", ask, 8)).To(BeTrue())
 		Expect(h.Release(now.Add(time.Second), folder("old", "new"), 8)).To(Equal([]messenger.Message{ask}))
-		Expect(h.Take(now, "a", ask, 8)).To(BeFalse())
+		Expect(h.Add(now, "a", ask, 8)).To(BeFalse())
 	})
 
 	It("waits on a host that has just started", func() {
-		fresh := &runner.Holding{}
-		Expect(fresh.Take(now, "a", ask, 8)).To(BeTrue())
+		fresh := &runner.PendingFrames{}
+		Expect(fresh.Add(now, "a", ask, 8)).To(BeTrue())
 		Expect(fresh.Release(now, folder("new"), 8)).To(HaveLen(1))
 	})
 
-	It("does not wait where nothing newer comes, or the cell is known", func() {
-		Expect(h.Take(now, "a", ask, 7)).To(BeFalse())
-		Expect(h.Take(now, "a", messenger.Ask{Cell: "old/0"}, 8)).To(BeFalse())
-		Expect(h.Take(now, "a", messenger.Done{Cell: "new/0"}, 8)).To(BeFalse())
+	It("does not wait where the configuration is not newer, or the cell is known", func() {
+		Expect(h.Add(now, "a", ask, 7)).To(BeFalse())
+		Expect(h.Add(now, "a", messenger.Ask{Cell: "old/0"}, 8)).To(BeFalse())
+		Expect(h.Add(now, "a", messenger.Done{Cell: "new/0"}, 8)).To(BeFalse())
 	})
 
-	It("does not wait for ever, and in bounded number", func() {
+	It("waits for a bounded time, in bounded number", func() {
 		for range 1024 {
-			Expect(h.Take(now, "a", ask, 8)).To(BeTrue())
+			Expect(h.Add(now, "a", ask, 8)).To(BeTrue())
 		}
-		Expect(h.Take(now, "a", ask, 8)).To(BeFalse())
+		Expect(h.Add(now, "a", ask, 8)).To(BeFalse())
 		Expect(h.Release(now.Add(2*time.Second), folder("new"), 8)).To(BeEmpty())
 	})
 })
--- a/runner/host.go
+++ b/runner/host.go
@@ -53,13 +53,13 @@
 
 // Signals are the external inputs of a running host. A nil field is not used.
 type Signals struct {
-	// Abort, when it is closed, ends a shutdown that takes too long: what is still in
-	// are aborted, and the error reports their number.
+	// Abort, when closed, ends a shutdown that takes too long: requests still in flight are
+	// aborted, and the error reports their number.
 	Abort <-chan struct{}
 	// Reload delivers new settings. Only the retry budget and the memory limit can change
 	// while a host runs.
 	Reload <-chan loader.Host
-	// DroppedLines is the lines of the log that were not written.
+	// DroppedLines returns the number of log lines that were not written.
 	DroppedLines func() uint64
 }
 
--- a/runner/hosts_test.go
+++ b/runner/hosts_test.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	tick     = 20 * time.Millisecond
-	runTime  = 300 * time.Millisecond // of a call on its worker
-	deadline = 100 * time.Second
-	lease    = 5 * time.Second
-	slots    = 2
-	cell     = "crew/0"
+	tick         = 20 * time.Millisecond
+	callDuration = 300 * time.Millisecond // of a call on its worker
+	deadline     = 100 * time.Second
+	lease        = 5 * time.Second
+	slots        = 2
+	cell         = "crew/0"
 )
 
-var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// host is one host's control state, and what a fault does to it.
+// host is one host's control state, and the faults injected into it.
 type host struct {
-	name    string
-	control runner.Control
-	number  uint64
-	dead    bool
-	frozen  bool
-	left    bool // of the roster
-	delay   time.Duration
-	mute    bool // what it sends is lost
-	deaf    bool // what is sent to it is lost
-	shuffle bool // what it sends comes twice, in any order
+	name          string
+	control       runner.Control
+	incarnation   uint64
+	crashed       bool
+	frozen        bool
+	left          bool // removed from the roster
+	delay         time.Duration
+	dropsSent     bool
+	dropsReceived bool
+	reorders      bool // frames that it sends arrive twice, in any order
 }
 
-// frame is one message on its way.
+// frame is one message in transit.
 type frame struct {
 	from, to string
 	at       time.Time
@@ -48,41 +48,41 @@
 
 // call is one request of a host's entry.
 type call struct {
-	id      string
-	host    *host
-	poll    func() (runner.Answer, bool)
-	ends    time.Time
-	place   *server.Place
-	until   time.Time
-	answers int
-	over    bool
-	lost    bool // with its host
+	id        string
+	host      *host
+	poll      func() (runner.Answer, bool)
+	deadline  time.Time
+	place     *server.Place
+	runsUntil time.Time
+	answers   int
+	finished  bool
+	lost      bool // with its host
 }
 
-// hosts are a few hosts, the frames between them, and what callers were told.
-type hosts struct {
-	now    time.Time
-	all    []*host
-	frames []frame
-	calls  []*call
-	random *rand.Rand
-	most   int // calls on the worker at once
+// cluster is a few hosts, the frames between them, and their calls.
+type cluster struct {
+	now     time.Time
+	all     []*host
+	frames  []frame
+	calls   []*call
+	random  *rand.Rand
+	maxBusy int // highest number of concurrent calls on the worker
 }
 
-func newHosts(names ...string) *hosts {
-	w := &hosts{now: begin, random: rand.New(rand.NewPCG(1, 2))}
+func newCluster(names ...string) *cluster {
+	w := &cluster{now: startTime, random: rand.New(rand.NewPCG(1, 2))}
 	for _, n := range names {
-		h := &host{name: n, number: 1}
-		w.boot(h)
+		h := &host{name: n, incarnation: 1}
+		w.restart(h)
 		w.all = append(w.all, h)
 	}
 	w.roster()
-	w.run(time.Second) // gathering is over
+	w.advance(time.Second) // past the claim window
 	return w
 }
 
-// boot gives a host a fresh control state.
-func (w *hosts) boot(h *host) {
+// restart gives a host a fresh control state.
+func (w *cluster) restart(h *host) {
 	h.control = runner.NewControl(h.name, func(to string, m messenger.Message) { w.send(h, to, m) })
 	second := loader.Duration(time.Second)
 	h.control.Configure(w.now, &loader.Folder{
@@ -93,24 +93,24 @@
 	})
 }
 
-func (w *hosts) send(h *host, to string, m messenger.Message) {
-	if h.mute || h.dead {
+func (w *cluster) send(h *host, to string, m messenger.Message) {
+	if h.dropsSent || h.crashed {
 		return
 	}
 	times := 1
-	if h.shuffle {
+	if h.reorders {
 		times = 2
 	}
 	for range times {
 		f := frame{from: h.name, to: to, at: w.now.Add(time.Millisecond + h.delay), message: m}
-		if h.shuffle {
+		if h.reorders {
 			f.at = f.at.Add(time.Duration(w.random.IntN(100)) * time.Millisecond)
 		}
 		w.frames = append(w.frames, f)
 	}
 }
 
-func (w *hosts) host(name string) *host {
+func (w *cluster) host(name string) *host {
 	for _, h := range w.all {
 		if h.name == name {
 			return h
@@ -119,24 +119,24 @@
 	return nil
 }
 
-// roster gives the roster of the hosts that are in it to all of them.
-func (w *hosts) roster() {
+// roster applies the current roster at all hosts that run.
+func (w *cluster) roster() {
 	var records []registrar.Record
 	for _, h := range w.all {
 		if !h.left {
-			records = append(records, registrar.Record{Name: h.name, Control: h.name, Incarnation: h.number})
+			records = append(records, registrar.Record{Name: h.name, Control: h.name, Incarnation: h.incarnation})
 		}
 	}
 	r := registrar.NewRoster(records...)
 	for _, h := range w.all {
-		if !h.dead && !h.frozen {
-			h.control.Enroll(w.now, r)
+		if !h.crashed && !h.frozen {
+			h.control.SetRoster(w.now, r)
 		}
 	}
 }
 
-// owner is the host that dispatches the cell by the roster.
-func (w *hosts) owner() *host {
+// owner returns the host that dispatches the cell according to the roster.
+func (w *cluster) owner() *host {
 	var records []registrar.Record
 	for _, h := range w.all {
 		if !h.left {
@@ -147,8 +147,8 @@
 	return w.host(o.Name)
 }
 
-// entry is a host that does not dispatch the cell.
-func (w *hosts) entry() *host {
+// entry returns a host that does not dispatch the cell.
+func (w *cluster) entry() *host {
 	for _, h := range w.all {
 		if h != w.owner() && !h.left {
 			return h
@@ -157,39 +157,39 @@
 	return nil
 }
 
-func (w *hosts) ask(h *host) *call {
-	c := &call{id: fmt.Sprintf("r%d", len(w.calls)), host: h, ends: w.now.Add(deadline)}
+func (w *cluster) ask(h *host) *call {
+	c := &call{id: fmt.Sprintf("r%d", len(w.calls)), host: h, deadline: w.now.Add(deadline)}
 	c.poll = h.control.Ask(w.now, "crew", messenger.Ask{Request: c.id, Class: "check", Organisation: "o", Deadline: deadline})
 	w.calls = append(w.calls, c)
 	return c
 }
 
-// run lets time pass: frames arrive, hosts tick, callers go on.
-func (w *hosts) run(d time.Duration) {
+// advance simulates time: frames arrive, hosts tick, and calls proceed.
+func (w *cluster) advance(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(time.Millisecond)
 		w.deliver()
-		if w.now.Sub(begin)%tick == 0 {
+		if w.now.Sub(startTime)%tick == 0 {
 			for _, h := range w.all {
-				if !h.dead && !h.frozen {
+				if !h.crashed && !h.frozen {
 					h.control.Tick(w.now)
 				}
 			}
 		}
-		w.callers()
+		w.stepCalls()
 	}
 }
 
-func (w *hosts) deliver() {
+func (w *cluster) deliver() {
 	var later []frame
 	due := w.frames
 	w.frames = nil
 	for _, f := range due {
 		h := w.host(f.to)
 		switch {
-		case f.at.After(w.now) || (h.frozen && !h.dead):
+		case f.at.After(w.now) || (h.frozen && !h.crashed):
 			later = append(later, f)
-		case h.dead || h.deaf:
+		case h.crashed || h.dropsReceived:
 		default:
 			h.control.Deliver(w.now, f.from, f.message)
 		}
@@ -197,57 +197,56 @@
 	w.frames = append(later, w.frames...)
 }
 
-// callers polls answers, ends calls whose time on the worker is over, and those
-// whose deadline is.
-func (w *hosts) callers() {
+// stepCalls polls answers, and ends calls whose time on the worker or whose deadline is
+// over.
+func (w *cluster) stepCalls() {
 	busy := 0
 	for _, c := range w.calls {
-		if c.over || c.host.frozen {
+		if c.finished || c.host.frozen {
 			continue
 		}
-		if c.host.dead {
-			c.over, c.lost = true, true
+		if c.host.crashed {
+			c.finished, c.lost = true, true
 			continue
 		}
-		w.follow(c)
-		if c.place != nil && !c.over {
+		w.stepCall(c)
+		if c.place != nil && !c.finished {
 			busy++
 		}
 	}
-	w.most = max(w.most, busy)
+	w.maxBusy = max(w.maxBusy, busy)
 }
 
-func (w *hosts) follow(c *call) {
+func (w *cluster) stepCall(c *call) {
 	if a, ok := c.poll(); ok {
 		c.answers++
 		if a.Refusal != nil {
-			c.over = true
+			c.finished = true
 			return
 		}
-		c.place, c.until = &a.Place, w.now.Add(runTime)
+		c.place, c.runsUntil = &a.Place, w.now.Add(callDuration)
 	}
 	switch {
-	case c.place != nil && !w.now.Before(c.until):
-		c.over = true
-		c.host.control.Done(w.now, *c.place)
-	case c.place == nil && !w.now.Before(c.ends):
-		c.over = true
-		c.host.control.Leave(w.now, c.id)
+	case c.place != nil && !w.now.Before(c.runsUntil):
+		c.finished = true
+		c.host.control.Release(w.now, *c.place)
+	case c.place == nil && !w.now.Before(c.deadline):
+		c.finished = true
+		c.host.control.Cancel(w.now, c.id)
 	}
 }
 
-// settled checks what must hold once all faults are over and time has passed:
-// nobody has two answers, nothing is held or waited for by nobody, and a new
-// request is served at once.
-func (w *hosts) settled() {
+// expectSettled checks the state after all faults have ended and time has passed: each call
+// has one answer, no place is held or waited for, and a new request is served.
+func (w *cluster) expectSettled() {
 	for _, c := range w.calls {
-		ExpectWithOffset(2, c.over).To(BeTrue(), c.id)
+		ExpectWithOffset(2, c.finished).To(BeTrue(), c.id)
 		if !c.lost {
 			ExpectWithOffset(2, c.answers).To(Equal(1), c.id)
 		}
 	}
 	for _, h := range w.all {
-		if h.dead {
+		if h.crashed {
 			continue
 		}
 		s := h.control.State()
@@ -258,7 +257,7 @@
 		}
 	}
 	c := w.ask(w.entry())
-	w.run(time.Second)
+	w.advance(time.Second)
 	ExpectWithOffset(2, c.answers).To(Equal(1), "a new request")
 	ExpectWithOffset(2, c.place).NotTo(BeNil(), "a new request")
 }
--- a/runner/keeping_due.go
+++ b/runner/keeping_due.go
@@ -12,10 +12,10 @@
 	}
 }
 
-// scheduleTick sets the time of the next tick after one: within onceTickInterval where a
-// call is in progress, a record is not in the store, a refusal waits for the head or the
-// store is down, otherwise when logs are next checked. An idle keeper has no work that
-// depends on ticks.
+// scheduleTick sets the time of the next tick: within onceTickInterval where a call is in
+// progress, a record is not in the store, a refusal waits for the head or the store is
+// down, otherwise when logs are next checked. An idle keeper has no work that depends on
+// ticks.
 func (k *onceManager) scheduleTick(now time.Time) {
 	k.nextTick = now.Add(loadCheckInterval)
 	if len(k.calls) > 0 {
--- a/runner/keeping_store.go
+++ b/runner/keeping_store.go
@@ -167,7 +167,7 @@
 }
 
 // rewriteLayout writes the layout again where a store restored from an older snapshot has
-// lost it. Under another layout, a repeated key would reach a keeper that does not know it.
+// lost it. Under another layout, a repeated key could reach a keeper that does not know it.
 func (k *onceManager) rewriteLayout(ctx context.Context, l layout) {
 	pause(ctx, rand.N(layoutRewriteSpread))
 	k.writeLayout(ctx, l)
--- a/runner/keeping_test.go
+++ b/runner/keeping_test.go
@@ -15,7 +15,7 @@
 )
 
 // keyedHold sends a hold with a key and returns the answer.
-func keyedHold(h *running, id string) (int, string, error) {
+func keyedHold(h *runningHost, id string) (int, string, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+h.listen+"/services/app/holds", strings.NewReader(`{"seat":4}`))
 	if err != nil {
 		return 0, "", err
@@ -31,12 +31,11 @@
 	return resp.StatusCode, string(body), err
 }
 
-// Two hosts are started with unlike settings for the number of partitions. A
-// passenger's hold goes to one and is repeated at the other. Counted apart, the
-// key would fall into two partitions with two keepers, and the boat be held twice.
-var _ = Describe("Keys at hosts with unlike settings", func() {
+// Guards against a call that runs twice because two hosts with different settings for the
+// number of partitions put its key into different partitions, with a keeper each.
+var _ = Describe("Keys at hosts with different settings", func() {
 	It("fall into the same partitions", func() {
-		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*running{}}
+		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*runningHost{}}
 		t.url = serve(t.platform.Handler())
 		counter := &faker.Counter{}
 		app := strings.TrimPrefix(serve(faker.NewService("app", time.Millisecond, counter).Handler()), "http://")
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -15,7 +15,7 @@
 // flushTimeout bounds the time for sending the last messages to other hosts.
 const flushTimeout = time.Second
 
-// ErrAborted says that a shutdown ended before the requests in flight had.
+// ErrAborted means that a shutdown aborted requests that were still in flight.
 var ErrAborted = errors.New("requests were aborted")
 
 // Drain starts a graceful shutdown.
--- a/runner/limiting_test.go
+++ b/runner/limiting_test.go
@@ -50,7 +50,7 @@
 		records = append(records, registrar.Record{Name: h, Control: h, Incarnation: 1})
 	}
 	for _, h := range l.hosts {
-		l.by[h].Enroll(l.now, registrar.NewRoster(records...))
+		l.by[h].SetRoster(l.now, registrar.NewRoster(records...))
 	}
 }
 
--- a/runner/observing_test.go
+++ b/runner/observing_test.go
@@ -23,7 +23,7 @@
 			a, b := t.start("a", "z1", nil), t.start("b", "z2", nil)
 			Eventually(t.settled(2)).WithTimeout(10 * time.Second).Should(Succeed())
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			send := func(h *running) int {
+			send := func(h *runningHost) int {
 				status, _, _, err := post(client, h.listen, chatPath, chat(2))
 				Expect(err).NotTo(HaveOccurred())
 				return status
--- a/runner/poison_test.go
+++ b/runner/poison_test.go
@@ -25,7 +25,7 @@
 	)
 	DescribeTable("is held back after the third, by all hosts", func(path string, keyed bool) {
 		var ends atomic.Int64
-		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*running{}}
+		t := &fixture{platform: faker.NewPlatform(), hosts: map[string]*runningHost{}}
 		t.url = serve(t.platform.Handler())
 		var workers []string
 		for i := range 5 {
@@ -53,7 +53,7 @@
 		}
 		Eventually(t.settled(3), 20*time.Second, 50*time.Millisecond).Should(Succeed())
 		status, text, calls := 0, "", 0
-		call := func(h *running, body string) (int, string) {
+		call := func(h *runningHost, body string) (int, string) {
 			req, err := http.NewRequest(http.MethodPost, "http://"+h.listen+path, strings.NewReader(body))
 			Expect(err).NotTo(HaveOccurred())
 			req.Header.Set("Authorization", "Bearer "+key)
--- a/runner/rejoining.go
+++ b/runner/rejoining.go
@@ -7,10 +7,10 @@
 	"github.com/cicadawood/cicadawood/registrar"
 )
 
-// detectRejoin handles that this host was declared dead and has rejoined, as it was frozen.
-// The others have reclaimed the places of its calls. Its cells went with the roster that it
-// was not on; its calls are registered again here, also where the owner is unchanged. Its
-// keepers' logs may have been sealed.
+// detectRejoin handles that this host was declared dead, for example while it was frozen,
+// and has rejoined. The others have reclaimed the places of its calls. Its cells went with
+// the roster that it was not on; its calls are registered again here, also where the owner
+// is unchanged. Its keepers' logs may have been sealed.
 func (c *control) detectRejoin(now time.Time, r registrar.Roster) {
 	self, ok := r.Find(c.self)
 	if !ok || self.Incarnation == c.incarnation {
--- a/runner/rejoining_test.go
+++ b/runner/rejoining_test.go
@@ -15,8 +15,8 @@
 	"github.com/cicadawood/cicadawood/runner"
 )
 
-// ownedBy is a service whose cell a host of the roster owns.
-func ownedBy(r registrar.Roster, host string) string {
+// serviceOwnedBy returns a service whose cell is owned by a host of the roster.
+func serviceOwnedBy(r registrar.Roster, host string) string {
 	for i := 0; ; i++ {
 		service := fmt.Sprint("service", i)
 		if owner, _ := r.Owner(service + "/0"); owner.Name == host {
@@ -25,7 +25,7 @@
 	}
 }
 
-// readyKeeper is a host's keeper that has read its log, which is empty.
+// readyKeeper returns a host's keeper that has read its log, which is empty.
 func readyKeeper(now time.Time, c runner.Control) *keeper.Keeper {
 	k := c.Keeper(0)
 	k.Handle(now, keeper.LoadRequested{})
@@ -38,13 +38,13 @@
 }
 
 var _ = Describe("A host that rejoins", func() {
-	// Story: a host stands still, is declared dead, and comes back. Its caller's stream
-	// still runs on a worker, but the dispatcher took that place back and would give
-	// it to another request as well. So the host claims it again.
-	It("registers its calls anew with an owner that took them back", Label(prover.Cell(prover.Granted, prover.Freeze)), func() {
+	// Guards against a place that is granted twice. A host freezes, is declared dead and
+	// rejoins; its stream still runs on a worker, but the dispatcher has reclaimed the
+	// place. The host must claim it again.
+	It("registers its calls again with an owner that reclaimed them", Label(prover.Cell(prover.Granted, prover.Freeze)), func() {
 		now := time.Unix(1000, 0)
 		first := registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 1}, registrar.Record{Name: "b", Control: "b", Incarnation: 1})
-		service := ownedBy(first, "b")
+		service := serviceOwnedBy(first, "b")
 		var asks []messenger.Ask
 		var claims []messenger.Claim
 		c := runner.NewControl("a", func(_ string, m messenger.Message) {
@@ -59,38 +59,38 @@
 			Classes:  map[string]loader.Class{"chat": {Whole: loader.Duration(time.Minute)}},
 			Services: map[string]loader.Service{service: {Kind: loader.KindEngine, Workers: []loader.Worker{{Name: "w", Address: "w", Slots: 4}}}},
 		})
-		c.Enroll(now, first)
+		c.SetRoster(now, first)
 		answer := c.Ask(now, service, messenger.Ask{Request: "r", Class: "chat", Deadline: time.Minute})
 		Expect(asks).To(HaveLen(1))
 		c.Deliver(now, "b", messenger.Grant{Request: "r", Attempt: asks[0].Attempt, Cell: service + "/0", Worker: "w", Epoch: 1, Class: "chat"})
 		got, ok := answer()
 		Expect(ok && got.Refusal == nil).To(BeTrue())
-		c.Enroll(now, registrar.NewRoster(registrar.Record{Name: "b", Control: "b", Incarnation: 1}))
+		c.SetRoster(now, registrar.NewRoster(registrar.Record{Name: "b", Control: "b", Incarnation: 1}))
 		Expect(claims).To(BeEmpty(), "the owner is the same as before")
-		c.Enroll(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 2}, registrar.Record{Name: "b", Control: "b", Incarnation: 1}))
+		c.SetRoster(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 2}, registrar.Record{Name: "b", Control: "b", Incarnation: 1}))
 		Expect(claims).To(HaveLen(1))
 		Expect(claims[0].Worker).To(Equal("w"))
 	})
 
-	// Story: a host that keeps keys stands still, another one takes its partition and
-	// runs holds, and the host is back on the roster. What its keeper remembers is old.
-	It("has its keepers forget their logs", func() {
+	// Guards against a keeper that answers from an outdated log: its host froze, another
+	// one took its partition and ran calls, and the host rejoined.
+	It("has its keepers discard their logs", func() {
 		now := time.Unix(1000, 0)
 		c := runner.NewControl("a", func(string, messenger.Message) {})
-		c.Enroll(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 1}))
+		c.SetRoster(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 1}))
 		k := readyKeeper(now, c)
 		Expect(k.Summary().Ready).To(BeTrue())
-		c.Enroll(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 1}))
+		c.SetRoster(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 1}))
 		Expect(k.Summary().Ready).To(BeTrue())
-		c.Enroll(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 2}))
+		c.SetRoster(now, registrar.NewRoster(registrar.Record{Name: "a", Incarnation: 2}))
 		Expect(k.Summary().Ready).To(BeFalse())
 	})
 })
 
-// Story: nothing is under way but a refusal that waits for the head, or a store that
-// was down: looked after late, the caller would be told "unknown", or the partition
-// come back long after the store.
-var _ = DescribeTable("Keepers are looked after soon", func(last keeper.Input) {
+// Guards against a late tick when nothing is in progress but a refusal that waits for the
+// head, or a store that was down: the caller would be answered "unknown", or the partition
+// be ready long after the store is.
+var _ = DescribeTable("Keepers are ticked soon", func(last keeper.Input) {
 	now := time.Unix(1000, 0)
 	c := runner.NewControl("a", func(string, messenger.Message) {})
 	k := readyKeeper(now, c)
--- a/runner/reloading.go
+++ b/runner/reloading.go
@@ -10,8 +10,9 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// memoryLimitRatio is the part of a process's memory that the runtime's memory limit is set
-// to: the kernel's buffers of connections use memory, too.
+// memoryLimitRatio is the part of a process's memory at which the runtime collects garbage
+// more aggressively. The rest is for memory outside the heap, such as the kernel's buffers
+// of connections.
 const memoryLimitRatio = 0.6
 
 // setMemoryLimit sets the runtime's memory limit from the memory that the process may use.
