--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -193,7 +193,7 @@
 		return nil
 	}
 	if !w.Take(now, p.repeat, p.hosts) {
-		return &router.Refused{Reason: "retry_budget", After: time.Second}
+		return &router.Refused{Reason: "retry_budget", RetryAfter: time.Second}
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 	var workers []placer.Worker
 	for _, e := range p.directory.Available() {
 		w := placer.Worker{
-			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, ColdFor: e.WarmUp, Instance: e.Incarnation,
+			Name: e.Name, Service: e.Service, Address: e.Address, Zone: e.Zone, Slots: e.Slots, WarmUp: e.WarmUp, Incarnation: e.Incarnation,
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
--- a/runner/following.go
+++ b/runner/following.go
@@ -38,11 +38,11 @@
 // and enforce each configuration that comes in force.
 func newConfigFollower(s loader.Host, store storer.Store, m sender, log *zap.Logger, ready func(bool), enforce func(*loader.Folder, uint64)) *configFollower {
 	g := &configFollower{settings: s, log: log, sender: m}
-	timing := publisher.Timing{Confirm: s.Limits.Confirm.Std()}
+	timing := publisher.Timing{ConfirmTimeout: s.Limits.Confirm.Std()}
 	if s.Dialect == loader.DialectPlatform {
-		timing.Poll, timing.Current = operatorPollInterval, true
+		timing.PollInterval, timing.AlwaysCurrent = operatorPollInterval, true
 	}
-	g.Follower = publisher.NewFollower(store, timing, log, publisher.Actions{Enforce: enforce, Ask: g.requestConfig, Ready: ready})
+	g.Follower = publisher.NewFollower(store, timing, log, publisher.Actions{Enforce: enforce, RequestHead: g.requestConfig, SetReady: ready})
 	if s.Dialect == loader.DialectPlatform {
 		g.SetSource(operatorSource(func() bool { return g.shouldWatch == nil || g.shouldWatch() }))
 	}
@@ -66,12 +66,12 @@
 // was all. Configurations bypass the control state, so that one of a megabyte does not
 // delay grants.
 func (g *configFollower) receive(e messenger.Envelope, m messenger.Message) bool {
-	g.Confirmed(e.From, e.Generation, time.Now())
+	g.ReceiveGeneration(e.From, e.Generation, time.Now())
 	switch m := m.(type) {
 	case messenger.ConfigRequest:
 		g.sendConfig(m)
 	case messenger.ConfigReply:
-		g.Received(e.From, m.Packed)
+		g.ReceiveHead(e.From, m.Packed)
 	default:
 		return false
 	}
--- a/runner/operator.go
+++ b/runner/operator.go
@@ -27,7 +27,7 @@
 // shouldWatch returns whether this host must watch it.
 func operatorSource(shouldWatch func() bool) publisher.Source {
 	return publisher.Source{
-		Key: platform.ConfigurationKey, Decode: decodeOperator, Wait: relayer.WatchTimeout, Retries: operatorRetries, Turn: shouldWatch,
+		Key: platform.ConfigurationKey, Decode: decodeOperator, WatchTimeout: relayer.WatchTimeout, BackoffDoublings: operatorRetries, ShouldWatch: shouldWatch,
 	}
 }
 
@@ -36,11 +36,11 @@
 func decodeOperator(o storer.Object) (publisher.Head, error) {
 	c, err := platform.DecodeConfiguration(o.Value)
 	if err != nil {
-		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrObject, err)
+		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrInvalidObject, err)
 	}
 	text, err := json.Marshal(c.Folder)
 	if err != nil {
-		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrObject, err)
+		return publisher.Head{}, fmt.Errorf("%w: %v", publisher.ErrInvalidObject, err)
 	}
 	return publisher.NewHead(loader.Files{operatorFile: string(text)}, c.Version)
 }
