--- a/runner/control.go
+++ b/runner/control.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// handle applies an event.
 func (c *control) handle(now time.Time, e event) {
 	switch e := e.(type) {
 	case frameReceived:
@@ -184,6 +185,8 @@
 	}
 }
 
+// send sends a message to a host of the roster. One to this host itself is handled
+// directly.
 func (c *control) send(now time.Time, host string, m messenger.Message) {
 	if host == c.self {
 		c.handleMessage(now, c.self, m)
@@ -198,6 +201,8 @@
 	}
 }
 
+// configure puts a configuration in force: dispatchers of cells that no longer exist end,
+// and calls that wait for a place in one move to another cell of their service.
 func (c *control) configure(now time.Time, e configChanged) {
 	c.folder, c.generation = e.folder, e.generation
 	c.sender.SetGeneration(e.generation)
--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -105,7 +105,7 @@
 	// signal, or the drain limit, ends the host, and it reports the requests that it
 	// aborted.
 	DescribeTable("ends when told to, and reports what it aborted",
-		func(limit time.Duration, hurry func(h *runningHost)) {
+		func(limit time.Duration, trigger func(h *runningHost)) {
 			model := faker.DefaultModel()
 			model.Slow = 1000 // a token takes longer than the test
 			t := newFixtureOf(model, time.Millisecond, "lm1")
@@ -113,7 +113,7 @@
 			Eventually(t.settled(1)).WithTimeout(10 * time.Second).Should(Succeed())
 			inFlight := stream(a, 100000)
 			a.term()
-			hurry(a)
+			trigger(a)
 			Eventually(a.done).WithTimeout(20 * time.Second).Should(Receive(MatchError(runner.ErrAborted)))
 			var end answer
 			Eventually(inFlight).WithTimeout(5 * time.Second).Should(Receive(&end))
@@ -137,13 +137,13 @@
 		b.refresh()
 		stop := make(chan struct{})
 		type result struct {
-			bad   []string
-			whole int
+			failures []string
+			complete int
 		}
 		results := make(chan result, 1)
 		go func() {
-			bad, whole := b.traffic(stop)
-			results <- result{bad, whole}
+			failures, complete := b.traffic(stop)
+			results <- result{failures, complete}
 		}()
 		for i := range 3 {
 			h := t.start(fmt.Sprint("new", i), fmt.Sprint("z", i), nil)
@@ -157,7 +157,7 @@
 		close(stop)
 		var r result
 		Eventually(results).WithTimeout(20 * time.Second).Should(Receive(&r))
-		Expect(r.bad).To(BeEmpty())
-		Expect(r.whole).To(BeNumerically(">", 50))
+		Expect(r.failures).To(BeEmpty())
+		Expect(r.complete).To(BeNumerically(">", 50))
 	})
 })
--- a/runner/fixture_test.go
+++ b/runner/fixture_test.go
@@ -221,7 +221,7 @@
 
 // traffic sends quotes and chats through the balancer until stop is closed, and returns the
 // failures and the number of complete answers.
-func (b *balancer) traffic(stop <-chan struct{}) (bad []string, whole int) {
+func (b *balancer) traffic(stop <-chan struct{}) (failures []string, complete int) {
 	var callers sync.WaitGroup
 	var mu sync.Mutex
 	for c := range 6 {
@@ -243,9 +243,9 @@
 				good := err == nil && status == http.StatusOK && (c%2 == 1 || strings.HasSuffix(strings.TrimSpace(text), "[DONE]"))
 				mu.Lock()
 				if good {
-					whole++
+					complete++
 				} else {
-					bad = append(bad, fmt.Sprintf("%s: %d %v %.200s", path, status, err, text))
+					failures = append(failures, fmt.Sprintf("%s: %d %v %.200s", path, status, err, text))
 				}
 				mu.Unlock()
 			}
@@ -257,7 +257,7 @@
 		select {
 		case <-stop:
 			callers.Wait()
-			return bad, whole
+			return failures, complete
 		case <-refreshes.C:
 			b.refresh()
 		}
--- a/runner/host.go
+++ b/runner/host.go
@@ -1,5 +1,5 @@
-// Package runner composes one host: its roles, its adapters, and the goroutine
-// that owns all control state.
+// Package runner composes one host: its roles, its adapters, and the goroutine that owns
+// all control state.
 package runner
 
 import (
@@ -45,8 +45,7 @@
 	drainOnce      sync.Once
 }
 
-// Run runs a host until ctx ends or it is drained, then shuts it down
-// gracefully.
+// Run runs a host until ctx ends or it is drained, then shuts it down gracefully.
 func Run(ctx context.Context, settings loader.Host, log *zap.Logger) error {
 	return RunUntil(ctx, nil, settings, log)
 }
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -53,6 +53,8 @@
 	}
 }
 
+// startCall starts a call of this host's entry. While the layout has not been read, the
+// reply is that its outcome is unknown.
 func (k *onceManager) startCall(now time.Time, e onceRequested) {
 	if k == nil || k.partitions == 0 {
 		// The call with this key may have run before this host was started.
@@ -120,6 +122,8 @@
 	k.control.send(now, from, messenger.OnceReadyReply{Request: m.Request, Partition: m.Partition, ID: m.ID, OK: ok})
 }
 
+// handleVerdict passes a final verdict to the caller; after one that is not final, the call
+// is sent again.
 func (k *onceManager) handleVerdict(now time.Time, m messenger.OnceVerdict) {
 	c := k.calls[m.Request]
 	if c == nil {
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -22,22 +22,22 @@
 func (h *Host) registerMetrics(r *prometheus.Registry) {
 	h.registry = r
 	r.MustRegister(dispatching{state: h.State})
-	member := func(name, help string, value func(registrar.Counts) float64) {
+	membership := func(name, help string, value func(registrar.Counts) float64) {
 		r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 { return value(h.registrar.Counts()) }))
 	}
-	member("cicadawood_hosts_alive", "Hosts on this host's roster.", func(c registrar.Counts) float64 { return float64(c.Alive) })
-	member("cicadawood_hosts_parted", "Hosts that live but can't be reached from here.", func(c registrar.Counts) float64 { return float64(c.Unreachable) })
-	member("cicadawood_host_suspicions", "Suspicions begun by this host.", func(c registrar.Counts) float64 { return float64(c.Suspicions) })
-	member("cicadawood_host_deaths", "Deaths concluded by this host.", func(c registrar.Counts) float64 { return float64(c.Deaths) })
-	member("cicadawood_host_rejoins", "Times that this host was declared dead and came back.", func(c registrar.Counts) float64 { return float64(c.Rejoins) })
-	link := func(name, help string, value func(messenger.Counts) uint64) {
+	membership("cicadawood_hosts_alive", "Hosts on this host's roster.", func(c registrar.Counts) float64 { return float64(c.Alive) })
+	membership("cicadawood_hosts_parted", "Hosts that live but can't be reached from here.", func(c registrar.Counts) float64 { return float64(c.Unreachable) })
+	membership("cicadawood_host_suspicions", "Suspicions begun by this host.", func(c registrar.Counts) float64 { return float64(c.Suspicions) })
+	membership("cicadawood_host_deaths", "Deaths concluded by this host.", func(c registrar.Counts) float64 { return float64(c.Deaths) })
+	membership("cicadawood_host_rejoins", "Times that this host was declared dead and came back.", func(c registrar.Counts) float64 { return float64(c.Rejoins) })
+	connection := func(name, help string, value func(messenger.Counts) uint64) {
 		r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: help}, func() float64 { return float64(value(h.messenger.Counts())) }))
 	}
-	link("cicadawood_messenger_sent_bytes_total", "Bytes sent to other hosts.", func(c messenger.Counts) uint64 { return c.Sent })
-	link("cicadawood_messenger_received_bytes_total", "Bytes received from other hosts.", func(c messenger.Counts) uint64 { return c.Received })
-	link("cicadawood_messenger_resent_total", "Frames written again on a new connection.", func(c messenger.Counts) uint64 { return c.Resent })
-	link("cicadawood_messenger_replaced_total", "Connections between hosts replaced because they went silent.", func(c messenger.Counts) uint64 { return c.Replaced })
-	link("cicadawood_messenger_dropped_total", "Messages given up: queue full, or peer out of reach too long.", func(c messenger.Counts) uint64 { return c.Dropped })
-	link("cicadawood_messenger_duplicates_total", "Frames that had come before.", func(c messenger.Counts) uint64 { return c.Duplicates })
+	connection("cicadawood_messenger_sent_bytes_total", "Bytes sent to other hosts.", func(c messenger.Counts) uint64 { return c.Sent })
+	connection("cicadawood_messenger_received_bytes_total", "Bytes received from other hosts.", func(c messenger.Counts) uint64 { return c.Received })
+	connection("cicadawood_messenger_resent_total", "Frames written again on a new connection.", func(c messenger.Counts) uint64 { return c.Resent })
+	connection("cicadawood_messenger_replaced_total", "Connections between hosts replaced because they went silent.", func(c messenger.Counts) uint64 { return c.Replaced })
+	connection("cicadawood_messenger_dropped_total", "Messages given up: queue full, or peer out of reach too long.", func(c messenger.Counts) uint64 { return c.Dropped })
+	connection("cicadawood_messenger_duplicates_total", "Frames that had come before.", func(c messenger.Counts) uint64 { return c.Duplicates })
 	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cicadawood_workers_leaving", Help: "Backend servers that get nothing new because they are leaving."}, func() float64 { return float64(h.observing.leaving()) }))
 }
--- a/runner/rejoining_test.go
+++ b/runner/rejoining_test.go
@@ -89,7 +89,7 @@
 
 // Guards against a late tick when nothing is in progress but a refusal that waits for the
 // head, or a store that was down: the caller would be answered "unknown", or the partition
-// be ready long after the store is.
+// would be ready long after the store.
 var _ = DescribeTable("Keepers are ticked soon", func(last keeper.Input) {
 	now := time.Unix(1000, 0)
 	c := runner.NewControl("a", func(string, messenger.Message) {})
