--- a/runner/beliefs.go
+++ b/runner/beliefs.go
@@ -19,26 +19,26 @@
 	BudgetHosts   int                  `json:"sharing"`  // number of hosts that share the retry budget
 	Workers       []placer.WorkerState `json:"workers"`
 
-	Quarantine []Quarantined `json:"quarantine"` // requests in quarantine
+	Quarantine []QuarantinedRequest `json:"quarantine"` // requests in quarantine
 }
 
 // routingStateRequested asks for the state of host routes.
 type routingStateRequested struct{ reply chan<- RoutingState }
 
 // routingState returns the current state; the zero value where the host is stopping.
-func (p *choosing) routingState() RoutingState {
-	return askChoosing(context.Background(), p, func(reply chan<- RoutingState) event { return routingStateRequested{reply: reply} })
+func (p *selector) routingState() RoutingState {
+	return askSelector(context.Background(), p, func(reply chan<- RoutingState) event { return routingStateRequested{reply: reply} })
 }
 
 // buildRoutingState collects the state of host routes.
-func (p *choosing) buildRoutingState(now time.Time) RoutingState {
+func (p *selector) buildRoutingState(now time.Time) RoutingState {
 	after, _, _ := p.relay.Next(now)
 	b := RoutingState{
-		ListAge: -1, Era: after.Era(), Revision: after.Revision(), WatchesStore: p.calls.Load(), WatchesForAll: p.relay.Watching(), Decides: p.deciding.decides(p.self), BudgetHosts: p.hosts, Workers: p.view.WorkerStates(now),
+		ListAge: -1, Era: after.Era(), Revision: after.Revision(), WatchesStore: p.watchesStore.Load(), WatchesForAll: p.relay.Watching(), Decides: p.deciderSet.decides(p.self), BudgetHosts: p.maxHosts, Workers: p.view.WorkerStates(now),
 	}
 	b.Quarantine = p.quarantine.state(now)
-	if !p.listed.IsZero() {
-		b.ListAge = now.Sub(p.listed)
+	if !p.updatedAt.IsZero() {
+		b.ListAge = now.Sub(p.updatedAt)
 	}
 	return b
 }
--- a/runner/control.go
+++ b/runner/control.go
@@ -56,14 +56,14 @@
 	observer           observer.Observer
 	available          map[workerName]bool // as last reported to the dispatchers
 	unavailable        *atomic.Int64       // number of workers that get no new work
-	limiting           limiting
+	limiting           limitState
 	lastAttempt        uint64            // number of the last Ask or Claim
 	cellEpochs         map[string]uint64 // highest epoch seen, by cell
 	chooser            dispatcher.Chooser
 	nextDispatcherTick time.Time // zero for never
 	nextCallCheck      time.Time // when calls are next checked for a retry or a renewal
 	once               *onceManager
-	quarantine         *quarantining // nil where the host serves host routes
+	quarantine         *quarantineSync // nil where the host serves host routes
 }
 
 func newControl(self string, epoch uint64, s sender, log *zap.Logger) *control {
@@ -82,7 +82,7 @@
 	defer timer.Stop()
 	var armedFor time.Time // when the timer fires
 	for {
-		if next := c.next(); !next.Equal(armedFor) {
+		if next := c.nextTick(); !next.Equal(armedFor) {
 			armedFor = next
 			timer.Reset(time.Until(next))
 		}
@@ -101,7 +101,7 @@
 // tick performs all work that is due.
 func (c *control) tick(now time.Time) {
 	c.tickDispatchers(now)
-	c.borrow(now)
+	c.requestLoans(now)
 	c.once.tick(now)
 	c.quarantine.tick(now)
 	if now.Before(c.nextCallCheck) {
@@ -109,11 +109,11 @@
 	}
 	c.nextCallCheck = now.Add(askRetryInterval / 4)
 	for _, k := range c.calls {
-		switch elapsed := now.Sub(k.asked); {
+		switch elapsed := now.Sub(k.sentAt); {
 		case k.worker == "" && elapsed >= askRetryInterval:
 			c.register(now, k)
 		case k.worker != "" && elapsed >= renewInterval:
-			c.renew(now, k)
+			c.sendProgress(now, k)
 		}
 	}
 }
@@ -124,23 +124,23 @@
 	case frameReceived:
 		c.handleMessage(now, e.from, e.message)
 	case placeRequested:
-		c.ask(now, e)
+		c.startCall(now, e)
 	case placeCanceled:
-		c.leave(now, e.request)
+		c.cancelCall(now, e.request)
 	case placeReleased:
-		c.done(now, e)
+		c.finishCall(now, e)
 	case progressReported:
-		c.progressed(now, e)
+		c.recordProgress(now, e)
 	case configChanged:
 		c.configure(now, e)
 	case rosterChanged:
 		c.setRoster(now, e.roster)
-	case workersListed, workerReported, workerRefused, reportsWanted:
-		c.observe(now, e)
-	case quarantineStored:
-		c.quarantine.stored(now, e)
+	case workersListed, workerReported, workerRefused, pollTargetsRequested:
+		c.handleWorkerEvent(now, e)
+	case quarantineStoreResult:
+		c.quarantine.handleStoreResult(now, e)
 	case storeRestored:
-		c.quarantine.restore()
+		c.quarantine.storeRestored()
 		c.once.handleEvent(now, e)
 	case stateRequested:
 		e.reply <- c.state()
@@ -163,22 +163,22 @@
 	case messenger.Progress:
 		c.dispatch(now, m.Cell, from, m)
 	case messenger.Grant:
-		c.granted(now, from, m)
+		c.handleGrant(now, from, m)
 	case messenger.Refuse:
-		c.refused(now, m)
+		c.handleRefusal(now, m)
 	case messenger.Preempt:
-		c.preempted(m)
+		c.handlePreempt(m)
 	case messenger.WorkerRefused:
 		c.observer.Refused(now, m.Address)
-		c.observe(now, nil)
+		c.handleWorkerEvent(now, nil)
 	case messenger.Borrow:
 		c.lend(now, from, m)
 	case messenger.Lend:
-		c.lent(now, m)
+		c.receiveLoan(now, m)
 	case messenger.WorkerReport:
-		c.quarantine.mark(now, m)
+		c.quarantine.recordReport(now, m)
 	case messenger.Quarantine:
-		c.quarantine.hear(now, quarantineHeard{from: from, held: heldOf(m)})
+		c.quarantine.receive(now, quarantineReceived{from: from, entries: decodeQuarantine(m)})
 	case messenger.Moved:
 	default:
 		c.once.handleMessage(now, from, m)
@@ -217,9 +217,9 @@
 	}
 	for name, d := range c.dispatchers {
 		if cell, ok := c.cells[name]; ok {
-			d.Configure(c.filled(now, cell), e.folder.Classes)
+			d.Configure(c.availableCell(now, cell), e.folder.Classes)
 			out := d.Tick(now)
-			c.awaits(d)
+			c.schedule(d)
 			c.emit(now, out)
 		} else {
 			delete(c.dispatchers, name)
@@ -248,7 +248,7 @@
 		lost = append(lost, h.Name)
 		for _, d := range c.dispatchers {
 			out := d.HostLost(now, h.Name)
-			c.awaits(d)
+			c.schedule(d)
 			c.emit(now, out)
 		}
 	}
@@ -268,8 +268,8 @@
 func (c *control) setRoster(now time.Time, r registrar.Roster) {
 	old := c.roster
 	c.roster = r
-	c.limiting.enroll(now, old, r)
-	c.quarantine.enroll(now, r)
+	c.limiting.setRoster(now, old, r)
+	c.quarantine.setRoster(now, r)
 	c.reclaimLost(now, old, r)
 	c.detectRejoin(now, r)
 	for name := range c.dispatchers {
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -121,7 +121,7 @@
 }
 
 // Next returns when the next tick is due.
-func (k Control) Next() time.Time { return k.c.next() }
+func (k Control) Next() time.Time { return k.c.nextTick() }
 
 // PendingFrames are the frames that wait for a configuration.
 type PendingFrames struct{ h pendingFrames }
@@ -141,30 +141,30 @@
 }
 
 // Selector is a host's selection of workers, driven by a test instead of its goroutine.
-type Selector struct{ c *choosing }
+type Selector struct{ c *selector }
 
 // NewSelector returns the selector of a host that sends through send and knows the workers.
 func NewSelector(self string, workers []placer.Worker, send func(address string, m messenger.Message)) Selector {
-	c := newChoosing(self, "z", sendFunc(send), nil, loader.Repeat{}, zap.NewNop())
-	c.share = time.NewTimer(time.Hour)
+	c := newSelector(self, "z", sendFunc(send), nil, loader.Repeat{}, zap.NewNop())
+	c.updateTimer = time.NewTimer(time.Hour)
 	c.view.SetWorkers(time.Now(), workers)
 	return Selector{c}
 }
 
 // SetRoster applies a roster.
 func (x Selector) SetRoster(now time.Time, r registrar.Roster) {
-	x.c.take(now, rosterChanged{roster: r})
+	x.c.handle(now, rosterChanged{roster: r})
 }
 
 // Ask requests a worker; the result follows immediately or later.
 func (x Selector) Ask(now time.Time, a placer.Request) <-chan string {
 	reply, out := make(chan workerReply, 1), make(chan string, 1)
-	x.c.take(now, workerAsked{ask: a, reply: reply})
+	x.c.handle(now, workerRequested{request: a, reply: reply})
 	go func() {
 		if r := <-reply; r.refused != nil {
 			out <- "refused " + r.refused.Reason
 		} else {
-			out <- r.place.Worker.Name + " by " + r.place.PlacedBy
+			out <- r.placement.Worker.Name + " by " + r.placement.PlacedBy
 		}
 	}()
 	return out
@@ -173,10 +173,10 @@
 // Place requests a worker and returns the immediate result; false where there is none.
 func (x Selector) Place(now time.Time, a placer.Request) (router.Placement, bool) {
 	reply := make(chan workerReply, 1)
-	x.c.take(now, workerAsked{ask: a, reply: reply})
+	x.c.handle(now, workerRequested{request: a, reply: reply})
 	select {
 	case r := <-reply:
-		return r.place, r.refused == nil
+		return r.placement, r.refused == nil
 	default:
 		return router.Placement{}, false
 	}
@@ -184,11 +184,11 @@
 
 // End ends a request at its worker.
 func (x Selector) End(now time.Time, p router.Placement) {
-	x.c.take(now, sendEnded{id: p.ID, outcome: placer.Answered, filling: p.HalfFull})
+	x.c.handle(now, flightEnded{id: p.ID, outcome: placer.Answered, halfFull: p.HalfFull})
 }
 
 // ShareDelay returns how long after now the other hosts are notified of what happened.
-func (x Selector) ShareDelay(now time.Time) time.Duration { return x.c.shareAt.Sub(now) }
+func (x Selector) ShareDelay(now time.Time) time.Duration { return x.c.updateDue.Sub(now) }
 
 // Receive handles a message of another host. The test drives the time, see DeciderTimedOut:
 // events of real timers are dropped.
@@ -197,24 +197,26 @@
 	g.receive(from, m)
 	for {
 		e := <-x.c.events
-		if _, timer := e.(seekLate); !timer {
-			x.c.take(now, e)
+		if _, timer := e.(placementTimedOut); !timer {
+			x.c.handle(now, e)
 			return
 		}
 	}
 }
 
 // DeciderTimedOut ends the time that a decider has to answer a request.
-func (x Selector) DeciderTimedOut(now time.Time, id uint64) { x.c.take(now, seekLate{id: id}) }
+func (x Selector) DeciderTimedOut(now time.Time, id uint64) {
+	x.c.handle(now, placementTimedOut{id: id})
+}
 
 // DeciderTimeout returns how long a decider may take to answer.
-func (x Selector) DeciderTimeout() time.Duration { return x.c.deciding.within() }
+func (x Selector) DeciderTimeout() time.Duration { return x.c.deciderSet.timeout() }
 
 // RequestOf returns the request that a message asks a decider to place.
-func RequestOf(s messenger.PlacementRequest) placer.Request { return askOf(s) }
+func RequestOf(s messenger.PlacementRequest) placer.Request { return decodeRequest(s) }
 
 // Share notifies the other hosts of what happened since it was last called.
-func (x Selector) Share() { x.c.tell() }
+func (x Selector) Share() { x.c.sendUpdate() }
 
 // Flights returns the number of requests that the host counts at a worker.
 func (x Selector) Flights(now time.Time, worker string) int {
@@ -236,7 +238,7 @@
 }
 
 // Restore reports that the store was restored from an older snapshot.
-func (s QuarantineStore) Restore() { s.q.restore() }
+func (s QuarantineStore) Restore() { s.q.storeRestored() }
 
 // Sweep performs the call that is due, and returns what was read and the errors; false
 // where none was due.
@@ -245,7 +247,7 @@
 	select {
 	case job := <-s.q.jobs:
 		done := s.q.call(context.Background(), job)
-		return s.q.done(now, done), done.bad, done.err, true
+		return s.q.done(now, done), done.malformed, done.err, true
 	default:
 		return nil, nil, nil, false
 	}
--- a/runner/host.go
+++ b/runner/host.go
@@ -37,7 +37,7 @@
 	registrar      *registrar.Registrar
 	messenger      *messenger.Messenger
 	server         *server.Server
-	observing      *observing
+	observing      *workerPoller
 	registry       *prometheus.Registry
 	routes         *hostRoutes // nil where the host speaks the product's own dialect
 	era            eraTracker
@@ -109,8 +109,8 @@
 	registry := prometheus.NewRegistry()
 	store = countStoreCalls(store, registry)
 	h.control = newControl(s.Name, incarnation, nil, h.log)
-	h.observing = newObserving(h.control, s.Platform, h.log)
-	forward.OnRefused(h.observing.refused)
+	h.observing = newWorkerPoller(h.control, s.Platform, h.log)
+	forward.OnRefused(h.observing.postRefusal)
 	connected := make(chan struct{})
 	m, closeMessenger, err := messenger.Open(messenger.Config{
 		Name: s.Name, Incarnation: incarnation, Address: s.Control, AckTimeout: s.Limits.Link.Std(), AckDelay: ackDelay,
@@ -138,7 +138,7 @@
 	})
 	var shouldWatch func() bool
 	if s.Dialect == loader.DialectPlatform {
-		shouldWatch = func() bool { return h.routes.selector.calls.Load() }
+		shouldWatch = func() bool { return h.routes.selector.watchesStore.Load() }
 	}
 	h.registrar = registrar.New(registrar.Config{
 		Self: registrar.Record{
@@ -153,18 +153,18 @@
 		},
 	})
 	h.server = server.New(s.Limits, h.follower, h.control, forward, h.log, server.NewMetrics(registry))
-	h.server.SetLimiter(limits{&h.control.limiting.gates})
+	h.server.SetLimiter(limitAdapter{&h.control.limiting.gates})
 	h.control.once = newOnceManager(h.control, store, forward, s.Limits.Once, newOnceMetrics(registry), h.log)
 	h.control.once.era = h.era.current
 	h.server.SetOnce(h.control)
 	if s.Dialect != loader.DialectPlatform {
-		h.control.keepQuarantine(m, store, registry)
+		h.control.startQuarantine(m, store, registry)
 		h.server.SetQuarantine(h.control.quarantine)
 	}
 	if s.Dialect == loader.DialectPlatform {
 		h.routes = newHostRoutes(s, store, m, h.follower, h.log, registry)
-		h.follower.shouldWatch = h.routes.selector.calls.Load
-		h.routes.selector.reach = h.era.advance
+		h.follower.shouldWatch = h.routes.selector.watchesStore.Load
+		h.routes.selector.onEra = h.era.advance
 		h.server.SetRoutes(h.routes.router)
 	}
 	h.era.onRestored(func(n uint64) {
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -71,7 +71,7 @@
 func (k *onceManager) handlePlace(now time.Time, e placeAcquired) {
 	x := e.keeper.acquisitions[e.attempt]
 	if x == nil { // released in the meantime
-		k.control.done(now, placeReleased{place: e.place})
+		k.control.finishCall(now, placeReleased{place: e.place})
 		return
 	}
 	x.place, x.grantedAt = &e.place, now
@@ -87,7 +87,7 @@
 	delete(p.acquisitions, at)
 	x.cancel()
 	if x.place != nil {
-		k.control.done(now, placeReleased{place: *x.place, usage: x.usage})
+		k.control.finishCall(now, placeReleased{place: *x.place, usage: x.usage})
 	}
 }
 
--- a/runner/naming.go
+++ b/runner/naming.go
@@ -19,7 +19,7 @@
 
 // updateLimit applies a worker's limit and forwards a new one to the other hosts: it
 // applies to all hosts together.
-func (p *choosing) updateLimit(now time.Time, e limitReported) {
+func (p *selector) updateLimit(now time.Time, e limitReported) {
 	was := p.view.RateLimit(e.worker)
 	if !p.view.UpdateLimit(now, e.worker, e.rate, e.previous) {
 		return
@@ -28,12 +28,12 @@
 	if rate != was {
 		p.log.Info("limit", zap.String("worker", e.worker), zap.Float64("was", was), zap.Float64("rate", rate))
 	}
-	p.shared.Limits = append(p.shared.Limits, messenger.WorkerLimit{Worker: e.worker, Rate: rate})
-	p.tellWithin(now, p.within(sentWithin, sentByDeciders))
+	p.pendingUpdate.Limits = append(p.pendingUpdate.Limits, messenger.WorkerLimit{Worker: e.worker, Rate: rate})
+	p.scheduleUpdate(now, p.delayFor(sentDelay, sentDelayToListeners))
 }
 
 // receiveLimits applies the limits that workers reported to another host.
-func (p *choosing) receiveLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
+func (p *selector) receiveLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
 	for _, l := range limits {
 		if was := p.view.RateLimit(l.Worker); was != l.Rate {
 			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", was), zap.Float64("rate", l.Rate), zap.String("by", from))
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -22,18 +22,18 @@
 
 // hostRoutes are the parts of a host that serve host routes.
 type hostRoutes struct {
-	selector *choosing
-	listing  *listing
+	selector *selector
+	listing  *storeWatch
 	router   *router.Router
 	pool     *connector.Pool
 	close    func()
 }
 
 func newHostRoutes(s loader.Host, store storer.Store, m sender, f *configFollower, log *zap.Logger, registry prometheus.Registerer) *hostRoutes {
-	g := &hostRoutes{selector: newChoosing(s.Name, s.Zone, m, store, s.Repeat, log)}
+	g := &hostRoutes{selector: newSelector(s.Name, s.Zone, m, store, s.Repeat, log)}
 	g.selector.quarantine.register(registry)
 	g.pool, g.close = connector.New()
-	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.selector.post(e) }, next: g.selector.next}
+	g.listing = &storeWatch{store: store, log: log, report: func(e storeResult) { g.selector.post(e) }, nextCall: g.selector.nextCall}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.selector, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
 		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
@@ -48,17 +48,17 @@
 	}
 	switch m := m.(type) {
 	case messenger.FlightUpdate:
-		g.selector.post(sharedHeard{from: from, shared: m})
+		g.selector.post(flightsReceived{from: from, update: m})
 	case messenger.PlacementRequest:
-		g.selector.post(seekHeard{from: from, seek: m})
+		g.selector.post(placementRequested{from: from, request: m})
 	case messenger.PlacementReply:
-		g.selector.post(soughtHeard{from: from, sought: m})
+		g.selector.post(placementReplied{from: from, reply: m})
 	case messenger.Quarantine:
-		g.selector.post(quarantineHeard{from: from, held: heldOf(m)})
+		g.selector.post(quarantineReceived{from: from, entries: decodeQuarantine(m)})
 	case messenger.ListUpdate:
-		g.selector.post(wordHeard{from: from, word: m})
+		g.selector.post(listUpdateReceived{from: from, update: m})
 	case messenger.ListSnapshot:
-		g.selector.post(entriesHeard{from: from, entries: m})
+		g.selector.post(listSnapshotReceived{from: from, snapshot: m})
 	default:
 		return false
 	}
@@ -107,7 +107,7 @@
 func (h *Host) readyHandler() http.Handler {
 	own := h.server.ReadyHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !h.routes.selector.known.Load() {
+		if !h.routes.selector.loaded.Load() {
 			http.Error(w, "no workers known", http.StatusServiceUnavailable)
 			return
 		}
