--- a/runner/control.go
+++ b/runner/control.go
@@ -56,7 +56,7 @@
 	observer           observer.Observer
 	available          map[workerName]bool // as last reported to the dispatchers
 	unavailable        *atomic.Int64       // number of workers that get no new work
-	limiting           limitState
+	limits             limitState
 	lastAttempt        uint64            // number of the last Ask or Claim
 	cellEpochs         map[string]uint64 // highest epoch seen, by cell
 	chooser            dispatcher.Chooser
@@ -207,7 +207,7 @@
 	c.folder, c.generation = e.folder, e.generation
 	c.sender.SetGeneration(e.generation)
 	c.observer.Configure(e.folder.Services)
-	c.limiting.configure(e.folder)
+	c.limits.configure(e.folder)
 	c.cells, c.cellsByService = map[string]dispatcher.Cell{}, map[string][]string{}
 	for name, s := range c.observer.Services() {
 		for _, cell := range dispatcher.SplitCells(name, s) {
@@ -268,7 +268,7 @@
 func (c *control) setRoster(now time.Time, r registrar.Roster) {
 	old := c.roster
 	c.roster = r
-	c.limiting.setRoster(now, old, r)
+	c.limits.setRoster(now, old, r)
 	c.quarantine.setRoster(now, r)
 	c.reclaimLost(now, old, r)
 	c.detectRejoin(now, r)
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -126,7 +126,7 @@
 		c.DeciderTimedOut(now, s.ID)
 		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		out = nil
-		c.Share()
+		c.SendUpdate()
 		Expect(out).To(HaveLen(5), "the deciders and the two hosts next in order")
 		for _, x := range out {
 			Expect(names[:5]).To(ContainElement(x.to))
@@ -141,7 +141,7 @@
 		for id := range uint64(4) {
 			c.Receive(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
 		}
-		c.Share()
+		c.SendUpdate()
 		update := out[len(out)-1].m.(messenger.FlightUpdate)
 		Expect(update.Sent).To(HaveLen(4))
 		other := newHost(names[1], roster)
@@ -174,11 +174,11 @@
 				Expect(ok).To(BeTrue())
 				places = append(places, p)
 			}
-			c.Share()
+			c.SendUpdate()
 			c.End(now, places[0])
-			Expect(c.ShareDelay(now)).To(BeNumerically(">", shortDelay), "the worker had room")
+			Expect(c.UpdateDelay(now)).To(BeNumerically(">", shortDelay), "the worker had room")
 			c.End(now, places[7])
-			Expect(c.ShareDelay(now)).To(BeNumerically("<", shortDelay))
+			Expect(c.UpdateDelay(now)).To(BeNumerically("<", shortDelay))
 		}
 		// The decider reports to the host that asked that the worker is half full.
 		decider.Receive(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
--- a/runner/due.go
+++ b/runner/due.go
@@ -6,7 +6,7 @@
 // fifty checks a second, a host would spend most of its control's processor time on
 // finding nothing to do.
 func (c *control) nextTick() time.Time {
-	next := earlier(c.nextDispatcherTick, c.limiting.nextCheck)
+	next := earlier(c.nextDispatcherTick, c.limits.nextCheck)
 	if len(c.calls) > 0 {
 		next = earlier(next, c.nextCallCheck)
 	}
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -103,13 +103,13 @@
 
 // Admit charges a request to an organisation, as the entry does.
 func (k Control) Admit(now time.Time, organisation string) bool {
-	_, ok := k.c.limiting.gates.Admit(now, organisation, 0, 0)
+	_, ok := k.c.limits.gates.Admit(now, organisation, 0, 0)
 	return ok
 }
 
 // RequestRate returns the requests a second that the entry admits now.
 func (k Control) RequestRate(now time.Time, organisation string) float64 {
-	return k.c.limiting.gates.Rates(now)[organisation].Requests
+	return k.c.limits.gates.Rates(now)[organisation].Requests
 }
 
 // Keeper returns the keeper of a partition. It has no store.
@@ -187,8 +187,8 @@
 	x.c.handle(now, flightEnded{id: p.ID, outcome: placer.Answered, halfFull: p.HalfFull})
 }
 
-// ShareDelay returns how long after now the other hosts are notified of what happened.
-func (x Selector) ShareDelay(now time.Time) time.Duration { return x.c.updateDue.Sub(now) }
+// UpdateDelay returns how long after now the other hosts are notified of what happened.
+func (x Selector) UpdateDelay(now time.Time) time.Duration { return x.c.updateDue.Sub(now) }
 
 // Receive handles a message of another host. The test drives the time, see DeciderTimedOut:
 // events of real timers are dropped.
@@ -215,8 +215,8 @@
 // RequestOf returns the request that a message asks a decider to place.
 func RequestOf(s messenger.PlacementRequest) placer.Request { return decodeRequest(s) }
 
-// Share notifies the other hosts of what happened since it was last called.
-func (x Selector) Share() { x.c.sendUpdate() }
+// SendUpdate notifies the other hosts of what happened since it was last called.
+func (x Selector) SendUpdate() { x.c.sendUpdate() }
 
 // Flights returns the number of requests that the host counts at a worker.
 func (x Selector) Flights(now time.Time, worker string) int {
@@ -242,8 +242,8 @@
 
 // Sweep performs the call that is due, and returns what was read and the errors; false
 // where none was due.
-func (s QuarantineStore) Sweep(now time.Time, owns bool, held []quarantiner.Entry) (read []quarantiner.Entry, bad, err error, due bool) {
-	s.q.sweep(now, owns, held)
+func (s QuarantineStore) Sweep(now time.Time, owns bool, entries []quarantiner.Entry) (read []quarantiner.Entry, malformed, err error, due bool) {
+	s.q.sweep(now, owns, entries)
 	select {
 	case job := <-s.q.jobs:
 		done := s.q.call(context.Background(), job)
--- a/runner/host.go
+++ b/runner/host.go
@@ -37,7 +37,7 @@
 	registrar      *registrar.Registrar
 	messenger      *messenger.Messenger
 	server         *server.Server
-	observing      *workerPoller
+	poller         *workerPoller
 	registry       *prometheus.Registry
 	routes         *hostRoutes // nil where the host speaks the product's own dialect
 	era            eraTracker
@@ -109,8 +109,8 @@
 	registry := prometheus.NewRegistry()
 	store = countStoreCalls(store, registry)
 	h.control = newControl(s.Name, incarnation, nil, h.log)
-	h.observing = newWorkerPoller(h.control, s.Platform, h.log)
-	forward.OnRefused(h.observing.postRefusal)
+	h.poller = newWorkerPoller(h.control, s.Platform, h.log)
+	forward.OnRefused(h.poller.postRefusal)
 	connected := make(chan struct{})
 	m, closeMessenger, err := messenger.Open(messenger.Config{
 		Name: s.Name, Incarnation: incarnation, Address: s.Control, AckTimeout: s.Limits.Link.Std(), AckDelay: ackDelay,
@@ -153,7 +153,7 @@
 		},
 	})
 	h.server = server.New(s.Limits, h.follower, h.control, forward, h.log, server.NewMetrics(registry))
-	h.server.SetLimiter(limitAdapter{&h.control.limiting.gates})
+	h.server.SetLimiter(limitAdapter{&h.control.limits.gates})
 	h.control.once = newOnceManager(h.control, store, forward, s.Limits.Once, newOnceMetrics(registry), h.log)
 	h.control.once.era = h.era.current
 	h.server.SetOnce(h.control)
--- a/runner/limiting.go
+++ b/runner/limiting.go
@@ -66,7 +66,7 @@
 
 // requestLoans requests the loans that are due.
 func (c *control) requestLoans(now time.Time) {
-	l := &c.limiting
+	l := &c.limits
 	if now.Before(l.nextCheck) {
 		return
 	}
@@ -87,7 +87,7 @@
 // not answer: two owners would lend a limit twice, and without an answer the entry safely
 // falls back to its equal share.
 func (c *control) lend(now time.Time, from string, b messenger.Borrow) {
-	l := &c.limiting
+	l := &c.limits
 	limits, limited := l.limits[b.Organisation]
 	owner, ok := c.roster.Owner("limit/" + b.Organisation)
 	if !limited || !ok || owner.Name != c.self {
@@ -103,5 +103,5 @@
 
 // receiveLoan hands a loan to the gates.
 func (c *control) receiveLoan(now time.Time, m messenger.Lend) {
-	c.limiting.gates.SetLoan(now, m.Organisation, m.Sequence, limiter.Rates{Requests: m.Requests, Tokens: m.Tokens})
+	c.limits.gates.SetLoan(now, m.Organisation, m.Sequence, limiter.Rates{Requests: m.Requests, Tokens: m.Tokens})
 }
--- a/runner/metrics.go
+++ b/runner/metrics.go
@@ -39,5 +39,5 @@
 	connection("cicadawood_messenger_replaced_total", "Connections between hosts replaced because they went silent.", func(c messenger.Counts) uint64 { return c.Replaced })
 	connection("cicadawood_messenger_dropped_total", "Messages given up: queue full, or peer out of reach too long.", func(c messenger.Counts) uint64 { return c.Dropped })
 	connection("cicadawood_messenger_duplicates_total", "Frames that had come before.", func(c messenger.Counts) uint64 { return c.Duplicates })
-	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cicadawood_workers_leaving", Help: "Backend servers that get nothing new because they are leaving."}, func() float64 { return float64(h.observing.leavingCount()) }))
+	r.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "cicadawood_workers_leaving", Help: "Backend servers that get nothing new because they are leaving."}, func() float64 { return float64(h.poller.leavingCount()) }))
 }
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -22,18 +22,18 @@
 
 // hostRoutes are the parts of a host that serve host routes.
 type hostRoutes struct {
-	selector *selector
-	listing  *storeWatch
-	router   *router.Router
-	pool     *connector.Pool
-	close    func()
+	selector   *selector
+	storeWatch *storeWatch
+	router     *router.Router
+	pool       *connector.Pool
+	close      func()
 }
 
 func newHostRoutes(s loader.Host, store storer.Store, m sender, f *configFollower, log *zap.Logger, registry prometheus.Registerer) *hostRoutes {
 	g := &hostRoutes{selector: newSelector(s.Name, s.Zone, m, store, s.Repeat, log)}
 	g.selector.quarantine.register(registry)
 	g.pool, g.close = connector.New()
-	g.listing = &storeWatch{store: store, log: log, report: func(e storeResult) { g.selector.post(e) }, nextCall: g.selector.nextCall}
+	g.storeWatch = &storeWatch{store: store, log: log, report: func(e storeResult) { g.selector.post(e) }, nextCall: g.selector.nextCall}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.selector, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
 		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
@@ -79,12 +79,12 @@
 	if h.routes == nil {
 		tasks.Go(func() { h.control.once.loadLayout(ctx) })
 		tasks.Go(func() { h.control.quarantine.store.run(ctx) })
-		tasks.Go(func() { h.observing.run(ctx) })
+		tasks.Go(func() { h.poller.run(ctx) })
 		return func() {}, nil
 	}
 	setMemoryLimit(h.settings.Limits)
 	tasks.Go(func() { h.routes.selector.run(ctx) })
-	tasks.Go(func() { h.routes.listing.run(ctx) })
+	tasks.Go(func() { h.routes.storeWatch.run(ctx) })
 	tasks.Go(func() { h.routes.selector.quarantine.store.run(ctx) })
 	tasks.Go(func() { h.routes.closeExpired(ctx) })
 	if h.settings.Ready == "" {
--- a/runner/state.go
+++ b/runner/state.go
@@ -47,7 +47,7 @@
 		s.Cells = append(s.Cells, c.dispatchers[name].State())
 		s.Roles = append(s.Roles, "dispatcher:"+name)
 	}
-	s.Limits = c.limiting.gates.Rates(time.Now())
+	s.Limits = c.limits.gates.Rates(time.Now())
 	for id, k := range c.calls {
 		s.Calls[id] = k.worker
 	}
