--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -107,7 +107,7 @@
 	DescribeTable("ends when told to, and reports what it aborted",
 		func(limit time.Duration, trigger func(h *runningHost)) {
 			model := faker.DefaultModel()
-			model.Slow = 1000 // a token takes longer than the test
+			model.SlowFactor = 1000 // a token takes longer than the test
 			t := newFixtureOf(model, time.Millisecond, "lm1")
 			a := t.start("a", "z1", func(s *loader.Host) { s.Limits.Drain = loader.Duration(limit) })
 			Eventually(t.settled(1)).WithTimeout(10 * time.Second).Should(Succeed())
