--- a/commander/cmd_serve.go
+++ b/commander/cmd_serve.go
@@ -38,12 +38,12 @@
 		out, flush := logger.New(c.OutOrStdout(), level)
 		defer flush()
 		log := out.With(zap.String("host", settings.Name))
-		signals := runner.Signals{Reload: watchSettings(ctx, args[0], log), Dropped: out.Dropped}
+		signals := runner.Signals{Reload: watchSettings(ctx, args[0], log), DroppedLines: out.Dropped}
 		if settings.Limits.Grace == 0 {
 			// With a grace period the platform kills the process when the period ends, so
 			// a second stop signal must not abort the requests that are still running
 			// after the first.
-			signals.Hurry = secondSignal()
+			signals.Abort = secondSignal()
 		}
 		return runner.RunWith(ctx, signals, settings, log)
 	},
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -137,8 +137,8 @@
 		p.pendingUpdate.Begun = append(p.pendingUpdate.Begun, e.id)
 		p.pendingUpdate.Took = append(p.pendingUpdate.Took, e.took)
 		p.scheduleUpdate(now, p.delayFor(updateDelay, updateDelayToListeners))
-	case limitNamed:
-		p.name(now, e)
+	case limitReported:
+		p.updateLimit(now, e)
 	case flightEnded:
 		p.view.Ended(now, e.id, e.outcome)
 		p.addEnded(now, e)
@@ -156,15 +156,15 @@
 		p.quarantine.handleStoreResult(now, e)
 	case storeRestored:
 		p.quarantine.storeRestored()
-	case beliefsAsked:
-		e.reply <- p.believe(now)
+	case routingStateRequested:
+		e.reply <- p.buildRoutingState(now)
 	case storeCallRequested:
 		e.reply <- p.planCall(now)
 	case rosterChanged:
 		p.setRoster(now, e.roster)
 	case settingsChanged:
 		p.retryPolicy = retryPolicyOf(e.settings.Repeat)
-	case folderChanged:
+	case configChanged:
 		p.folder = e.folder
 		p.setWorkers(now)
 	}
