--- a/bencher/measure.go
+++ b/bencher/measure.go
@@ -109,7 +109,7 @@
 		m.classes[c.class] = t
 	}
 	target := w.classes[c.class]
-	met := c.finished && c.first-c.arrived <= target.First.Std() && c.ended-c.arrived <= target.Whole.Std()
+	met := c.finished && c.first-c.arrived <= target.FirstByteTarget.Std() && c.ended-c.arrived <= target.AnswerTarget.Std()
 	t.Requests++
 	if c.finished {
 		t.Whole++
--- a/bencher/routed.go
+++ b/bencher/routed.go
@@ -50,7 +50,7 @@
 		sim: s, owners: map[string]*dispatcher.Dispatcher{}, random: rand.New(rand.NewPCG(seed, 99)),
 		calls: map[string]*asked{}, exact: p.Exact, sizes: map[string]int{}, lower: map[string]int{},
 	}
-	config := loader.Service{Cell: size}
+	config := loader.Service{CellSize: size}
 	for _, w := range s.workers {
 		config.Workers = append(config.Workers, loader.Worker{Name: w.name, Slots: w.model.Slots})
 	}
@@ -66,7 +66,7 @@
 	target := r.sim.workload.classes[c.class]
 	a := messenger.Ask{
 		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.prompt, Attempt: r.attempt, NonPreemptible: c.flow.fixed,
-		Deadline: c.arrived + target.Whole.Std() - now, Waited: now - c.arrived, Made: c.made, Output: c.flow.limit - c.made,
+		Deadline: c.arrived + target.AnswerTarget.Std() - now, Waited: now - c.arrived, Made: c.made, Output: c.flow.limit - c.made,
 	}
 	if r.exact {
 		a.Output = c.length
--- a/bencher/simulator.go
+++ b/bencher/simulator.go
@@ -123,7 +123,7 @@
 }
 
 func (s *simulator) arrive(now time.Duration, c *call) {
-	s.at(now+s.workload.classes[c.class].Whole.Std(), func(now time.Duration) { s.cut(now, c) })
+	s.at(now+s.workload.classes[c.class].AnswerTarget.Std(), func(now time.Duration) { s.cut(now, c) })
 	s.waits(now, c)
 	s.router.arrive(now, c, nil)
 }
--- a/bencher/workload.go
+++ b/bencher/workload.go
@@ -59,7 +59,7 @@
 }
 
 func class(tier int, first, whole time.Duration, share float64) loader.Class {
-	return loader.Class{Tier: tier, First: loader.Duration(first), Whole: loader.Duration(whole), Share: share}
+	return loader.Class{Tier: tier, FirstByteTarget: loader.Duration(first), AnswerTarget: loader.Duration(whole), Share: share}
 }
 
 // Wodnik is a ferry arriving: three times the quotes and holds for a minute,
--- a/commander/cmd_serve.go
+++ b/commander/cmd_serve.go
@@ -39,7 +39,7 @@
 		defer flush()
 		log := out.With(zap.String("host", settings.Name))
 		signals := runner.Signals{Reload: reloads(ctx, args[0], log), Dropped: out.Dropped}
-		if settings.Limits.Grace == 0 {
+		if settings.Limits.GracePeriod == 0 {
 			// Where the platform kills after a grace anyway, a second signal to stop must
 			// not cut what the first one left to end.
 			signals.Hurry = again()
--- a/dispatcher/cell.go
+++ b/dispatcher/cell.go
@@ -29,9 +29,9 @@
 	workers := slices.Clone(s.Workers)
 	slices.SortFunc(workers, func(a, b loader.Worker) int { return strings.Compare(a.Name, b.Name) })
 	count, maxWorkers := 1, len(workers)
-	if s.Cell > 0 && len(workers) > 0 {
-		count = (len(workers) + s.Cell - 1) / s.Cell
-		maxWorkers = s.Cell
+	if s.CellSize > 0 && len(workers) > 0 {
+		count = (len(workers) + s.CellSize - 1) / s.CellSize
+		maxWorkers = s.CellSize
 	}
 	cells := make([]Cell, count)
 	for i := range cells {
--- a/dispatcher/cell_test.go
+++ b/dispatcher/cell_test.go
@@ -13,7 +13,7 @@
 )
 
 func serviceOf(workers, cell int) loader.Service {
-	s := loader.Service{Cell: cell}
+	s := loader.Service{CellSize: cell}
 	for i := range workers {
 		s.Workers = append(s.Workers, loader.Worker{Name: fmt.Sprintf("w%03d", i), Slots: 1})
 	}
@@ -49,7 +49,7 @@
 		moved := 0
 		for n := 90; n < 90+sizes; n++ {
 			more := serviceOf(n+1, 6)
-			less := loader.Service{Cell: 6, Workers: slices.Delete(slices.Clone(more.Workers), n/2, n/2+1)}
+			less := loader.Service{CellSize: 6, Workers: slices.Delete(slices.Clone(more.Workers), n/2, n/2+1)}
 			before, after := cellByWorker(dispatcher.SplitCells("s", less)), cellByWorker(dispatcher.SplitCells("s", more))
 			for w, c := range before {
 				if after[w] != c {
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -198,7 +198,7 @@
 	longest := min(seconds(d.estimator.longest(a, d.options.Policy)), a.Deadline/2)
 	w.latestStart = now.Add(a.Deadline - longest)
 	w.targetStart = w.latestStart
-	if first := k.config.First.Std() - a.Waited; k.config.First > 0 && a.Made == 0 && now.Add(first).Before(w.targetStart) {
+	if first := k.config.FirstByteTarget.Std() - a.Waited; k.config.FirstByteTarget > 0 && a.Made == 0 && now.Add(first).Before(w.targetStart) {
 		w.targetStart = now.Add(first)
 	}
 	return w
--- a/dispatcher/fakes_test.go
+++ b/dispatcher/fakes_test.go
@@ -17,9 +17,9 @@
 func classes() map[string]loader.Class {
 	second := loader.Duration(time.Second)
 	return map[string]loader.Class{
-		"check":   {Tier: 0, First: second, Whole: 2 * second, Share: 0.05},
-		"summary": {Tier: 1, First: 5 * second, Whole: 60 * second, Share: 0.1},
-		"letter":  {Tier: 2, First: 120 * second, Whole: 300 * second, Share: 0.1},
+		"check":   {Tier: 0, FirstByteTarget: second, AnswerTarget: 2 * second, Share: 0.05},
+		"summary": {Tier: 1, FirstByteTarget: 5 * second, AnswerTarget: 60 * second, Share: 0.1},
+		"letter":  {Tier: 2, FirstByteTarget: 120 * second, AnswerTarget: 300 * second, Share: 0.1},
 	}
 }
 
@@ -40,7 +40,7 @@
 }
 
 func ask(request, class string) messenger.Ask {
-	deadline := classes()[class].Whole.Std()
+	deadline := classes()[class].AnswerTarget.Std()
 	return messenger.Ask{Request: request, Cell: "crew/0", Class: class, Organisation: "o", Deadline: deadline, Attempt: 1}
 }
 
--- a/faker/worker.go
+++ b/faker/worker.go
@@ -75,7 +75,7 @@
 func (k *Worker) Register(p *Platform, state string) {
 	k.mu.Lock()
 	k.seq++
-	e := platform.Entry{Service: k.Service, Address: k.Address, Zone: k.Zone, Slots: k.Slots, State: state, Born: json.RawMessage(strconv.Itoa(k.Born)), Seq: k.seq}
+	e := platform.Entry{Service: k.Service, Address: k.Address, Zone: k.Zone, Slots: k.Slots, State: state, Incarnation: json.RawMessage(strconv.Itoa(k.Born)), Seq: k.seq}
 	k.mu.Unlock()
 	p.Put(strings.TrimSuffix(platform.WorkersPrefix, "/"), k.ID, e)
 }
@@ -164,15 +164,15 @@
 }
 
 func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(platform.HeaderRequest)
-	w.Header().Set(platform.HeaderRequest, id)
+	id := r.Header.Get(platform.HeaderRequestID)
+	w.Header().Set(platform.HeaderRequestID, id)
 	k.mu.Lock()
 	k.came = append(k.came, arrival{id, time.Now()})
 	if k.limit > 0 {
 		w.Header().Set(platform.HeaderLimit, strconv.FormatFloat(k.limit, 'f', -1, 64))
 	}
 	k.mu.Unlock()
-	if worker := r.Header.Get(platform.HeaderWorker); worker != "" && worker != k.ID {
+	if worker := r.Header.Get(platform.HeaderTargetWorker); worker != "" && worker != k.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -253,9 +253,9 @@
 	}
 	head := func(id, body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
-			platform.HeaderRequest, id, platform.HeaderSeal, k.ID, len(body), body)
+			platform.HeaderRequestID, id, platform.HeaderSeal, k.ID, len(body), body)
 	}
-	_, _ = io.WriteString(conn, head(w.Header().Get(platform.HeaderRequest), "own")+head("another", "foreign"))
+	_, _ = io.WriteString(conn, head(w.Header().Get(platform.HeaderRequestID), "own")+head("another", "foreign"))
 	hold(conn)
 }
 
--- a/loader/checks.go
+++ b/loader/checks.go
@@ -37,12 +37,12 @@
 	if c.Tier < 0 {
 		m.fault("must not be negative", sectionClasses, name, "tier")
 	}
-	if c.First < 0 {
+	if c.FirstByteTarget < 0 {
 		m.fault("must not be negative", sectionClasses, name, "first")
 	}
-	if c.Whole <= 0 {
+	if c.AnswerTarget <= 0 {
 		m.fault("must be a positive duration", sectionClasses, name, "whole")
-	} else if c.First > c.Whole {
+	} else if c.FirstByteTarget > c.AnswerTarget {
 		m.fault("is longer than the whole answer may take", sectionClasses, name, "first")
 	}
 	if c.Share < 0 || c.Share >= 1 {
@@ -105,10 +105,10 @@
 	if strings.TrimSpace(s.Owner) == "" {
 		m.fault("missing: every service has a named owner", sectionServices, name, "owner")
 	}
-	if len(s.Workers) == 0 && !s.Hosts {
+	if len(s.Workers) == 0 && !s.UseHostList {
 		m.fault("none given, and hosts is not set", sectionServices, name, "workers")
 	}
-	if s.Cell < 0 {
+	if s.CellSize < 0 {
 		m.fault("must not be negative", sectionServices, name, "cell")
 	}
 	m.modelsOf(name, s)
--- a/loader/folder.go
+++ b/loader/folder.go
@@ -18,10 +18,10 @@
 
 // Class is one service class.
 type Class struct {
-	Tier  int      `json:"tier"`  // 0 is the most urgent
-	First Duration `json:"first"` // target for the first byte of the answer
-	Whole Duration `json:"whole"` // target for the whole answer, and the default deadline
-	Share float64  `json:"share"` // guaranteed part of worker time while waiting, 0 to 1
+	Tier            int      `json:"tier"`  // 0 is the most urgent
+	FirstByteTarget Duration `json:"first"` // target for the first byte of the answer
+	AnswerTarget    Duration `json:"whole"` // target for the whole answer, and the default deadline
+	Share           float64  `json:"share"` // guaranteed part of worker time while waiting, 0 to 1
 }
 
 // Organisation is one customer of the system.
@@ -60,19 +60,19 @@
 
 // Service is one backend service.
 type Service struct {
-	Kind    string   `json:"kind"`
-	Owner   string   `json:"owner"` // who answers for it: a person or a team
-	Models  []string `json:"models,omitempty"`
-	Routes  []Route  `json:"routes,omitempty"`
-	Workers []Worker `json:"workers,omitempty"`
-	Hosts   bool     `json:"hosts"` // take workers from the platform's host list too
-	Cell    int      `json:"cell"`  // most workers under one dispatcher; 0 is all
-	Fencing bool     `json:"fencing"`
-	Resume  bool     `json:"resume"`           // engines: a stream that broke can be resumed
-	Memory  int      `json:"memory,omitempty"` // tokens that an engine keeps in memory; 0 for a plain service
-	Event   int      `json:"event,omitempty"`  // tokens that an event of an engine's stream holds
-	Token   int      `json:"token,omitempty"`  // bytes that a token takes in an engine's memory
-	Link    float64  `json:"link,omitempty"`   // megabits a second at which engines fetch memory from one another; 0 where they can't
+	Kind        string   `json:"kind"`
+	Owner       string   `json:"owner"` // who answers for it: a person or a team
+	Models      []string `json:"models,omitempty"`
+	Routes      []Route  `json:"routes,omitempty"`
+	Workers     []Worker `json:"workers,omitempty"`
+	UseHostList bool     `json:"hosts"` // take workers from the platform's host list too
+	CellSize    int      `json:"cell"`  // most workers under one dispatcher; 0 is all
+	Fencing     bool     `json:"fencing"`
+	Resumable   bool     `json:"resume"`           // engines: a stream that broke can be resumed
+	CacheTokens int      `json:"memory,omitempty"` // tokens that an engine keeps in memory; 0 for a plain service
+	EventTokens int      `json:"event,omitempty"`  // tokens that an event of an engine's stream holds
+	TokenBytes  int      `json:"token,omitempty"`  // bytes that a token takes in an engine's memory
+	LinkMbps    float64  `json:"link,omitempty"`   // megabits a second at which engines fetch memory from one another; 0 where they can't
 }
 
 // Folder is the merged configuration. A parsed Folder is never changed.
@@ -100,7 +100,7 @@
 	}
 	files := Files{}
 	for _, e := range entries {
-		if e.IsDir() || !IsFile(e.Name()) {
+		if e.IsDir() || !IsSettingsFile(e.Name()) {
 			continue
 		}
 		text, err := os.ReadFile(filepath.Join(dir, e.Name()))
@@ -112,9 +112,9 @@
 	return files, nil
 }
 
-// IsFile says whether a file of this name belongs to a folder: *.json and
+// IsSettingsFile says whether a file of this name belongs to a folder: *.json and
 // *.jsonc, but no hidden ones and none of a directory below.
-func IsFile(name string) bool {
+func IsSettingsFile(name string) bool {
 	ext := filepath.Ext(name)
 	return filepath.Base(name) == name && !strings.HasPrefix(name, ".") && (ext == ".json" || ext == ".jsonc")
 }
@@ -125,8 +125,8 @@
 	return "sha256:" + hex.EncodeToString(sum[:])
 }
 
-// Holders is the organisations by the hash of each of their API keys.
-func (f *Folder) Holders() map[[sha256.Size]byte]string {
+// OrganisationsByKeyHash is the organisations by the hash of each of their API keys.
+func (f *Folder) OrganisationsByKeyHash() map[[sha256.Size]byte]string {
 	holders := map[[sha256.Size]byte]string{}
 	for name, o := range f.Organisations {
 		for _, k := range o.Keys {
--- a/loader/host.go
+++ b/loader/host.go
@@ -67,27 +67,27 @@
 // Limits bound what callers and faults can cost a host. Zero fields take the
 // defaults of withDefaults.
 type Limits struct {
-	Body    int64    `json:"body"`    // bytes of a request's body
-	Header  int      `json:"header"`  // bytes of a request's headers
-	Answer  int64    `json:"answer"`  // bytes of an answer that is held until it is whole; a larger one is passed on as it comes
-	Buffer  int64    `json:"buffer"`  // bytes of bodies and answers held at once
-	Calls   int      `json:"calls"`   // requests in flight
-	Read    Duration `json:"read"`    // for a caller to send its request
-	Stall   Duration `json:"stall"`   // for a caller to take a piece of its answer
-	Silence Duration `json:"silence"` // on a connection to a backend server or host, before it is replaced
-	Lease   Duration `json:"lease"`   // of this host in the Object API
-	Beat    Duration `json:"beat"`    // between heartbeats to other hosts
-	Link    Duration `json:"link"`    // without an acknowledgement on a connection between hosts, before it is replaced
-	Drain   Duration `json:"drain"`   // for requests in flight to end after SIGTERM
-	Settle  Duration `json:"settle"`  // for the balancer to notice unreadiness
-	// Grace is the time between SIGTERM and SIGKILL. Where it is given, Settle and
+	MaxBody           int64    `json:"body"`    // bytes of a request's body
+	MaxHeader         int      `json:"header"`  // bytes of a request's headers
+	MaxAnswer         int64    `json:"answer"`  // bytes of an answer that is held until it is whole; a larger one is passed on as it comes
+	MaxBuffered       int64    `json:"buffer"`  // bytes of bodies and answers held at once
+	MaxCalls          int      `json:"calls"`   // requests in flight
+	ReadTimeout       Duration `json:"read"`    // for a caller to send its request
+	WriteTimeout      Duration `json:"stall"`   // for a caller to take a piece of its answer
+	SilenceTimeout    Duration `json:"silence"` // on a connection to a backend server or host, before it is replaced
+	LeaseDuration     Duration `json:"lease"`   // of this host in the Object API
+	HeartbeatInterval Duration `json:"beat"`    // between heartbeats to other hosts
+	AckTimeout        Duration `json:"link"`    // without an acknowledgement on a connection between hosts, before it is replaced
+	DrainTimeout      Duration `json:"drain"`   // for requests in flight to end after SIGTERM
+	UnreadyDelay      Duration `json:"settle"`  // for the balancer to notice unreadiness
+	// GracePeriod is the time between SIGTERM and SIGKILL. Where it is given, Settle and
 	// Drain are parts of it.
-	Grace   Duration `json:"grace"`
-	Cores   float64  `json:"cores"`   // of processor that the host has; 0 does not say
-	Memory  int      `json:"memory"`  // megabytes that the process may take; 0 is no bound
-	Files   int      `json:"files"`   // descriptors that the process may open; 0 is no bound
-	Confirm Duration `json:"confirm"` // without word of the configuration from platform or peer, before unready
-	Once    Once     `json:"once"`    // of calls that must not be repeated
+	GracePeriod    Duration `json:"grace"`
+	Cores          float64  `json:"cores"`   // of processor that the host has; 0 does not say
+	MemoryMB       int      `json:"memory"`  // megabytes that the process may take; 0 is no bound
+	MaxFiles       int      `json:"files"`   // descriptors that the process may open; 0 is no bound
+	ConfirmTimeout Duration `json:"confirm"` // without word of the configuration from platform or peer, before unready
+	Once           Once     `json:"once"`    // of calls that must not be repeated
 }
 
 func (l Limits) withDefaults() Limits {
@@ -97,30 +97,30 @@
 		}
 	}
 	l = l.withBounds()
-	if l.Body == 0 {
-		l.Body = 4 << 20
-	}
-	if l.Header == 0 {
-		l.Header = 64 << 10
-	}
-	if l.Answer == 0 {
-		l.Answer = 16 << 20
-	}
-	if l.Buffer == 0 {
-		l.Buffer = 512 << 20
-	}
-	if l.Calls == 0 {
-		l.Calls = 12000
-	}
-	set(&l.Read, 10*time.Second)
-	set(&l.Stall, 10*time.Second)
-	set(&l.Silence, 2*time.Second)
-	set(&l.Lease, 20*time.Second)
-	set(&l.Beat, 250*time.Millisecond)
-	set(&l.Link, 500*time.Millisecond)
-	set(&l.Drain, 60*time.Second)
-	set(&l.Settle, 3*time.Second)
-	set(&l.Confirm, 10*time.Second)
+	if l.MaxBody == 0 {
+		l.MaxBody = 4 << 20
+	}
+	if l.MaxHeader == 0 {
+		l.MaxHeader = 64 << 10
+	}
+	if l.MaxAnswer == 0 {
+		l.MaxAnswer = 16 << 20
+	}
+	if l.MaxBuffered == 0 {
+		l.MaxBuffered = 512 << 20
+	}
+	if l.MaxCalls == 0 {
+		l.MaxCalls = 12000
+	}
+	set(&l.ReadTimeout, 10*time.Second)
+	set(&l.WriteTimeout, 10*time.Second)
+	set(&l.SilenceTimeout, 2*time.Second)
+	set(&l.LeaseDuration, 20*time.Second)
+	set(&l.HeartbeatInterval, 250*time.Millisecond)
+	set(&l.AckTimeout, 500*time.Millisecond)
+	set(&l.DrainTimeout, 60*time.Second)
+	set(&l.UnreadyDelay, 3*time.Second)
+	set(&l.ConfirmTimeout, 10*time.Second)
 	l.Once = l.Once.withDefaults()
 	return l
 }
@@ -141,15 +141,15 @@
 
 // withBounds works the limits out that follow from those of the process.
 func (l Limits) withBounds() Limits {
-	if l.Grace > 0 {
-		l.Settle = orDefault(l.Settle, Duration(settleShare*float64(l.Grace)))
-		l.Drain = orDefault(l.Drain, Duration(drainShare*float64(l.Grace)))
+	if l.GracePeriod > 0 {
+		l.UnreadyDelay = orDefault(l.UnreadyDelay, Duration(settleShare*float64(l.GracePeriod)))
+		l.DrainTimeout = orDefault(l.DrainTimeout, Duration(drainShare*float64(l.GracePeriod)))
 	}
-	if l.Memory > 0 {
-		l.Buffer = orDefault(l.Buffer, int64(bufferShare*float64(l.Memory<<20)))
+	if l.MemoryMB > 0 {
+		l.MaxBuffered = orDefault(l.MaxBuffered, int64(bufferShare*float64(l.MemoryMB<<20)))
 	}
-	if l.Files > 0 {
-		l.Calls = orDefault(l.Calls, l.Files/filesPerCall)
+	if l.MaxFiles > 0 {
+		l.MaxCalls = orDefault(l.MaxCalls, l.MaxFiles/filesPerCall)
 	}
 	return l
 }
--- a/loader/once.go
+++ b/loader/once.go
@@ -6,15 +6,15 @@
 type Once struct {
 	// Partitions is how many partitions the keys fall into. It counts only where
 	// no host has fixed it in the Object API before.
-	Partitions int      `json:"partitions"`
-	Body       int64    `json:"body"`       // bytes of a call's body
-	Whole      int64    `json:"whole"`      // bytes of an answer that can be passed on
-	Answer     int      `json:"answer"`     // bytes of an answer that is kept for a repeated key
-	Answers    int      `json:"answers"`    // bytes of answers in memory, by partition
-	Operations int      `json:"operations"` // in flight, by partition
-	Records    int      `json:"records"`    // kept, by partition
-	Retention  Duration `json:"retention"`  // of a record, at least
-	Writes     float64  `json:"writes"`     // commits a second in the long run, by partition
+	Partitions       int      `json:"partitions"`
+	MaxBody          int64    `json:"body"`       // bytes of a call's body
+	MaxAnswer        int64    `json:"whole"`      // bytes of an answer that can be passed on
+	MaxStoredAnswer  int      `json:"answer"`     // bytes of an answer that is kept for a repeated key
+	AnswerCacheBytes int      `json:"answers"`    // bytes of answers in memory, by partition
+	MaxOperations    int      `json:"operations"` // in flight, by partition
+	MaxRecords       int      `json:"records"`    // kept, by partition
+	Retention        Duration `json:"retention"`  // of a record, at least
+	WritesPerSecond  float64  `json:"writes"`     // commits a second in the long run, by partition
 }
 
 // maxOnce is the most bytes of a body or answer: it must fit one frame between
@@ -23,15 +23,15 @@
 
 func (o Once) withDefaults() Once {
 	o.Partitions = orDefault(o.Partitions, 16)
-	o.Body = orDefault(o.Body, 256<<10)
-	o.Whole = orDefault(o.Whole, 512<<10)
-	o.Body, o.Whole = min(o.Body, maxOnce), min(o.Whole, maxOnce)
-	o.Answer = orDefault(o.Answer, 4<<10)
-	o.Answers = orDefault(o.Answers, 4<<20)
-	o.Operations = orDefault(o.Operations, 512)
-	o.Records = orDefault(o.Records, 20_000)
+	o.MaxBody = orDefault(o.MaxBody, 256<<10)
+	o.MaxAnswer = orDefault(o.MaxAnswer, 512<<10)
+	o.MaxBody, o.MaxAnswer = min(o.MaxBody, maxOnce), min(o.MaxAnswer, maxOnce)
+	o.MaxStoredAnswer = orDefault(o.MaxStoredAnswer, 4<<10)
+	o.AnswerCacheBytes = orDefault(o.AnswerCacheBytes, 4<<20)
+	o.MaxOperations = orDefault(o.MaxOperations, 512)
+	o.MaxRecords = orDefault(o.MaxRecords, 20_000)
 	o.Retention = orDefault(o.Retention, Duration(6*time.Hour))
-	o.Writes = orDefault(o.Writes, 12)
+	o.WritesPerSecond = orDefault(o.WritesPerSecond, 12)
 	return o
 }
 
--- a/loader/route.go
+++ b/loader/route.go
@@ -9,18 +9,18 @@
 // HostRoute sends the requests for one host name and path prefix to services. Of
 // the routes of a host, the longest prefix that begins the path counts.
 type HostRoute struct {
-	Host     string   `json:"host"`   // without a port
-	Prefix   string   `json:"prefix"` // begins and ends with a slash
-	Services []Split  `json:"services"`
-	Tier     int      `json:"tier"`     // 0 is the most urgent
-	First    Duration `json:"first"`    // target for the answer; of a stream, for its first event
-	Gap      Duration `json:"gap"`      // target for the longest pause in a stream; 0 is none
-	Whole    Duration `json:"whole"`    // a caller is kept waiting no longer
-	Attempts int      `json:"attempts"` // workers that may run one request
-	Once     bool     `json:"once"`     // must not be repeated
-	Stream   bool     `json:"stream"`   // answered by events
-	Resume   bool     `json:"resume"`   // a stream that broke may go on at another worker
-	Public   bool     `json:"public"`   // needs no key
+	Host          string   `json:"host"`   // without a port
+	Prefix        string   `json:"prefix"` // begins and ends with a slash
+	Services      []Split  `json:"services"`
+	Tier          int      `json:"tier"`     // 0 is the most urgent
+	LatencyTarget Duration `json:"first"`    // target for the answer; of a stream, for its first event
+	GapTarget     Duration `json:"gap"`      // target for the longest pause in a stream; 0 is none
+	Timeout       Duration `json:"whole"`    // a caller is kept waiting no longer
+	MaxAttempts   int      `json:"attempts"` // workers that may run one request
+	Once          bool     `json:"once"`     // must not be repeated
+	Stream        bool     `json:"stream"`   // answered by events
+	Resumable     bool     `json:"resume"`   // a stream that broke may go on at another worker
+	Public        bool     `json:"public"`   // needs no key
 }
 
 // Split is one service of a host route, with its part of the requests.
@@ -32,7 +32,7 @@
 // Repeatable says whether a request may run more than once.
 func (r HostRoute) Repeatable() bool {
 	if r.Stream {
-		return r.Resume
+		return r.Resumable
 	}
 	return !r.Once
 }
@@ -40,10 +40,10 @@
 // Callers bounds what callers of host routes may send. Zero fields leave the
 // limits of the host's own settings.
 type Callers struct {
-	Header int      `json:"header"` // bytes of a request's head
-	Body   int64    `json:"body"`   // bytes of a request's body
-	Read   Duration `json:"read"`   // for a request's head to arrive
-	Idle   Duration `json:"idle"`   // of a connection between requests
+	MaxHeader   int      `json:"header"` // bytes of a request's head
+	MaxBody     int64    `json:"body"`   // bytes of a request's body
+	ReadTimeout Duration `json:"read"`   // for a request's head to arrive
+	IdleTimeout Duration `json:"idle"`   // of a connection between requests
 }
 
 // callers takes the section that stands once in a folder.
@@ -62,7 +62,7 @@
 	for _, f := range []struct {
 		name  string
 		value int64
-	}{{"header", int64(c.Header)}, {"body", c.Body}, {"read", int64(c.Read)}, {"idle", int64(c.Idle)}} {
+	}{{"header", int64(c.MaxHeader)}, {"body", c.MaxBody}, {"read", int64(c.ReadTimeout)}, {"idle", int64(c.IdleTimeout)}} {
 		if f.value < 0 {
 			at("must not be negative", sectionCallers, f.name)
 		}
@@ -80,15 +80,15 @@
 	for _, f := range []struct {
 		name  string
 		value int64
-	}{{"tier", int64(r.Tier)}, {"first", int64(r.First)}, {"gap", int64(r.Gap)}} {
+	}{{"tier", int64(r.Tier)}, {"first", int64(r.LatencyTarget)}, {"gap", int64(r.GapTarget)}} {
 		if f.value < 0 {
 			m.fault("must not be negative", at(f.name)...)
 		}
 	}
-	if r.Whole <= 0 {
+	if r.Timeout <= 0 {
 		m.fault("must be a positive duration", at("whole")...)
 	}
-	if r.Attempts <= 0 {
+	if r.MaxAttempts <= 0 {
 		m.fault("must be positive", at("attempts")...)
 	}
 	m.splits(r, at)
--- a/observer/observer.go
+++ b/observer/observer.go
@@ -88,7 +88,7 @@
 		}
 	}
 	for k, x := range previous {
-		if o.services[k.service].Hosts && !x.configured && o.workers[k] == nil {
+		if o.services[k.service].UseHostList && !x.configured && o.workers[k] == nil {
 			o.workers[k] = x
 		}
 	}
@@ -100,7 +100,7 @@
 	seen := map[key]bool{}
 	for _, l := range list {
 		k := key{l.Service, l.Name}
-		if !o.services[l.Service].Hosts {
+		if !o.services[l.Service].UseHostList {
 			continue
 		}
 		seen[k] = true
@@ -113,7 +113,7 @@
 		x.listedLeaving, x.missingSince = l.Leaving, time.Time{}
 	}
 	for k, x := range o.workers {
-		if !seen[k] && o.services[k.service].Hosts && x.missingSince.IsZero() {
+		if !seen[k] && o.services[k.service].UseHostList && x.missingSince.IsZero() {
 			x.missingSince = now
 		}
 	}
--- a/observer/observer_test.go
+++ b/observer/observer_test.go
@@ -20,7 +20,7 @@
 
 // configuration returns a service with one configured worker and others from the host list.
 func configuration() map[string]loader.Service {
-	return map[string]loader.Service{"lm": {Hosts: true, Workers: []loader.Worker{{Name: "fixed", Address: "fixed", Slots: 1}}}}
+	return map[string]loader.Service{"lm": {UseHostList: true, Workers: []loader.Worker{{Name: "fixed", Address: "fixed", Slots: 1}}}}
 }
 
 func listing(names ...string) []observer.Listing {
--- a/publisher/checkout.go
+++ b/publisher/checkout.go
@@ -84,7 +84,7 @@
 // change on both sides.
 func (c *Checkout) write(files loader.Files, base Base) error {
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		if !loader.IsFile(name) {
+		if !loader.IsSettingsFile(name) {
 			return fmt.Errorf("%w: %q is not a file's name", ErrCheckout, name)
 		}
 		if text, ok := c.files[name]; ok && text == files[name] {
--- a/router/index.go
+++ b/router/index.go
@@ -27,7 +27,7 @@
 }
 
 func newIndex(f *loader.Folder, generation uint64) *index {
-	x := &index{folder: f, generation: generation, hosts: map[string][]target{}, keys: f.Holders()}
+	x := &index{folder: f, generation: generation, hosts: map[string][]target{}, keys: f.OrganisationsByKeyHash()}
 	for name, r := range f.Routes {
 		x.hosts[r.Host] = append(x.hosts[r.Host], target{HostRoute: r, name: name})
 	}
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -74,7 +74,7 @@
 	switch {
 	case q.name == "":
 		return "unknown"
-	case q.Stream && q.Resume:
+	case q.Stream && q.Resumable:
 		return "resumable"
 	case q.Stream:
 		return "stream"
--- a/router/router.go
+++ b/router/router.go
@@ -121,7 +121,7 @@
 func (r *Router) log(t *transaction, code string, status int, f *failure) {
 	q := t.q
 	fields := []zap.Field{
-		zap.String("request", q.ID), zap.Stringer("fingerprint", q.fingerprint), zap.String("route", q.name), zap.String("service", q.service), zap.Int("tier", q.tier), zap.Int("rank", q.rank), zap.Duration("target", q.First.Std()),
+		zap.String("request", q.ID), zap.Stringer("fingerprint", q.fingerprint), zap.String("route", q.name), zap.String("service", q.service), zap.Int("tier", q.tier), zap.Int("rank", q.rank), zap.Duration("target", q.LatencyTarget.Std()),
 		zap.String("outcome", code), zap.Int("status", status), zap.Int("sends", t.sends), zap.Bool("exposed", t.mayHaveRun),
 		zap.Duration("took", time.Since(q.started)), zap.Int("bytes", t.delivery.bytes), zap.String("worker", t.worker), zap.Bool("kept", t.reused),
 		zap.Duration("expected", t.expectedWait), zap.Int("read", t.promptTokens),
@@ -178,7 +178,7 @@
 	if q.index == nil {
 		return &failure{status: http.StatusServiceUnavailable, code: codeNoConfiguration, retryAfter: defaultRetryAfter}
 	}
-	if limit := q.index.callerLimits().Header; limit > 0 && headSize(req) > limit {
+	if limit := q.index.callerLimits().MaxHeader; limit > 0 && headSize(req) > limit {
 		return &failure{status: http.StatusRequestHeaderFieldsTooLarge, code: codeHeaderTooLarge, closeConnection: true}
 	}
 	var ok bool
@@ -246,7 +246,7 @@
 
 // readBody reads the caller's whole body, up to the limit.
 func (r *Router) readBody(q *request, w http.ResponseWriter, req *http.Request) *failure {
-	limit := q.index.callerLimits().Body
+	limit := q.index.callerLimits().MaxBody
 	if limit <= 0 {
 		limit = r.MaxAnswer
 	}
@@ -279,7 +279,7 @@
 func (r *Router) placementRequest(q *request) placer.Request {
 	a := placer.Request{
 		Service: q.service, Prompt: q.Prompt, Output: q.MaxOutput, Rank: q.rank, Tier: q.Tier,
-		Target: q.First.Std(), Fingerprint: q.fingerprint,
+		Target: q.LatencyTarget.Std(), Fingerprint: q.fingerprint,
 	}
 	if q.ExpectedOutput > 0 && (q.ExpectedOutput < q.MaxOutput || q.MaxOutput == 0) {
 		a.Output = q.ExpectedOutput
@@ -288,7 +288,7 @@
 		a.Expected = a.Output // the remaining length of a resumed stream is unknown
 	}
 	if q.Stream {
-		a.FirstEventTimeout, a.Gap = eventTimeout(q.target), q.Gap.Std()
+		a.FirstEventTimeout, a.Gap = eventTimeout(q.target), q.GapTarget.Std()
 	}
 	h := xxhash.New()
 	_, _ = h.WriteString(q.Model) // never fails
@@ -311,12 +311,12 @@
 
 // eventTimeout returns how long a caller waits for a stream's next event.
 func eventTimeout(t target) time.Duration {
-	return max(minEventTimeout, eventTimeoutFirstTargets*t.First.Std(), eventTimeoutGapTargets*t.Gap.Std())
+	return max(minEventTimeout, eventTimeoutFirstTargets*t.LatencyTarget.Std(), eventTimeoutGapTargets*t.GapTarget.Std())
 }
 
 // timeLeft returns the time until the request's deadline.
 func (q *request) timeLeft(now time.Time) time.Duration {
-	whole := q.Whole.Std()
+	whole := q.Timeout.Std()
 	if q.Deadline > 0 {
 		whole = min(whole, q.Deadline)
 	}
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -105,7 +105,7 @@
 func folder() *loader.Folder {
 	route := func(prefix string, change func(*loader.HostRoute)) loader.HostRoute {
 		r := loader.HostRoute{
-			Host: "h.example", Prefix: prefix, Tier: 3, Attempts: 2, Whole: loader.Duration(2 * time.Second),
+			Host: "h.example", Prefix: prefix, Tier: 3, MaxAttempts: 2, Timeout: loader.Duration(2 * time.Second),
 			Services: []loader.Split{{Service: strings.Trim(prefix, "/"), Weight: 1}},
 		}
 		if change != nil {
@@ -118,8 +118,8 @@
 		Routes: map[string]loader.HostRoute{
 			"a": route("/a/", nil), "ab": route("/a/b/", nil),
 			"late": route("/late/", func(r *loader.HostRoute) { r.Tier = 5 }),
-			"flow": route("/flow/", func(r *loader.HostRoute) { r.Stream, r.Resume = true, true }),
-			"once": route("/once/", func(r *loader.HostRoute) { r.Once, r.Attempts = true, 1 }),
+			"flow": route("/flow/", func(r *loader.HostRoute) { r.Stream, r.Resumable = true, true }),
+			"once": route("/once/", func(r *loader.HostRoute) { r.Once, r.MaxAttempts = true, 1 }),
 			"split": route("/split/", func(r *loader.HostRoute) {
 				r.Services = []loader.Split{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}, {Service: "z", Weight: 0}}
 			}),
--- a/router/trip.go
+++ b/router/trip.go
@@ -176,7 +176,7 @@
 		return unanswered(t.mayHaveRun, codeWorkerRefused, shortRetryAfter), t.sends >= maxSends
 	}
 	resumable := !t.delivery.headSent || t.q.Stream && t.lastEventID != ""
-	if t.q.Repeatable() && resumable && t.mayHaveRunCount < t.q.Attempts && t.sends < maxSends {
+	if t.q.Repeatable() && resumable && t.mayHaveRunCount < t.q.MaxAttempts && t.sends < maxSends {
 		return nil, false
 	}
 	if t.passWorkerError() {
@@ -224,10 +224,10 @@
 // or as a whole, which leaves time
 // to try another worker. 0 allows the whole time: only repeatable requests have a limit.
 func (t *transaction) silenceTimeout(p Placement) time.Duration {
-	if !t.q.Repeatable() || t.mayHaveRunCount+1 >= t.q.Attempts {
+	if !t.q.Repeatable() || t.mayHaveRunCount+1 >= t.q.MaxAttempts {
 		return 0
 	}
-	bound := max(silenceWaitFactor*p.ExpectedWait, silenceTargetFactor*t.q.First.Std())
+	bound := max(silenceWaitFactor*p.ExpectedWait, silenceTargetFactor*t.q.LatencyTarget.Std())
 	return min(bound, t.q.timeLeft(time.Now())/2)
 }
 
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -237,7 +237,7 @@
 		}
 		if p.folder != nil {
 			s := p.folder.Services[e.Service]
-			w.CacheTokens, w.EventTokens, w.TokenBytes, w.LinkMbps = s.Memory, s.Event, s.Token, s.Link
+			w.CacheTokens, w.EventTokens, w.TokenBytes, w.LinkMbps = s.CacheTokens, s.EventTokens, s.TokenBytes, s.LinkMbps
 		}
 		workers = append(workers, w)
 	}
--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -108,7 +108,7 @@
 			model := faker.DefaultModel()
 			model.Slow = 1000 // a token takes longer than the test
 			t := newFixtureOf(model, time.Millisecond, "lm1")
-			a := t.start("a", "z1", func(s *loader.Host) { s.Limits.Drain = loader.Duration(limit) })
+			a := t.start("a", "z1", func(s *loader.Host) { s.Limits.DrainTimeout = loader.Duration(limit) })
 			Eventually(t.settled(1)).WithTimeout(10 * time.Second).Should(Succeed())
 			going := stream(a, 100000)
 			a.term()
--- a/runner/entries.go
+++ b/runner/entries.go
@@ -203,10 +203,10 @@
 		e, err := platform.DecodeWorker(o)
 		switch {
 		case o.Deleted:
-			d.removed = append(d.removed, platform.NameOf(o))
+			d.removed = append(d.removed, platform.WorkerName(o))
 		case err != nil:
-			p.log.Warn("worker's entry", zap.String("worker", platform.NameOf(o)), zap.Stringer("version", o.Version), zap.Error(err))
-			d.removed = append(d.removed, platform.NameOf(o))
+			p.log.Warn("worker's entry", zap.String("worker", platform.WorkerName(o)), zap.Stringer("version", o.Version), zap.Error(err))
+			d.removed = append(d.removed, platform.WorkerName(o))
 		default:
 			d.changed = append(d.changed, e)
 		}
--- a/runner/fixture_test.go
+++ b/runner/fixture_test.go
@@ -100,7 +100,7 @@
 // start runs a host until it is told to stop.
 func (t *fixture) start(name, zone string, change func(*loader.Host)) *running {
 	settings := loader.Host{Name: name, Zone: zone, Region: "r", Listen: freeAddress(), Control: freeAddress(), Admin: freeAddress(), Platform: t.url}
-	settings.Limits.Settle = loader.Duration(200 * time.Millisecond)
+	settings.Limits.UnreadyDelay = loader.Duration(200 * time.Millisecond)
 	if change != nil {
 		change(&settings)
 	}
--- a/runner/following.go
+++ b/runner/following.go
@@ -36,7 +36,7 @@
 // enforce the control goroutine.
 func newFollowing(s loader.Host, store storer.Store, m sender, log *zap.Logger, ready func(bool), enforce func(*loader.Folder, uint64)) *following {
 	g := &following{settings: s, log: log, sender: m}
-	timing := publisher.Timing{Confirm: s.Limits.Confirm.Std()}
+	timing := publisher.Timing{Confirm: s.Limits.ConfirmTimeout.Std()}
 	if s.Dialect == loader.DialectPlatform {
 		timing.Poll, timing.Current = operatorPoll, true
 	}
--- a/runner/host.go
+++ b/runner/host.go
@@ -83,7 +83,7 @@
 	defer operators.Close()
 	store, closeStore := platform.NewStore(settings.Platform)
 	defer closeStore()
-	forward, closeForward := forwarder.New(settings.Limits.Silence.Std())
+	forward, closeForward := forwarder.New(settings.Limits.SilenceTimeout.Std())
 	defer closeForward()
 	h := &Host{settings: settings, log: log, leaving: make(chan struct{})}
 	h.era.log = log
@@ -113,7 +113,7 @@
 	forward.OnRefused(h.observing.refused)
 	connected := make(chan struct{})
 	m, closeMessenger, err := messenger.Open(messenger.Config{
-		Name: s.Name, Incarnation: incarnation, Address: s.Control, AckTimeout: s.Limits.Link.Std(), AckDelay: ackDelay,
+		Name: s.Name, Incarnation: incarnation, Address: s.Control, AckTimeout: s.Limits.AckTimeout.Std(), AckDelay: ackDelay,
 		OnReachability: func(address string, reachable bool) {
 			<-connected
 			h.registrar.SetReachable(address, reachable)
@@ -145,7 +145,7 @@
 			Name: s.Name, Zone: s.Zone, Region: s.Region, Control: s.Control, Admin: s.Admin, Incarnation: incarnation,
 			Weight: int(100 * s.Limits.Cores),
 		},
-		HeartbeatInterval: s.Limits.Beat.Std(), LeaseDuration: s.Limits.Lease.Std(), Store: store, Transport: m, Log: h.log, Peers: s.Peers, ShouldWatch: turn,
+		HeartbeatInterval: s.Limits.HeartbeatInterval.Std(), LeaseDuration: s.Limits.LeaseDuration.Std(), Store: store, Transport: m, Log: h.log, Peers: s.Peers, ShouldWatch: turn,
 		Notify: func(r registrar.Roster) {
 			h.following.enroll(r)
 			h.control.post(rosterChanged{roster: r})
@@ -211,8 +211,8 @@
 	failed := make(chan error, 1)
 	tasks.Go(func() { failed <- h.server.Serve(callers) })
 	h.log.Info("serving", zap.String("zone", h.settings.Zone), zap.String("listen", h.settings.Listen), zap.String("platform", h.settings.Platform),
-		zap.String("dialect", h.settings.Dialect), zap.Int("memory", h.settings.Limits.Memory), zap.Int("calls", h.settings.Limits.Calls),
-		zap.Duration("settle", h.settings.Limits.Settle.Std()), zap.Duration("drain", h.settings.Limits.Drain.Std()))
+		zap.String("dialect", h.settings.Dialect), zap.Int("memory", h.settings.Limits.MemoryMB), zap.Int("calls", h.settings.Limits.MaxCalls),
+		zap.Duration("settle", h.settings.Limits.UnreadyDelay.Std()), zap.Duration("drain", h.settings.Limits.DrainTimeout.Std()))
 	tasks.Go(func() { h.follow(roles, signals.Reload) })
 	select {
 	case <-ctx.Done():
--- a/runner/hosts_test.go
+++ b/runner/hosts_test.go
@@ -86,7 +86,7 @@
 	h.control = runner.NewControl(h.name, func(to string, m messenger.Message) { w.send(h, to, m) })
 	second := loader.Duration(time.Second)
 	h.control.Configure(w.now, &loader.Folder{
-		Classes: map[string]loader.Class{"check": {Tier: 0, First: 50 * second, Whole: 100 * second}},
+		Classes: map[string]loader.Class{"check": {Tier: 0, FirstByteTarget: 50 * second, AnswerTarget: 100 * second}},
 		Services: map[string]loader.Service{"crew": {
 			Kind: loader.KindPlain, Workers: []loader.Worker{{Name: "w0", Slots: slots}},
 		}},
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -83,8 +83,8 @@
 
 func (k *keeping) settings() keeper.Settings {
 	return keeper.Settings{
-		WritesPerSecond: k.limits.Writes, MaxOperations: k.limits.Operations, MaxRecords: k.limits.Records,
-		AnswerCacheBytes: k.limits.Answers, MaxAnswerBytes: k.limits.Answer, Retention: k.limits.Retention.Std(), LayoutEra: k.layout.Era,
+		WritesPerSecond: k.limits.WritesPerSecond, MaxOperations: k.limits.MaxOperations, MaxRecords: k.limits.MaxRecords,
+		AnswerCacheBytes: k.limits.AnswerCacheBytes, MaxAnswerBytes: k.limits.MaxStoredAnswer, Retention: k.limits.Retention.Std(), LayoutEra: k.layout.Era,
 	}
 }
 
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -155,12 +155,12 @@
 		return keeper.CallUnknown, nil, err
 	}
 	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, k.limits.Whole+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, k.limits.MaxAnswer+1))
 	if err != nil || !answer.Framed || !whole(answer.Header, body) {
 		return keeper.CallUnknown, nil, err
 	}
-	if int64(len(body)) > k.limits.Whole {
-		return keeper.CallRan, tooLarge(k.limits.Whole), nil
+	if int64(len(body)) > k.limits.MaxAnswer {
+		return keeper.CallRan, tooLarge(k.limits.MaxAnswer), nil
 	}
 	return keeper.CallRan, &keeper.Answer{Status: answer.Status, Header: answer.Header, Body: body}, nil
 }
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -29,11 +29,11 @@
 	h.log.Info("leaving", zap.Int64("inflight", h.server.InFlight()))
 	h.server.Drain()
 	h.registrar.Leave()
-	limit := h.settings.Limits.Settle.Std() + h.settings.Limits.Drain.Std()
+	limit := h.settings.Limits.UnreadyDelay.Std() + h.settings.Limits.DrainTimeout.Std()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	defer h.hasten(hurry, cancel)()
-	settled := time.NewTimer(h.settings.Limits.Settle.Std())
+	settled := time.NewTimer(h.settings.Limits.UnreadyDelay.Std())
 	defer settled.Stop()
 	select {
 	case <-settled.C:
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -228,7 +228,7 @@
 	}
 	if c.folder != nil {
 		for _, s := range c.folder.Services {
-			w.list = w.list || s.Hosts
+			w.list = w.list || s.UseHostList
 		}
 	}
 	return w
--- a/runner/rejoining_test.go
+++ b/runner/rejoining_test.go
@@ -56,7 +56,7 @@
 			}
 		})
 		c.Configure(now, &loader.Folder{
-			Classes:  map[string]loader.Class{"chat": {Whole: loader.Duration(time.Minute)}},
+			Classes:  map[string]loader.Class{"chat": {AnswerTarget: loader.Duration(time.Minute)}},
 			Services: map[string]loader.Service{service: {Kind: loader.KindEngine, Workers: []loader.Worker{{Name: "w", Address: "w", Slots: 4}}}},
 		})
 		c.Enroll(now, first)
--- a/runner/reloading.go
+++ b/runner/reloading.go
@@ -16,8 +16,8 @@
 
 // boundMemory tells the runtime how much memory the process may take.
 func boundMemory(l loader.Limits) {
-	if l.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(l.Memory<<20)))
+	if l.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(l.MemoryMB<<20)))
 	}
 }
 
@@ -37,7 +37,7 @@
 			if h.routing != nil {
 				h.routing.choosing.post(settingsChanged{settings: s})
 			}
-			h.log.Info("settings in force", zap.Int("memory", s.Limits.Memory), zap.Float64("ratio", s.Repeat.Ratio), zap.Float64("slack", s.Repeat.Slack))
+			h.log.Info("settings in force", zap.Int("memory", s.Limits.MemoryMB), zap.Float64("ratio", s.Repeat.Ratio), zap.Float64("slack", s.Repeat.Slack))
 		}
 	}
 }
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -36,7 +36,7 @@
 	g.listing = &listing{store: store, log: log, tell: func(e entriesSeen) { g.choosing.post(e) }, next: g.choosing.next}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.choosing, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
-		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
+		MaxAnswer: s.Limits.MaxAnswer, WriteTimeout: s.Limits.WriteTimeout.Std(), MaxBuffered: s.Limits.MaxBuffered,
 	})
 	return g
 }
--- a/server/admit.go
+++ b/server/admit.go
@@ -38,7 +38,7 @@
 func (s *Server) limitConnections(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		if s.connections.Add(1) > int64(maxConnsPerCall*s.limits.Calls) {
+		if s.connections.Add(1) > int64(maxConnsPerCall*s.limits.MaxCalls) {
 			_ = c.Close()
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -49,7 +49,7 @@
 // admit takes one of the host's places for a request. The returned function releases it.
 func (s *Server) admit(q *request, lowest int) (func(), *failure) {
 	release := func() { s.inFlight.Add(-1) }
-	if s.inFlight.Add(1) <= maxInFlight(s.limits.Calls, q.tier, lowest) {
+	if s.inFlight.Add(1) <= maxInFlight(s.limits.MaxCalls, q.tier, lowest) {
 		return release, nil
 	}
 	release()
@@ -127,11 +127,11 @@
 
 // readBody reads the caller's whole body, up to the limit.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request, h *reservation) ([]byte, *failure) {
-	body, err := h.readAll(http.MaxBytesReader(w, r.Body, s.limits.Body), r.ContentLength, s.limits.Body)
+	body, err := h.readAll(http.MaxBytesReader(w, r.Body, s.limits.MaxBody), r.ContentLength, s.limits.MaxBody)
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large), errors.Is(err, errTooLarge):
-		return nil, &failure{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: fmt.Sprintf("the body is over %d bytes", s.limits.Body), run: RunNo}
+		return nil, &failure{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: fmt.Sprintf("the body is over %d bytes", s.limits.MaxBody), run: RunNo}
 	case errors.Is(err, errMemoryFull):
 		return nil, &failure{status: http.StatusServiceUnavailable, code: "host_full", message: "this host holds too many bytes of requests and answers", run: RunNo, retryAfter: defaultRetryAfter}
 	case err != nil:
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -78,7 +78,7 @@
 func enginePaths(b *testing.B) []struct{ name, url string } {
 	engine := httptest.NewServer(http.HandlerFunc(benchEngine))
 	proxy := httptest.NewServer(copyProxy(engine.URL))
-	s := newFixture(options{resume: true, silence: time.Minute, limits: func(l *loader.Limits) { l.Calls = 20000 }})
+	s := newFixture(options{resume: true, silence: time.Minute, limits: func(l *loader.Limits) { l.MaxCalls = 20000 }})
 	s.places.workers = []loader.Worker{{Name: "bench", Address: strings.TrimPrefix(engine.URL, "http://"), Slots: 1 << 20}}
 	b.Cleanup(func() {
 		s.close()
--- a/server/fixture_test.go
+++ b/server/fixture_test.go
@@ -201,8 +201,8 @@
 	s.places.workers = s.workers
 	f := s.folder(o)
 	limits := loader.Limits{
-		Body: 1 << 20, Header: 64 << 10, Answer: 1 << 20, Buffer: 64 << 20, Calls: 100,
-		Read: loader.Duration(10 * time.Second), Stall: loader.Duration(10 * time.Second), Silence: loader.Duration(silence),
+		MaxBody: 1 << 20, MaxHeader: 64 << 10, MaxAnswer: 1 << 20, MaxBuffered: 64 << 20, MaxCalls: 100,
+		ReadTimeout: loader.Duration(10 * time.Second), WriteTimeout: loader.Duration(10 * time.Second), SilenceTimeout: loader.Duration(silence),
 	}
 	if o.limits != nil {
 		o.limits(&limits)
@@ -237,14 +237,14 @@
 func (s *fixture) folder(o options) *loader.Folder {
 	f := &loader.Folder{
 		Classes: map[string]loader.Class{
-			"chat": {Tier: 1, First: loader.Duration(100 * time.Millisecond), Whole: loader.Duration(20 * time.Second)},
-			"hold": {Tier: 0, First: loader.Duration(cmp.Or(o.target, 100*time.Millisecond)), Whole: loader.Duration(20 * time.Second)},
-			"plan": {Tier: 2, Whole: loader.Duration(20 * time.Second)},
+			"chat": {Tier: 1, FirstByteTarget: loader.Duration(100 * time.Millisecond), AnswerTarget: loader.Duration(20 * time.Second)},
+			"hold": {Tier: 0, FirstByteTarget: loader.Duration(cmp.Or(o.target, 100*time.Millisecond)), AnswerTarget: loader.Duration(20 * time.Second)},
+			"plan": {Tier: 2, AnswerTarget: loader.Duration(20 * time.Second)},
 		},
 		Organisations: map[string]loader.Organisation{"dock": {Keys: []string{loader.HashKey(key)}, Classes: []string{"chat", "hold", "plan"}}},
 	}
 	f.Services = map[string]loader.Service{
-		"lm":   {Kind: loader.KindEngine, Models: []string{"lm"}, Routes: []loader.Route{{Class: "chat"}}, Resume: o.resume, Workers: s.workers},
+		"lm":   {Kind: loader.KindEngine, Models: []string{"lm"}, Routes: []loader.Route{{Class: "chat"}}, Resumable: o.resume, Workers: s.workers},
 		"desk": {Kind: loader.KindPlain, Routes: []loader.Route{{Path: "/holds", Class: "hold", Once: true}, {Path: "/", Class: "hold"}}, Workers: s.workers},
 	}
 	return f
--- a/server/index.go
+++ b/server/index.go
@@ -25,7 +25,7 @@
 }
 
 func newIndex(f *loader.Folder) *index {
-	x := &index{folder: f, keys: f.Holders(), models: map[string]target{}}
+	x := &index{folder: f, keys: f.OrganisationsByKeyHash(), models: map[string]target{}}
 	for _, name := range slices.Sorted(maps.Keys(f.Services)) {
 		x.addModels(name, f.Services[name])
 	}
--- a/server/once.go
+++ b/server/once.go
@@ -47,7 +47,7 @@
 	if fail := s.quarantinedFailure(q); fail != nil {
 		return fail
 	}
-	if limit := s.limits.Once.Body; int64(len(c.Body)) > limit {
+	if limit := s.limits.Once.MaxBody; int64(len(c.Body)) > limit {
 		return &failure{status: http.StatusRequestEntityTooLarge, code: "body_too_large", message: fmt.Sprintf("the body is over %d bytes, the bound of a call that must not be repeated", limit), run: RunNo}
 	}
 	id := keeper.NewID(q.organisation, q.service, key)
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -95,7 +95,7 @@
 	// until the write time-out ends it.
 	It("that stops reading is disconnected after the write time-out", Label(prover.Cell(prover.Acked, prover.Silence), prover.Cell(prover.Acked, prover.Slow), prover.Cell(prover.Acked, prover.Freeze)), func() {
 		s := startFixture(options{
-			limits: func(l *loader.Limits) { l.Stall = loader.Duration(silence) },
+			limits: func(l *loader.Limits) { l.WriteTimeout = loader.Duration(silence) },
 			// Time-outs of the worker are long: a second try would hide which time-out
 			// ended the call.
 			silence: 10 * time.Second, target: 10 * time.Second,
--- a/server/request.go
+++ b/server/request.go
@@ -117,7 +117,7 @@
 	q.class = asked
 	q.tier = class.Tier
 	q.once = route.Once
-	q.firstByteTarget, q.deadline = class.First.Std(), class.Whole.Std()
+	q.firstByteTarget, q.deadline = class.FirstByteTarget.Std(), class.AnswerTarget.Std()
 	return nil
 }
 
@@ -182,7 +182,7 @@
 
 func (q *request) setService(f *loader.Folder, name string) {
 	s := f.Services[name]
-	q.service, q.maxExcluded, q.resumable = name, maxExcluded(s), s.Resume
+	q.service, q.maxExcluded, q.resumable = name, maxExcluded(s), s.Resumable
 }
 
 // withResume returns a completion request that asks for the answer after a number of
--- a/server/request_test.go
+++ b/server/request_test.go
@@ -42,7 +42,7 @@
 var _ = Describe("a request that is not accepted", func() {
 	DescribeTable("is refused with an error code, and not run",
 		func(change func(r *http.Request), status int, code string) {
-			s := startFixture(options{resume: true, limits: func(l *loader.Limits) { l.Body = 4096 }})
+			s := startFixture(options{resume: true, limits: func(l *loader.Limits) { l.MaxBody = 4096 }})
 			r := s.request(context.Background(), "/v1/chat/completions", completionBody(true))
 			change(r)
 			g := s.send(r)
@@ -89,7 +89,7 @@
 // the lowest tier is refused first.
 var _ = Describe("a host that is nearly full", func() {
 	It("refuses the lowest tier first, and reserves places for the most urgent", func() {
-		s := startFixture(options{limits: func(l *loader.Limits) { l.Calls = 10 }})
+		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxCalls = 10 }})
 		s.places.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		var callers sync.WaitGroup
@@ -121,7 +121,7 @@
 	})
 
 	It("limits the bytes that it buffers", func() {
-		s := startFixture(options{limits: func(l *loader.Limits) { l.Buffer = 100 << 10 }})
+		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxBuffered = 100 << 10 }})
 		s.places.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		big := func() *http.Request { return s.request(ctx, "/services/desk/log", strings.Repeat("x", 60<<10)) }
@@ -138,7 +138,7 @@
 	})
 
 	It("limits the connections of callers", func() {
-		s := startFixture(options{limits: func(l *loader.Limits) { l.Calls, l.Read = 4, loader.Duration(time.Minute) }})
+		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxCalls, l.ReadTimeout = 4, loader.Duration(time.Minute) }})
 		address := strings.TrimPrefix(s.url, "http://")
 		var open []net.Conn
 		for range 8 {
@@ -165,7 +165,7 @@
 	// A caller sends its head and half of its body, and then nothing: disconnected,
 	// frozen, or slow on purpose.
 	It("gives up a caller that does not finish sending its request", Label(prover.Cell(prover.Received, prover.Silence), prover.Cell(prover.Received, prover.Slow), prover.Cell(prover.Received, prover.Freeze), prover.Cell(prover.Received, prover.CutOne)), func() {
-		s := startFixture(options{limits: func(l *loader.Limits) { l.Read = loader.Duration(silence) }})
+		s := startFixture(options{limits: func(l *loader.Limits) { l.ReadTimeout = loader.Duration(silence) }})
 		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		defer conn.Close()
@@ -216,7 +216,7 @@
 	)
 
 	It("that is too large to buffer is passed on, and reset if it breaks", func() {
-		s := startFixture(options{limits: func(l *loader.Limits) { l.Answer = 64 << 10 }})
+		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxAnswer = 64 << 10 }})
 		large := func() response {
 			return s.send(s.request(context.Background(), "/services/desk/log?size=1000000", ""))
 		}
@@ -230,7 +230,7 @@
 	})
 
 	It("of unknown length that is too large to buffer is reset if it breaks", func() {
-		s := startFixture(options{limits: func(l *loader.Limits) { l.Answer = 16 }})
+		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxAnswer = 16 }})
 		address, _ := rawWorker("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n64\r\n" + strings.Repeat("x", 100) + "\r\n")
 		s.places.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
 		g := s.send(s.request(context.Background(), "/services/desk/log", ""))
--- a/server/server.go
+++ b/server/server.go
@@ -53,8 +53,8 @@
 
 // New returns a server that does not listen yet.
 func New(l loader.Limits, c Configuration, a Allocator, f *forwarder.Forwarder, log *zap.Logger, m *Metrics) *Server {
-	s := &Server{limits: l, config: c, allocator: a, forwarder: f, log: log, metrics: m, memory: memory{limit: l.Buffer}}
-	s.http = &http.Server{Handler: s.closeWhileDraining(s.handler()), ReadHeaderTimeout: l.Read.Std(), ReadTimeout: l.Read.Std(), MaxHeaderBytes: l.Header, IdleTimeout: time.Minute, ConnState: s.limitConnections}
+	s := &Server{limits: l, config: c, allocator: a, forwarder: f, log: log, metrics: m, memory: memory{limit: l.MaxBuffered}}
+	s.http = &http.Server{Handler: s.closeWhileDraining(s.handler()), ReadHeaderTimeout: l.ReadTimeout.Std(), ReadTimeout: l.ReadTimeout.Std(), MaxHeaderBytes: l.MaxHeader, IdleTimeout: time.Minute, ConnState: s.limitConnections}
 	return s
 }
 
@@ -72,8 +72,8 @@
 // host is full.
 func (s *Server) serveHostRoute(w http.ResponseWriter, r *http.Request) {
 	defer s.inFlight.Add(-1)
-	if n := s.inFlight.Add(1); n > int64(s.limits.Calls) {
-		s.log.Warn("host full", zap.String("path", r.URL.Path), zap.Int64("calls", n), zap.Int("limit", s.limits.Calls))
+	if n := s.inFlight.Add(1); n > int64(s.limits.MaxCalls) {
+		s.log.Warn("host full", zap.String("path", r.URL.Path), zap.Int64("calls", n), zap.Int("limit", s.limits.MaxCalls))
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "this host has too many requests in flight", http.StatusServiceUnavailable)
 		return
@@ -248,7 +248,7 @@
 // finish runs a request that passed its checks, answers one that failed, and logs the
 // outcome.
 func (s *Server) finish(w http.ResponseWriter, r *http.Request, q *request, x *index, fail *failure, c forwarder.Call) {
-	d := newDelivery(w, q, s.limits.Stall.Std())
+	d := newDelivery(w, q, s.limits.WriteTimeout.Std())
 	if fail == nil {
 		c.Body, c.RequestID, c.Tier = q.body, q.id, q.tier
 		q.fingerprint = Fingerprint(q.organisation, q.service, c.Method, c.Path, c.Body)
--- a/server/tries.go
+++ b/server/tries.go
@@ -105,8 +105,8 @@
 	if n == 0 {
 		return 1 // workers come from the host list
 	}
-	if s.Cell > 0 {
-		n /= (n + s.Cell - 1) / s.Cell
+	if s.CellSize > 0 {
+		n /= (n + s.CellSize - 1) / s.CellSize
 	}
 	return n - 1
 }
--- a/server/whole.go
+++ b/server/whole.go
@@ -48,7 +48,7 @@
 	if t.call.Method == http.MethodHead {
 		length = 0
 	}
-	body, err := h.readAll(t.answer.Body, length, t.server.limits.Answer)
+	body, err := h.readAll(t.answer.Body, length, t.server.limits.MaxAnswer)
 	if errors.Is(err, errTooLarge) || errors.Is(err, errMemoryFull) {
 		return t.passThrough(body)
 	}
--- a/soaker/caller_test.go
+++ b/soaker/caller_test.go
@@ -94,7 +94,7 @@
 		return t
 	}
 	req.Host = "desk.example"
-	req.Header.Set(platform.HeaderRequest, id)
+	req.Header.Set(platform.HeaderRequestID, id)
 	req.Header.Set(platform.HeaderDeadline, "3000")
 	req.Header.Set("Authorization", "Token "+key)
 	resp, err := http.DefaultClient.Do(req)
