--- a/loader/bench_test.go
+++ b/loader/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// BenchmarkParse reads a folder of 940 organisations: what each host does at each
+// BenchmarkParse parses a folder with 940 organisations, as each host does after each
 // change.
 func BenchmarkParse(b *testing.B) {
 	var text strings.Builder
--- a/loader/checks.go
+++ b/loader/checks.go
@@ -13,166 +13,166 @@
 	"strings"
 )
 
-// methods is what a route may ask for.
+// methods are the HTTP methods that a route may match.
 var methods = []string{
 	http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut,
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-func (m *merger) zone(name string, z Zone) {
+func (m *merger) checkZone(name string, z Zone) {
 	if z.Clients < 0 {
-		m.fault("must not be negative", sectionZones, name, "clients")
+		m.report("must not be negative", sectionZones, name, "clients")
 	}
-	each(z.Latency, func(other string, d Duration) {
+	forEach(z.Latency, func(other string, d Duration) {
 		if _, ok := m.folder.Zones[other]; !ok {
-			m.fault(fmt.Sprintf("no zone %q%s", other, suggest(other, m.folder.Zones)), sectionZones, name, "latency", other)
+			m.report(fmt.Sprintf("no zone %q%s", other, suggest(other, m.folder.Zones)), sectionZones, name, "latency", other)
 		}
 		if d < 0 {
-			m.fault("must not be negative", sectionZones, name, "latency", other)
+			m.report("must not be negative", sectionZones, name, "latency", other)
 		}
 	})
 }
 
-func (m *merger) class(name string, c Class) {
+func (m *merger) checkClass(name string, c Class) {
 	if c.Tier < 0 {
-		m.fault("must not be negative", sectionClasses, name, "tier")
+		m.report("must not be negative", sectionClasses, name, "tier")
 	}
 	if c.FirstByteTarget < 0 {
-		m.fault("must not be negative", sectionClasses, name, "first")
+		m.report("must not be negative", sectionClasses, name, "first")
 	}
 	if c.AnswerTarget <= 0 {
-		m.fault("must be a positive duration", sectionClasses, name, "whole")
+		m.report("must be a positive duration", sectionClasses, name, "whole")
 	} else if c.FirstByteTarget > c.AnswerTarget {
-		m.fault("is longer than the whole answer may take", sectionClasses, name, "first")
+		m.report("is longer than the whole answer may take", sectionClasses, name, "first")
 	}
 	if c.Share < 0 || c.Share >= 1 {
-		m.fault("must be at least 0 and under 1", sectionClasses, name, "share")
+		m.report("must be at least 0 and under 1", sectionClasses, name, "share")
 	}
 }
 
-// shares refuses guarantees that together leave nothing to give by urgency. The
-// sum is rounded, so that ten shares of 0.1 are 1 and not a little less.
-func (m *merger) shares() {
+// checkShares reports guaranteed shares that leave no capacity to assign by urgency. The sum
+// is rounded, as ten shares of 0.1 would otherwise sum to slightly less than 1.
+func (m *merger) checkShares() {
 	sum, last := 0.0, ""
-	each(m.folder.Classes, func(name string, c Class) {
+	forEach(m.folder.Classes, func(name string, c Class) {
 		if c.Share > 0 {
 			sum, last = sum+c.Share, name
 		}
 	})
 	if sum = math.Round(sum*1e9) / 1e9; sum >= 1 {
-		m.fault(fmt.Sprintf("the shares of all classes sum to %v, not under 1", sum), sectionClasses, last, "share")
+		m.report(fmt.Sprintf("the shares of all classes sum to %v, not under 1", sum), sectionClasses, last, "share")
 	}
 }
 
-func (m *merger) organisation(name string, o Organisation) {
+func (m *merger) checkOrganisation(name string, o Organisation) {
 	for i, k := range o.Keys {
 		at := []string{sectionOrganisations, name, "keys", strconv.Itoa(i)}
 		hash, ok := strings.CutPrefix(k, "sha256:")
 		if raw, err := hex.DecodeString(hash); !ok || err != nil || len(raw) != sha256.Size || hash != strings.ToLower(hash) {
-			m.fault("is not sha256: and 64 lower-case hex digits (see cicadawood key)", at...)
+			m.report("is not sha256: and 64 lower-case hex digits (see cicadawood key)", at...)
 			continue
 		}
-		if other, taken := m.keys[k]; taken {
-			m.fault("is a key of organisation "+other+" already", at...)
+		if other, taken := m.orgByKey[k]; taken {
+			m.report("is a key of organisation "+other+" already", at...)
 		}
-		m.keys[k] = name
+		m.orgByKey[k] = name
 	}
 	if o.Requests < 0 {
-		m.fault("must not be negative", sectionOrganisations, name, "requests")
+		m.report("must not be negative", sectionOrganisations, name, "requests")
 	}
 	if o.Tokens < 0 {
-		m.fault("must not be negative", sectionOrganisations, name, "tokens")
+		m.report("must not be negative", sectionOrganisations, name, "tokens")
 	}
 	for i, c := range o.Classes {
-		m.named(c, sectionOrganisations, name, "classes", strconv.Itoa(i))
+		m.checkClassExists(c, sectionOrganisations, name, "classes", strconv.Itoa(i))
 		if slices.Index(o.Classes, c) < i {
-			m.fault(fmt.Sprintf("class %q is given twice", c), sectionOrganisations, name, "classes", strconv.Itoa(i))
+			m.report(fmt.Sprintf("class %q is given twice", c), sectionOrganisations, name, "classes", strconv.Itoa(i))
 		}
 	}
 }
 
-// named refuses a class that does not exist.
-func (m *merger) named(class string, at ...string) {
+// checkClassExists reports a reference to an undefined class.
+func (m *merger) checkClassExists(class string, at ...string) {
 	if _, ok := m.folder.Classes[class]; !ok {
-		m.fault(fmt.Sprintf("no class %q%s", class, suggest(class, m.folder.Classes)), at...)
+		m.report(fmt.Sprintf("no class %q%s", class, suggest(class, m.folder.Classes)), at...)
 	}
 }
 
-func (m *merger) service(name string, s Service) {
+func (m *merger) checkService(name string, s Service) {
 	if s.Kind != KindEngine && s.Kind != KindPlain {
-		m.fault(fmt.Sprintf("is %q, not engine or plain", s.Kind), sectionServices, name, "kind")
+		m.report(fmt.Sprintf("is %q, not engine or plain", s.Kind), sectionServices, name, "kind")
 	}
 	if strings.TrimSpace(s.Owner) == "" {
-		m.fault("missing: every service has a named owner", sectionServices, name, "owner")
+		m.report("missing: every service has a named owner", sectionServices, name, "owner")
 	}
 	if len(s.Workers) == 0 && !s.UseHostList {
-		m.fault("none given, and hosts is not set", sectionServices, name, "workers")
+		m.report("none given, and hosts is not set", sectionServices, name, "workers")
 	}
 	if s.CellSize < 0 {
-		m.fault("must not be negative", sectionServices, name, "cell")
+		m.report("must not be negative", sectionServices, name, "cell")
 	}
-	m.modelsOf(name, s)
+	m.checkModels(name, s)
 	for i, r := range s.Routes {
-		m.route(name, s, i, r)
+		m.checkRoute(name, s, i, r)
 	}
-	m.workers(name, s.Workers)
+	m.checkWorkers(name, s.Workers)
 }
 
-func (m *merger) modelsOf(name string, s Service) {
+func (m *merger) checkModels(name string, s Service) {
 	if s.Kind == KindPlain && len(s.Models) > 0 {
-		m.fault("a plain service has no models", sectionServices, name, "models")
+		m.report("a plain service has no models", sectionServices, name, "models")
 	}
 	if s.Kind == KindEngine && len(s.Models) == 0 {
-		m.fault("missing: an engine serves at least one model", sectionServices, name, "models")
+		m.report("missing: an engine serves at least one model", sectionServices, name, "models")
 	}
 	for i, model := range s.Models {
-		if other, taken := m.models[model]; taken || model == "" {
-			m.fault(fmt.Sprintf("model %q is empty or given already by service %q", model, other), sectionServices, name, "models", strconv.Itoa(i))
+		if other, taken := m.serviceByModel[model]; taken || model == "" {
+			m.report(fmt.Sprintf("model %q is empty or given already by service %q", model, other), sectionServices, name, "models", strconv.Itoa(i))
 		}
-		m.models[model] = name
+		m.serviceByModel[model] = name
 	}
 }
 
-func (m *merger) route(name string, s Service, i int, r Route) {
+func (m *merger) checkRoute(name string, s Service, i int, r Route) {
 	at := func(field ...string) []string {
 		return append([]string{sectionServices, name, "routes", strconv.Itoa(i)}, field...)
 	}
-	m.named(r.Class, at("class")...)
+	m.checkClassExists(r.Class, at("class")...)
 	if r.Model != "" && !slices.Contains(s.Models, r.Model) {
-		m.fault(fmt.Sprintf("no model %q in this service%s", r.Model, suggest(r.Model, setOf(s.Models))), at("model")...)
+		m.report(fmt.Sprintf("no model %q in this service%s", r.Model, suggest(r.Model, setOf(s.Models))), at("model")...)
 	}
 	if s.Kind == KindEngine && (r.Method != "" || r.Path != "") {
-		m.fault("an engine's routes are by model, not by method or path", at()...)
+		m.report("an engine's routes are by model, not by method or path", at()...)
 	}
 	if r.Method != "" && !slices.Contains(methods, r.Method) {
-		m.fault(fmt.Sprintf("%q is not one of %s", r.Method, strings.Join(methods, ", ")), at("method")...)
+		m.report(fmt.Sprintf("%q is not one of %s", r.Method, strings.Join(methods, ", ")), at("method")...)
 	}
 	if r.Path != "" && !strings.HasPrefix(r.Path, "/") {
-		m.fault("must start with /", at("path")...)
+		m.report("must start with /", at("path")...)
 	}
 	same := func(o Route) bool { return o.Model == r.Model && o.Method == r.Method && o.Path == r.Path }
 	if first := slices.IndexFunc(s.Routes, same); first < i {
-		m.fault(fmt.Sprintf("matches the same as route %d, which counts", first), at()...)
+		m.report(fmt.Sprintf("matches the same requests as route %d, which takes precedence", first), at()...)
 	}
 }
 
-func (m *merger) workers(service string, workers []Worker) {
+func (m *merger) checkWorkers(service string, workers []Worker) {
 	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, w := range workers {
 		at := func(field string) []string {
 			return []string{sectionServices, service, "workers", strconv.Itoa(i), field}
 		}
 		if !validName(w.Name) || names[w.Name] {
-			m.fault(fmt.Sprintf("%q is not a name, or given twice", w.Name), at("name")...)
+			m.report(fmt.Sprintf("%q is not a name, or given twice", w.Name), at("name")...)
 		}
 		if _, err := netip.ParseAddrPort(w.Address); err != nil || addresses[w.Address] {
-			m.fault(fmt.Sprintf("%q is not IP:port, or given twice", w.Address), at("address")...)
+			m.report(fmt.Sprintf("%q is not IP:port, or given twice", w.Address), at("address")...)
 		}
 		if _, ok := m.folder.Zones[w.Zone]; !ok && len(m.folder.Zones) > 0 {
-			m.fault(fmt.Sprintf("no zone %q%s", w.Zone, suggest(w.Zone, m.folder.Zones)), at("zone")...)
+			m.report(fmt.Sprintf("no zone %q%s", w.Zone, suggest(w.Zone, m.folder.Zones)), at("zone")...)
 		}
 		if w.Slots <= 0 {
-			m.fault("must be positive", at("slots")...)
+			m.report("must be positive", at("slots")...)
 		}
 		names[w.Name], addresses[w.Address] = true, true
 	}
--- a/loader/document.go
+++ b/loader/document.go
@@ -1,6 +1,7 @@
-// Package loader reads the settings: one host's file, and the operators' folder
-// of small files, both JSON with comments. It is strict: unknown fields,
-// duplicates and dangling names are errors with file, line and reason.
+// Package loader reads the settings of a host, a single file, and the configuration of
+// the system, a folder of small files. Both are JSON with comments. It is strict:
+// unknown fields, duplicates and references to undefined names are errors with file,
+// line and reason.
 package loader
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault in a settings file.
+// Problem is one error in a settings file.
 type Problem struct {
 	File   string `json:"file"`
 	Line   int    `json:"line"`
@@ -23,19 +24,19 @@
 	Reason string `json:"reason"`
 }
 
-// Error implements error as file:line: field: reason.
+// Error implements error; the text is file:line: field: reason.
 func (p Problem) Error() string {
-	where := p.File
+	prefix := p.File
 	if p.Line > 0 {
-		where = fmt.Sprintf("%s:%d", p.File, p.Line)
+		prefix = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	if p.Field == "" {
-		return where + ": " + p.Reason
+		return prefix + ": " + p.Reason
 	}
-	return where + ": " + p.Field + ": " + p.Reason
+	return prefix + ": " + p.Field + ": " + p.Reason
 }
 
-// Duration is a time.Duration written as in "1.5s".
+// Duration is a time.Duration that is written as a string such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -55,31 +56,32 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// Std is the duration as the standard library has it.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// document is one parsed file that can still tell the line of each field.
+// document is one parsed file with the positions of its fields.
 type document struct {
-	file  string
-	text  []byte
-	tree  hujson.Value
-	plain []byte // standard JSON, each byte at its offset in text
+	file     string
+	text     []byte
+	tree     hujson.Value
+	standard []byte // standard JSON, each byte at its offset in text
 }
 
 func newDocument(file string, text []byte) (*document, error) {
 	tree, err := hujson.Parse(bytes.Clone(text))
 	if err != nil {
-		return nil, Problem{File: file, Line: lineOfMessage(err), Reason: strings.TrimPrefix(err.Error(), "hujson: ")}
+		return nil, Problem{File: file, Line: parseLine(err), Reason: strings.TrimPrefix(err.Error(), "hujson: ")}
 	}
 	d := &document{file: file, text: text, tree: tree}
-	// Standardize puts blanks for comments and trailing commas: offsets stay.
+	// Standardize replaces comments and trailing commas by blanks, so offsets stay the same.
 	d.tree.Standardize()
-	d.plain = d.tree.Pack()
+	d.standard = d.tree.Pack()
 	return d, nil
 }
 
-// lineOfMessage reads the line out of hujson's message, which is its only form.
-func lineOfMessage(err error) int {
+// parseLine returns the line number in the text of hujson's error, which gives it in no
+// other form.
+func parseLine(err error) int {
 	var line int
 	for e := err; e != nil; e = errors.Unwrap(e) {
 		if i := strings.Index(e.Error(), "line "); i >= 0 {
@@ -89,15 +91,15 @@
 	return line
 }
 
-// decode checks the whole document against v's type, then fills v. The error
-// joins every Problem found.
+// decode checks the whole document against v's type, then decodes it into v. The error
+// joins all Problems found.
 func (d *document) decode(v any) error {
 	w := walker{document: d, fields: map[reflect.Type]map[string]reflect.Type{}}
 	w.check(&d.tree, reflect.TypeOf(v).Elem(), "")
 	if len(w.problems) > 0 {
 		return errors.Join(w.problems...)
 	}
-	err := json.Unmarshal(d.plain, v)
+	err := json.Unmarshal(d.standard, v)
 	if err == nil {
 		return nil
 	}
@@ -108,8 +110,9 @@
 	return d.problem(0, "", strings.TrimPrefix(err.Error(), "json: "))
 }
 
-// at is the line of the field at a path such as "services/x/workers/0".
-func (d *document) at(path ...string) int {
+// lineOf returns the line of the field at a path such as "services", "x", "workers", "0", or
+// 0 if there is none.
+func (d *document) lineOf(path ...string) int {
 	pointer := ""
 	for _, p := range path {
 		pointer += "/" + strings.NewReplacer("~", "~0", "/", "~1").Replace(p)
@@ -129,7 +132,7 @@
 	return Problem{File: d.file, Line: d.line(offset), Field: field, Reason: reason}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/loader/examples_test.go
+++ b/loader/examples_test.go
@@ -10,18 +10,18 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// deployment is what an example has to hold.
+// deployment is the expected content of an example.
 type deployment struct {
-	dir     string
-	zones   []string
-	between time.Duration
-	clients time.Duration
-	workers map[string]int
-	classes []string
-	hosts   int
+	dir           string
+	zones         []string
+	zoneLatency   time.Duration
+	clientLatency time.Duration
+	workers       map[string]int
+	classes       []string
+	hostCount     int
 }
 
-var _ = DescribeTable("The examples hold the two deployments in full",
+var _ = DescribeTable("The examples describe the two deployments completely",
 	func(d deployment) {
 		files, err := loader.ReadFiles(d.dir)
 		Expect(err).NotTo(HaveOccurred())
@@ -29,10 +29,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(f.Zones).To(HaveLen(len(d.zones)))
 		for _, z := range d.zones {
-			Expect(f.Zones[z].Clients.Std()).To(Equal(d.clients))
+			Expect(f.Zones[z].Clients.Std()).To(Equal(d.clientLatency))
 			Expect(f.Zones[z].Latency).To(HaveLen(len(d.zones) - 1))
 			for _, l := range f.Zones[z].Latency {
-				Expect(l.Std()).To(Equal(d.between))
+				Expect(l.Std()).To(Equal(d.zoneLatency))
 			}
 		}
 		Expect(f.Services).To(HaveLen(len(d.workers)))
@@ -46,7 +46,7 @@
 		Expect(f.Organisations).To(HaveLen(10))
 		hosts, err := filepath.Glob(filepath.Join(d.dir, "hosts", "*.jsonc"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(hosts).To(HaveLen(d.hosts))
+		Expect(hosts).To(HaveLen(d.hostCount))
 		for _, path := range hosts {
 			h, err := loader.ReadHost(path)
 			Expect(err).NotTo(HaveOccurred())
@@ -57,14 +57,14 @@
 	},
 	Entry("Wodnik", deployment{
 		dir: "../examples/wodnik", zones: []string{"gdansk-a", "gdansk-b", "gdynia", "sopot"},
-		between: 1500 * time.Microsecond, clients: 3 * time.Millisecond,
+		zoneLatency: 1500 * time.Microsecond, clientLatency: 3 * time.Millisecond,
 		workers: map[string]int{"cicada-lm": 12, "booking-app": 4},
-		classes: []string{"quote", "hold", "chat", "plan"}, hosts: 9,
+		classes: []string{"quote", "hold", "chat", "plan"}, hostCount: 9,
 	}),
 	Entry("Krilo", deployment{
 		dir: "../examples/krilo", zones: []string{"mladost-hall", "lozenets-hall", "druzhba-hall"},
-		between: time.Millisecond, clients: time.Millisecond,
+		zoneLatency: time.Millisecond, clientLatency: time.Millisecond,
 		workers: map[string]int{"drafting-models": 9, "crew-status": 3},
-		classes: []string{"check", "summary", "letter"}, hosts: 8,
+		classes: []string{"check", "summary", "letter"}, hostCount: 8,
 	}),
 )
--- a/loader/fuzz_test.go
+++ b/loader/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/cicadawood/cicadawood/loader"
 )
 
-// FuzzParse feeds the folder's parser any text: it must not panic, must name the
-// file in every problem, and must read what it took the same way again.
+// FuzzParse checks that Files.Parse, given any text, does not panic, names the file in each
+// Problem, and succeeds or fails the same when it parses the text again.
 func FuzzParse(f *testing.F) {
 	examples, err := filepath.Glob("../examples/*/*.jsonc")
 	if err != nil || len(examples) == 0 {
--- a/loader/merger.go
+++ b/loader/merger.go
@@ -18,8 +18,8 @@
 	sectionCallers       = "callers"
 )
 
-// Parse merges the files in name order and checks the whole. The error joins
-// every Problem found; Problems lists them.
+// Parse merges the files in the order of their names and checks the result. The error
+// joins all Problems found; Problems lists them.
 func (f Files) Parse() (*Folder, error) {
 	m := merger{
 		folder: &Folder{
@@ -27,14 +27,14 @@
 			Organisations: map[string]Organisation{}, Services: map[string]Service{},
 			Routes: map[string]HostRoute{},
 		},
-		home:   map[string]*document{},
-		keys:   map[string]string{},
-		models: map[string]string{},
+		definedIn:      map[string]*document{},
+		orgByKey:       map[string]string{},
+		serviceByModel: map[string]string{},
 	}
 	for _, name := range slices.Sorted(maps.Keys(f)) {
-		m.file(name, []byte(f[name]))
+		m.addFile(name, []byte(f[name]))
 	}
-	if !m.broken {
+	if !m.incomplete {
 		m.check()
 	}
 	if len(m.problems) > 0 {
@@ -43,7 +43,7 @@
 	return m.folder, nil
 }
 
-// Problems is every Problem in an error of this package, in order.
+// Problems returns all Problems in an error of this package, in order.
 func Problems(err error) []Problem {
 	if p, ok := err.(Problem); ok { //nolint:errorlint // the join is walked here
 		return []Problem{p}
@@ -60,27 +60,27 @@
 	return found
 }
 
-// merger collects files, and where each name was defined.
+// merger merges files into one Folder and records where each name is defined.
 type merger struct {
-	folder   *Folder
-	home     map[string]*document // by section/name
-	keys     map[string]string    // organisation by key
-	models   map[string]string    // service by model
-	problems []error
-	// broken says that a file's content is missing: checks of the whole would
-	// report names as dangling that only stand in that file.
-	broken bool
+	folder         *Folder
+	definedIn      map[string]*document // by "section/name"
+	orgByKey       map[string]string    // name of the organisation by its API key's hash
+	serviceByModel map[string]string    // name of the service by its model
+	problems       []error
+	// incomplete is set when a file could not be decoded: checks of the merged Folder would
+	// report the names defined in that file as undefined.
+	incomplete bool
 }
 
-func (m *merger) file(name string, text []byte) {
+func (m *merger) addFile(name string, text []byte) {
 	d, err := newDocument(name, text)
 	if err != nil {
-		m.problems, m.broken = append(m.problems, err), true
+		m.problems, m.incomplete = append(m.problems, err), true
 		return
 	}
 	var part Folder
 	if err := d.decode(&part); err != nil {
-		m.problems, m.broken = append(m.problems, err), true
+		m.problems, m.incomplete = append(m.problems, err), true
 		return
 	}
 	merge(m, d, sectionZones, m.folder.Zones, part.Zones)
@@ -88,45 +88,45 @@
 	merge(m, d, sectionOrganisations, m.folder.Organisations, part.Organisations)
 	merge(m, d, sectionServices, m.folder.Services, part.Services)
 	merge(m, d, sectionRoutes, m.folder.Routes, part.Routes)
-	m.callers(d, part.Callers)
+	m.addCallers(d, part.Callers)
 }
 
 func merge[T any](m *merger, d *document, section string, into, part map[string]T) {
 	for _, name := range slices.Sorted(maps.Keys(part)) {
 		key := section + "/" + name
-		if other := m.home[key]; other != nil {
-			reason := fmt.Sprintf("defined already at %s:%d", other.file, other.at(section, name))
-			m.problems = append(m.problems, Problem{File: d.file, Line: d.at(section, name), Field: key, Reason: reason})
+		if other := m.definedIn[key]; other != nil {
+			reason := fmt.Sprintf("defined already at %s:%d", other.file, other.lineOf(section, name))
+			m.problems = append(m.problems, Problem{File: d.file, Line: d.lineOf(section, name), Field: key, Reason: reason})
 			continue
 		}
-		m.home[key] = d
+		m.definedIn[key] = d
 		into[name] = part[name]
 	}
 }
 
-// fault reports a problem at section/name/field...; a field that is not given
-// is reported at the line of what should hold it.
-func (m *merger) fault(reason string, path ...string) {
-	d := m.home[path[0]+"/"+path[1]]
+// report adds a Problem at the path section, name, field and so on. If the field is absent,
+// the line is that of the innermost parent that is present.
+func (m *merger) report(reason string, path ...string) {
+	d := m.definedIn[path[0]+"/"+path[1]]
 	line := 0
 	for n := len(path); n > 1 && line == 0; n-- {
-		line = d.at(path[:n]...)
+		line = d.lineOf(path[:n]...)
 	}
 	m.problems = append(m.problems, Problem{File: d.file, Line: line, Field: strings.Join(path, "/"), Reason: reason})
 }
 
-// each calls do for every entry of a section, in name order.
-func each[T any](section map[string]T, do func(string, T)) {
+// forEach calls do for every entry of a section, in name order.
+func forEach[T any](section map[string]T, do func(string, T)) {
 	for _, name := range slices.Sorted(maps.Keys(section)) {
 		do(name, section[name])
 	}
 }
 
 func (m *merger) check() {
-	each(m.folder.Zones, m.zone)
-	each(m.folder.Classes, m.class)
-	m.shares()
-	each(m.folder.Organisations, m.organisation)
-	each(m.folder.Services, m.service)
-	each(m.folder.Routes, m.hostRoute)
+	forEach(m.folder.Zones, m.checkZone)
+	forEach(m.folder.Classes, m.checkClass)
+	m.checkShares()
+	forEach(m.folder.Organisations, m.checkOrganisation)
+	forEach(m.folder.Services, m.checkService)
+	forEach(m.folder.Routes, m.checkHostRoute)
 }
--- a/loader/schema.go
+++ b/loader/schema.go
@@ -11,23 +11,23 @@
 	"github.com/tailscale/hujson"
 )
 
-// walker compares a parsed file with the Go type it is to fill, and collects
-// everything that does not fit. The standard decoder would stop at the first
-// fault, take names in any case, and take null for an absent field.
+// walker compares a parsed file with the Go type that it is decoded into, and collects all
+// mismatches. The standard decoder would stop at the first error, ignore the case of
+// names, and accept null for an absent field.
 type walker struct {
 	document *document
 	problems []error
-	fields   map[reflect.Type]map[string]reflect.Type // of each struct type met
+	fields   map[reflect.Type]map[string]reflect.Type // by struct type, as a cache of fieldsOf
 }
 
-func (w *walker) fault(offset int, field, reason string) {
+func (w *walker) report(offset int, field, reason string) {
 	w.problems = append(w.problems, w.document.problem(offset, field, reason))
 }
 
-// check walks v, which is to become a t.
+// check compares v with type t.
 func (w *walker) check(v *hujson.Value, t reflect.Type, path string) {
 	if t.Kind() == reflect.Pointer {
-		t = t.Elem() // absent is told from zero
+		t = t.Elem() // a pointer distinguishes an absent field from a zero one
 	}
 	switch {
 	case t == reflect.TypeFor[Duration]():
@@ -52,23 +52,23 @@
 	w.members(v, path, func(name string, m *hujson.ObjectMember) {
 		f, ok := known[name]
 		if !ok {
-			w.fault(m.Name.StartOffset, join(path, name), "unknown field"+suggest(name, known))
+			w.report(m.Name.StartOffset, joinPath(path, name), "unknown field"+suggest(name, known))
 			return
 		}
-		w.check(&m.Value, f, join(path, name))
+		w.check(&m.Value, f, joinPath(path, name))
 	})
 }
 
 func (w *walker) entries(v *hujson.Value, t reflect.Type, path string) {
 	w.members(v, path, func(name string, m *hujson.ObjectMember) {
 		if !validName(name) {
-			w.fault(m.Name.StartOffset, join(path, name), "is not a name: 1 to 64 letters, digits, dots, dashes or underscores, the first a letter or digit")
+			w.report(m.Name.StartOffset, joinPath(path, name), "is not a name: 1 to 64 letters, digits, dots, dashes or underscores, the first a letter or digit")
 		}
-		w.check(&m.Value, t.Elem(), join(path, name))
+		w.check(&m.Value, t.Elem(), joinPath(path, name))
 	})
 }
 
-// members calls do for each member of an object, once for each name.
+// members calls do for each member of an object, and reports repeated names.
 func (w *walker) members(v *hujson.Value, path string, do func(string, *hujson.ObjectMember)) {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -80,7 +80,7 @@
 		m := &o.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
 		if seen[name] {
-			w.fault(m.Name.StartOffset, join(path, name), "given twice")
+			w.report(m.Name.StartOffset, joinPath(path, name), "given twice")
 			continue
 		}
 		seen[name] = true
@@ -106,7 +106,7 @@
 		return
 	}
 	if _, err := time.ParseDuration(l.String()); err != nil {
-		w.fault(v.StartOffset, path, fmt.Sprintf("%q is not a duration such as \"1.5s\"", l.String()))
+		w.report(v.StartOffset, path, fmt.Sprintf("%q is not a duration such as \"1.5s\"", l.String()))
 	}
 }
 
@@ -133,10 +133,10 @@
 }
 
 func (w *walker) mismatch(v *hujson.Value, path, want string) {
-	w.fault(v.StartOffset, path, "is not "+want)
+	w.report(v.StartOffset, path, "is not "+want)
 }
 
-// fieldsOf is the type of each field of a struct by its JSON name.
+// fieldsOf returns the types of a struct's fields by JSON name.
 func fieldsOf(t reflect.Type) map[string]reflect.Type {
 	fields := map[string]reflect.Type{}
 	for _, f := range reflect.VisibleFields(t) {
@@ -147,11 +147,11 @@
 	return fields
 }
 
-const longestName = 64
+const maxNameLength = 64
 
-// validName says whether a name can stand in a URL's path and on a log line.
+// validName reports whether a name can be used in a URL's path and in a log line.
 func validName(s string) bool {
-	if s == "" || len(s) > longestName {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for i, r := range s {
@@ -163,12 +163,13 @@
 	return true
 }
 
-// suggest is the nearest known name, where one is near: "; did you mean NAME?".
+// suggest returns "; did you mean NAME?" with the most similar known name, or "" if none is
+// similar.
 func suggest[T any](name string, known map[string]T) string {
-	best, distance := "", nearBy(name)+1
+	best, bestDistance := "", maxEdits(name)+1
 	for k := range known {
-		if d := edits(name, k); d < distance || (d == distance && k < best) {
-			best, distance = k, d
+		if d := editDistance(name, k); d < bestDistance || (d == bestDistance && k < best) {
+			best, bestDistance = k, d
 		}
 	}
 	if best == "" {
@@ -177,29 +178,29 @@
 	return fmt.Sprintf("; did you mean %q?", best)
 }
 
-// nearBy is how many edits a mistyped name may be away from the one meant.
-func nearBy(name string) int {
+// maxEdits returns the largest edit distance of a mistyped name from the intended one.
+func maxEdits(name string) int {
 	if len(name) < 4 {
 		return 1
 	}
 	return max(2, len(name)/3)
 }
 
-// edits is the Levenshtein distance between two names, in bytes.
-func edits(a, b string) int {
+// editDistance returns the Levenshtein distance of two names, in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := slices.Clone(row)
+		previous := slices.Clone(row)
 		row[0] = i + 1
 		for j := range len(b) {
 			cost := 1
 			if a[i] == b[j] {
 				cost = 0
 			}
-			row[j+1] = min(row[j]+1, last[j+1]+1, last[j]+cost)
+			row[j+1] = min(row[j]+1, previous[j+1]+1, previous[j]+cost)
 		}
 	}
 	return row[len(b)]
