--- a/placer/others.go
+++ b/placer/others.go
@@ -18,27 +18,27 @@
 }
 
 // contention computes the effect in one pass over the worker's flights.
-func (w *worker) contention(now time.Time, a Request) contention {
-	var o contention
-	stretch := milliseconds(tightShare * w.maxPrefillPause())
-	rest := w.overhead()
+func (w *worker) contention(now time.Time, req Request) contention {
+	var c contention
+	tightLimit := milliseconds(tightFactor * w.maxPrefillPause())
+	overhead := w.overhead()
 	for _, f := range w.flights {
-		if f.Tier < a.Tier {
-			o.urgentCount++
+		if f.Tier < req.Tier {
+			c.urgentCount++
 		}
-		if f.Gap > 0 && f.Gap < stretch {
-			o.tightStreams += f.pauseWeight(a.Rank)
+		if f.Gap > 0 && f.Gap < tightLimit {
+			c.tightStreams += f.pauseWeight(req.Rank)
 		}
 		if f.begun || f.prefilledAt.IsZero() || !f.expiresAt.IsZero() {
 			continue // the first event of a lost host's request will not be reported
 		}
-		behind := inMilliseconds(now.Sub(f.prefilledAt)) - rest
-		o.lag = math.Max(o.lag, behind)
-		if f.Rank <= a.Rank {
-			o.urgentLag = math.Max(o.urgentLag, behind)
+		lag := inMilliseconds(now.Sub(f.prefilledAt)) - overhead
+		c.lag = math.Max(c.lag, lag)
+		if f.Rank <= req.Rank {
+			c.urgentLag = math.Max(c.urgentLag, lag)
 		}
 	}
-	return o
+	return c
 }
 
 // pauseWeight returns the weight of a stream's pauses against a request of a rank.
--- a/publisher/timing.go
+++ b/publisher/timing.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Timing is how long a Tracker waits for what. Zero fields take the defaults of
-// withDefaults.
+// Timing holds the timeouts and intervals of a Tracker. Zero fields take the defaults set
+// by withDefaults.
 type Timing struct {
-	Confirm time.Duration // without word from platform or peer, before unready
-	Poll    time.Duration // between reads of the platform, behind the watch
-	Gather  time.Duration // a fresh host waits that long for the highest generation
-	Fetch   time.Duration // for one source to answer, before the next is asked
-	Tick    time.Duration // between looks at what is due
-	// Current says that the platform's answers are never older than what a host may
-	// have: it loses nothing, and is not restored from backups. A fresh host need not
-	// hear a peer as well.
-	Current bool
+	ConfirmTimeout time.Duration // without confirmation by platform or peer, until the host is unready
+	PollInterval   time.Duration // of reads of the platform, in addition to the watch
+	GatherTimeout  time.Duration // for a new host to find the highest generation
+	FetchTimeout   time.Duration // for one source to answer, until the next is asked
+	TickInterval   time.Duration // of Tick inputs
+	// AlwaysCurrent states that the platform's answers are never older than what a host
+	// may have in force: it loses no writes and is not restored from backups. A new host
+	// then need not wait for a peer's answer.
+	AlwaysCurrent bool
 }
 
 const (
@@ -21,26 +21,26 @@
 	defaultGather  = time.Second
 	defaultFetch   = time.Second
 	defaultTick    = 250 * time.Millisecond
-	// firstRetry is the pause after the first failed read; it doubles with each
-	// failure up to Timing.Poll.
+	// firstRetry is the pause after the first failed read. It doubles with each further
+	// failure, up to Timing.PollInterval.
 	firstRetry = 500 * time.Millisecond
 )
 
 func (t Timing) withDefaults() Timing {
-	if t.Confirm == 0 {
-		t.Confirm = defaultConfirm
+	if t.ConfirmTimeout == 0 {
+		t.ConfirmTimeout = defaultConfirm
 	}
-	if t.Poll == 0 {
-		t.Poll = t.Confirm / 2
+	if t.PollInterval == 0 {
+		t.PollInterval = t.ConfirmTimeout / 2
 	}
-	if t.Gather == 0 {
-		t.Gather = defaultGather
+	if t.GatherTimeout == 0 {
+		t.GatherTimeout = defaultGather
 	}
-	if t.Fetch == 0 {
-		t.Fetch = defaultFetch
+	if t.FetchTimeout == 0 {
+		t.FetchTimeout = defaultFetch
 	}
-	if t.Tick == 0 {
-		t.Tick = defaultTick
+	if t.TickInterval == 0 {
+		t.TickInterval = defaultTick
 	}
 	return t
 }
