--- a/loader/host.go
+++ b/loader/host.go
@@ -74,7 +74,7 @@
 	MaxCalls          int      `json:"calls"`   // requests in flight
 	ReadTimeout       Duration `json:"read"`    // for a caller to send its request
 	WriteTimeout      Duration `json:"stall"`   // for a caller to receive a piece of its answer
-	SilenceTimeout    Duration `json:"silence"` // without data on a connection to a backend server or host, before it is replaced
+	SilenceTimeout    Duration `json:"silence"` // without data on a connection to a backend server, before it is replaced
 	LeaseDuration     Duration `json:"lease"`   // of this host in the Object API
 	HeartbeatInterval Duration `json:"beat"`    // between heartbeats to other hosts
 	AckTimeout        Duration `json:"link"`    // without an acknowledgement on a connection between hosts, before it is replaced
