--- a/commander/cmd_serve.go
+++ b/commander/cmd_serve.go
@@ -39,7 +39,7 @@
 		defer flush()
 		log := out.With(zap.String("host", settings.Name))
 		signals := runner.Signals{Reload: watchSettings(ctx, args[0], log), DroppedLines: out.Dropped}
-		if settings.Limits.Grace == 0 {
+		if settings.Limits.GracePeriod == 0 {
 			// With a grace period the platform kills the process when the period ends, so
 			// a second stop signal must not abort the requests that are still running
 			// after the first.
--- a/runner/drain_test.go
+++ b/runner/drain_test.go
@@ -109,7 +109,7 @@
 			model := faker.DefaultModel()
 			model.SlowFactor = 1000 // a token takes longer than the test
 			t := newFixtureOf(model, time.Millisecond, "lm1")
-			a := t.start("a", "z1", func(s *loader.Host) { s.Limits.Drain = loader.Duration(limit) })
+			a := t.start("a", "z1", func(s *loader.Host) { s.Limits.DrainTimeout = loader.Duration(limit) })
 			Eventually(t.settled(1)).WithTimeout(10 * time.Second).Should(Succeed())
 			inFlight := stream(a, 100000)
 			a.term()
--- a/runner/following.go
+++ b/runner/following.go
@@ -38,7 +38,7 @@
 // and enforce each configuration that comes in force.
 func newConfigFollower(s loader.Host, store storer.Store, m sender, log *zap.Logger, ready func(bool), enforce func(*loader.Folder, uint64)) *configFollower {
 	g := &configFollower{settings: s, log: log, sender: m}
-	timing := publisher.Timing{ConfirmTimeout: s.Limits.Confirm.Std()}
+	timing := publisher.Timing{ConfirmTimeout: s.Limits.ConfirmTimeout.Std()}
 	if s.Dialect == loader.DialectPlatform {
 		timing.PollInterval, timing.AlwaysCurrent = operatorPollInterval, true
 	}
--- a/runner/reloading.go
+++ b/runner/reloading.go
@@ -17,8 +17,8 @@
 
 // setMemoryLimit sets the runtime's memory limit from the memory that the process may use.
 func setMemoryLimit(l loader.Limits) {
-	if l.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(l.Memory<<20)))
+	if l.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitRatio * float64(l.MemoryMB<<20)))
 	}
 }
 
@@ -38,7 +38,7 @@
 			if h.routes != nil {
 				h.routes.selector.post(settingsChanged{settings: s})
 			}
-			h.log.Info("settings in force", zap.Int("memory", s.Limits.Memory), zap.Float64("ratio", s.Repeat.Ratio), zap.Float64("slack", s.Repeat.Slack))
+			h.log.Info("settings in force", zap.Int("memory", s.Limits.MemoryMB), zap.Float64("ratio", s.Repeat.Ratio), zap.Float64("slack", s.Repeat.Slack))
 		}
 	}
 }
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -36,7 +36,7 @@
 	g.storeWatch = &storeWatch{store: store, log: log, report: func(e storeResult) { g.selector.post(e) }, nextCall: g.selector.nextCall}
 	g.router = router.New(router.Config{
 		Dialect: platform.Wire{}, Configuration: f, Placer: g.selector, Pool: g.pool, Log: log, Metrics: router.NewMetrics(registry),
-		MaxAnswer: s.Limits.Answer, WriteTimeout: s.Limits.Stall.Std(), MaxBuffered: s.Limits.Buffer,
+		MaxAnswer: s.Limits.MaxAnswer, WriteTimeout: s.Limits.WriteTimeout.Std(), MaxBuffered: s.Limits.MaxBuffered,
 	})
 	return g
 }
