--- a/bencher/measure.go
+++ b/bencher/measure.go
@@ -113,7 +113,7 @@
 		m.classes[c.class] = t
 	}
 	target := w.classes[c.class]
-	met := c.completed && c.firstTokenAt-c.arrivedAt <= target.First.Std() && c.endedAt-c.arrivedAt <= target.Whole.Std()
+	met := c.completed && c.firstTokenAt-c.arrivedAt <= target.FirstByteTarget.Std() && c.endedAt-c.arrivedAt <= target.AnswerTarget.Std()
 	t.Requests++
 	if c.completed {
 		t.Completed++
--- a/bencher/routed.go
+++ b/bencher/routed.go
@@ -53,7 +53,7 @@
 		sim: s, dispatchers: map[string]*dispatcher.Dispatcher{}, random: rand.New(rand.NewPCG(seed, 99)),
 		calls: map[string]*pendingAsk{}, exact: p.Exact, frameSizes: map[string]int{}, lowerGrants: map[string]int{},
 	}
-	config := loader.Service{Cell: size}
+	config := loader.Service{CellSize: size}
 	for _, w := range s.workers {
 		config.Workers = append(config.Workers, loader.Worker{Name: w.name, Slots: w.model.Slots})
 	}
@@ -69,7 +69,7 @@
 	target := r.sim.workload.classes[c.class]
 	a := messenger.Ask{
 		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.promptTokens, Attempt: r.attempt, NonPreemptible: c.flow.nonRepeatable,
-		Deadline: c.arrivedAt + target.Whole.Std() - now, Waited: now - c.arrivedAt, Made: c.made, Output: c.flow.maxTokens - c.made,
+		Deadline: c.arrivedAt + target.AnswerTarget.Std() - now, Waited: now - c.arrivedAt, Made: c.made, Output: c.flow.maxTokens - c.made,
 	}
 	if r.exact {
 		a.Output = c.length
--- a/bencher/simulator.go
+++ b/bencher/simulator.go
@@ -130,7 +130,7 @@
 
 // arrive hands a new call to the router and schedules its deadline.
 func (s *simulator) arrive(now time.Duration, c *call) {
-	s.schedule(now+s.workload.classes[c.class].Whole.Std(), func(now time.Duration) { s.expire(now, c) })
+	s.schedule(now+s.workload.classes[c.class].AnswerTarget.Std(), func(now time.Duration) { s.expire(now, c) })
 	s.startWait(now, c)
 	s.router.arrive(now, c, nil)
 }
--- a/bencher/worker.go
+++ b/bencher/worker.go
@@ -59,7 +59,7 @@
 		prefill += c.prefillTokens
 	}
 	m := w.model
-	m.Slow = w.slowFactor
+	m.SlowFactor = w.slowFactor
 	return m.StepTime(len(w.batch), prefill)
 }
 
--- a/bencher/workload.go
+++ b/bencher/workload.go
@@ -60,7 +60,7 @@
 
 // class returns the settings of a class; first and whole are its targets.
 func class(tier int, first, whole time.Duration, share float64) loader.Class {
-	return loader.Class{Tier: tier, First: loader.Duration(first), Whole: loader.Duration(whole), Share: share}
+	return loader.Class{Tier: tier, FirstByteTarget: loader.Duration(first), AnswerTarget: loader.Duration(whole), Share: share}
 }
 
 // Wodnik is the traffic of a booking desk when a ferry arrives: for a minute, quotes and
--- a/faker/worker.go
+++ b/faker/worker.go
@@ -15,54 +15,54 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// Worker is a fake of a backend server on the users' platform: it knows its own
-// id, vouches for its answers, answers by one body or by a stream of events that
-// it can take up again, and does wrong what its Flaws say.
+// Worker is a fake of a backend server on the users' platform. It knows its own id, seals
+// its answers, answers with one body or with a stream of events that it can resume, and
+// fails as its WorkerFaults say.
 type Worker struct {
-	ID      string
-	Service string
-	Zone    string
-	Slots   int
-	Events  int           // of a stream; 0 answers by one body
-	Work    time.Duration // before the answer, or before each event
-	Address string        // IP:port, once started; what callers are told
-	Born    int           // differs after a restart
-	Poison  string        // in a body: the worker ends as it begins to run it; "" is none
-	Ended   func()        // is told of such an end, if it is set
+	ID          string
+	Service     string
+	Zone        string
+	Slots       int
+	Events      int           // in a stream; 0 answers with one body
+	Delay       time.Duration // before the answer, or before each event
+	Address     string        // IP:port that Register publishes; set by Start
+	Incarnation int           // differs after a restart
+	Poison      string        // text of a body on which the worker crashes; "" is none
+	OnCrash     func()        // called after such a crash; may be nil
 
-	mu    sync.Mutex
-	flaws Flaws
-	runs  map[string]int         // by request
-	heads map[string]http.Header // of the last run of a request
-	limit float64                // requests a second that it names; 0 names none
-	named time.Time              // since when it names one
-	came  []arrival              // of requests
-	left  int                    // requests whose caller went before their answer
-	seq   int
-	end   func() // ends the process, as if it crashed
+	mu         sync.Mutex
+	faults     WorkerFaults
+	runs       map[string]int         // by request
+	headers    map[string]http.Header // of the last run of a request
+	limit      float64                // requests per second that its answers name; 0 names none
+	limitSince time.Time              // when its answers began to name a limit
+	arrivals   []arrival              // requests received, in order
+	canceled   int                    // requests whose caller disconnected before the answer
+	seq        int
+	crash      func() // closes the listener and all connections, as a crash does
 }
 
-// Flaws are what a Worker does wrong.
-type Flaws struct {
-	Full     bool // refuses, and says that it did not run the request
-	Lose     bool // runs the request and breaks the connection
-	Mute     bool // runs the request and never answers
-	Unsealed bool // answers without vouching for it
-	Failing  bool // answers that it failed
-	Cut      int  // breaks the connection inside this event of a stream; 0 breaks none
-	Extra    bool // sends a second answer, of another request, after each
+// WorkerFaults are the faults of a Worker.
+type WorkerFaults struct {
+	Reject          bool // refuses the request and reports that it was not run
+	BreakConnection bool // runs the request and breaks the connection
+	NeverAnswer     bool // runs the request and never answers
+	Unsealed        bool // answers without its seal
+	AnswerError     bool // answers with status 500
+	CutAtEvent      int  // breaks the connection inside the event with this number; 0 breaks none
+	ExtraAnswer     bool // sends a second answer, of another request, after each
 }
 
-// Start serves on a port of the loopback and returns how to end it.
+// Start serves on a loopback port and returns a function that stops it.
 func (k *Worker) Start() func() {
-	k.runs, k.heads = map[string]int{}, map[string]http.Header{}
+	k.runs, k.headers = map[string]int{}, map[string]http.Header{}
 	s := httptest.NewServer(http.HandlerFunc(k.serve))
 	k.Address = strings.TrimPrefix(s.URL, "http://")
-	k.end = sync.OnceFunc(func() {
+	k.crash = sync.OnceFunc(func() {
 		_ = s.Listener.Close()
 		s.CloseClientConnections()
-		if k.Ended != nil {
-			k.Ended()
+		if k.OnCrash != nil {
+			k.OnCrash()
 		}
 	})
 	return func() {
@@ -71,74 +71,75 @@
 	}
 }
 
-// Register writes the worker's entry to the store.
+// Register writes the worker's entry with a state to the store.
 func (k *Worker) Register(p *Platform, state string) {
 	k.mu.Lock()
 	k.seq++
-	e := platform.Entry{Service: k.Service, Address: k.Address, Zone: k.Zone, Slots: k.Slots, State: state, Born: json.RawMessage(strconv.Itoa(k.Born)), Seq: k.seq}
+	e := platform.Entry{Service: k.Service, Address: k.Address, Zone: k.Zone, Slots: k.Slots, State: state, Incarnation: json.RawMessage(strconv.Itoa(k.Incarnation)), Seq: k.seq}
 	k.mu.Unlock()
 	p.Put(strings.TrimSuffix(platform.WorkersPrefix, "/"), k.ID, e)
 }
 
-// SetFlaws sets what goes wrong from now on.
-func (k *Worker) SetFlaws(f Flaws) {
+// SetFaults replaces the faults in force.
+func (k *Worker) SetFaults(f WorkerFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.flaws = f
+	k.faults = f
 }
 
-// SetLimit has the worker name, in all answers from now on, how many requests a second it
-// takes; 0 names none.
+// SetLimit makes the worker name, in all answers from now on, how many requests per second
+// it accepts; 0 names none.
 func (k *Worker) SetLimit(rate float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.limit == 0 {
-		k.named = time.Now()
+		k.limitSince = time.Now()
 	}
 	k.limit = rate
 }
 
-// Named is since when the worker names a limit.
-func (k *Worker) Named() time.Time {
+// LimitSince returns when the worker began to name a limit.
+func (k *Worker) LimitSince() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.named
+	return k.limitSince
 }
 
-// arrival is that a request came.
+// arrival is one request received.
 type arrival struct {
 	id string
 	at time.Time
 }
 
-// Most is the most requests that came within a span between two times, of those that count.
-func (k *Worker) Most(from, to time.Time, span time.Duration, counts func(id string) bool) int {
+// MaxArrivals returns the maximum number of requests received within any span from one
+// time to another, of those that counts selects.
+func (k *Worker) MaxArrivals(from, to time.Time, span time.Duration, counts func(id string) bool) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var times []time.Time
-	for _, a := range k.came {
+	for _, a := range k.arrivals {
 		if !a.at.Before(from) && a.at.Before(to) && counts(a.id) {
 			times = append(times, a.at)
 		}
 	}
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, at := range times {
 		for at.Sub(times[first]) >= span {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// Ran is how often the worker ran a request.
-func (k *Worker) Ran(request string) int {
+// RunsOf returns how often the worker ran a request.
+func (k *Worker) RunsOf(request string) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.runs[request]
 }
 
-// Runs is how many requests the worker ran.
+// Runs returns the number of runs of all requests.
 func (k *Worker) Runs() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -149,60 +150,61 @@
 	return n
 }
 
-// Left is how many requests were taken back before a Mute worker answered them.
-func (k *Worker) Left() int {
+// Canceled returns how many requests were canceled before a worker with NeverAnswer
+// answered them.
+func (k *Worker) Canceled() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.left
+	return k.canceled
 }
 
-// Head is the header with which the worker last ran a request.
-func (k *Worker) Head(request string) http.Header {
+// RequestHeader returns the header of the last run of a request.
+func (k *Worker) RequestHeader(request string) http.Header {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.heads[request]
+	return k.headers[request]
 }
 
 func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(platform.HeaderRequest)
-	w.Header().Set(platform.HeaderRequest, id)
+	id := r.Header.Get(platform.HeaderRequestID)
+	w.Header().Set(platform.HeaderRequestID, id)
 	k.mu.Lock()
-	k.came = append(k.came, arrival{id, time.Now()})
+	k.arrivals = append(k.arrivals, arrival{id, time.Now()})
 	if k.limit > 0 {
 		w.Header().Set(platform.HeaderLimit, strconv.FormatFloat(k.limit, 'f', -1, 64))
 	}
 	k.mu.Unlock()
-	if worker := r.Header.Get(platform.HeaderWorker); worker != "" && worker != k.ID {
+	if worker := r.Header.Get(platform.HeaderTargetWorker); worker != "" && worker != k.ID {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // its caller broke it off
+		return // the caller broke off the request
 	}
 	k.mu.Lock()
-	f := k.flaws
-	if !f.Full {
+	f := k.faults
+	if !f.Reject {
 		k.runs[id]++
-		k.heads[id] = r.Header.Clone()
+		k.headers[id] = r.Header.Clone()
 	}
 	k.mu.Unlock()
 	switch {
-	case f.Full:
+	case f.Reject:
 		w.Header().Set(platform.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case k.Poison != "" && strings.Contains(string(body), k.Poison):
-		wait(r, k.Work)
-		go k.end()
+		sleep(r, k.Delay)
+		go k.crash()
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case f.Lose:
+	case f.BreakConnection:
 		panic(http.ErrAbortHandler)
-	case f.Mute:
+	case f.NeverAnswer:
 		<-r.Context().Done()
 		k.mu.Lock()
-		k.left++
+		k.canceled++
 		k.mu.Unlock()
 		return
 	}
@@ -212,30 +214,30 @@
 	k.answer(w, r, f)
 }
 
-func (k *Worker) answer(w http.ResponseWriter, r *http.Request, f Flaws) {
+func (k *Worker) answer(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	switch {
-	case f.Failing:
+	case f.AnswerError:
 		w.WriteHeader(http.StatusInternalServerError)
 	case k.Events > 0:
 		k.stream(w, r, f)
-	case f.Extra:
-		k.twice(w)
+	case f.ExtraAnswer:
+		k.answerTwice(w)
 	default:
-		wait(r, k.Work)
+		sleep(r, k.Delay)
 		_, _ = fmt.Fprintf(w, "%s of %s", r.URL.RequestURI(), k.ID)
 	}
 }
 
-// stream sends the events after the one that the request names.
-func (k *Worker) stream(w http.ResponseWriter, r *http.Request, f Flaws) {
+// stream sends the events after the one that the request's Last-Event-Id names.
+func (k *Worker) stream(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	after, _ := strconv.Atoi(r.Header.Get(platform.HeaderLastEvent))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := after + 1; i <= k.Events; i++ {
-		if !wait(r, k.Work) {
+		if !sleep(r, k.Delay) {
 			return
 		}
 		event := fmt.Sprintf("id: %d\ndata: piece %d\n\n", i, i)
-		if i == f.Cut {
+		if i == f.CutAtEvent {
 			_, _ = io.WriteString(w, event[:len(event)/2])
 			flush(w)
 			panic(http.ErrAbortHandler)
@@ -245,28 +247,28 @@
 	}
 }
 
-// twice answers, and then answers a request that nobody sent on this connection.
-func (k *Worker) twice(w http.ResponseWriter) {
+// answerTwice answers the request, and then one that nobody sent on this connection.
+func (k *Worker) answerTwice(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	head := func(id, body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
-			platform.HeaderRequest, id, platform.HeaderSeal, k.ID, len(body), body)
+			platform.HeaderRequestID, id, platform.HeaderSeal, k.ID, len(body), body)
 	}
-	_, _ = io.WriteString(conn, head(w.Header().Get(platform.HeaderRequest), "own")+head("another", "foreign"))
-	hold(conn)
+	_, _ = io.WriteString(conn, head(w.Header().Get(platform.HeaderRequestID), "own")+head("another", "foreign"))
+	holdOpen(conn)
 }
 
-// hold keeps a connection open until the other end closes it.
-func hold(conn net.Conn) {
+// holdOpen keeps a connection open until the other end closes it.
+func holdOpen(conn net.Conn) {
 	_, _ = io.Copy(io.Discard, conn)
 	_ = conn.Close()
 }
 
-// wait waits; false where the request ends first.
-func wait(r *http.Request, d time.Duration) bool {
+// sleep waits for d. It returns false if the request ends first.
+func sleep(r *http.Request, d time.Duration) bool {
 	if d == 0 {
 		return r.Context().Err() == nil
 	}
--- a/router/index.go
+++ b/router/index.go
@@ -27,7 +27,7 @@
 }
 
 func newIndex(f *loader.Folder, generation uint64) *index {
-	x := &index{folder: f, generation: generation, hosts: map[string][]target{}, keys: f.Holders()}
+	x := &index{folder: f, generation: generation, hosts: map[string][]target{}, keys: f.OrganisationsByKeyHash()}
 	for name, r := range f.Routes {
 		x.hosts[r.Host] = append(x.hosts[r.Host], target{HostRoute: r, name: name})
 	}
@@ -100,8 +100,8 @@
 // ranks returns the number of ranks.
 func (x *index) ranks() int { return len(x.tiers) * len(x.routeTiers) }
 
-// pickService picks one of the route's services by weight. share is in [0, 1).
-func (t target) pickService(share float64) string {
+// service picks one of the route's services by weight. share is in [0, 1).
+func (t target) service(share float64) string {
 	sum := 0
 	for _, s := range t.Services {
 		sum += s.Weight
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -9,53 +9,53 @@
 	"go.uber.org/zap"
 )
 
-// cutsLogged bounds the request ids in the line that says what was cut.
-const cutsLogged = 50
+// maxLoggedRequests bounds the request IDs in the log line about aborted requests.
+const maxLoggedRequests = 50
 
-// flushTimeout is how long the last messages to other hosts may take.
+// flushTimeout bounds the time for sending the last messages to other hosts.
 const flushTimeout = time.Second
 
-// ErrCut says that a shutdown ended before the requests in flight had.
-var ErrCut = errors.New("requests were cut")
+// ErrAborted means that a shutdown aborted requests that were still in flight.
+var ErrAborted = errors.New("requests were aborted")
 
-// Drain begins a graceful shutdown.
-func (h *Host) Drain() { h.once.Do(func() { close(h.leaving) }) }
+// Drain starts a graceful shutdown.
+func (h *Host) Drain() { h.drainOnce.Do(func() { close(h.drainRequested) }) }
 
-// shutdown ends the host without cutting a request: unready first, then time
-// for the balancer to notice, then the requests in flight. Meanwhile its record
-// says that it is leaving, so that its roles move to other hosts; they rebuild
-// the state from the entries. The drain limit, or hurry, ends it at once.
-func (h *Host) shutdown(hurry <-chan struct{}) error {
+// shutdown ends the host without aborting a request: it reports unready, gives the balancer
+// time to notice, and waits for the requests in flight. Meanwhile its record is marked as
+// leaving, so that its roles move to other hosts, which rebuild the state from the entry
+// hosts. The drain limit, or abort, ends it immediately.
+func (h *Host) shutdown(abort <-chan struct{}) error {
 	h.log.Info("leaving", zap.Int64("inflight", h.server.InFlight()))
 	h.server.Drain()
 	h.registrar.Leave()
-	limit := h.settings.Limits.Settle.Std() + h.settings.Limits.Drain.Std()
+	limit := h.settings.Limits.UnreadyDelay.Std() + h.settings.Limits.DrainTimeout.Std()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	defer h.hasten(hurry, cancel)()
-	settled := time.NewTimer(h.settings.Limits.Settle.Std())
-	defer settled.Stop()
+	defer h.cancelOn(abort, cancel)()
+	settleTimer := time.NewTimer(h.settings.Limits.UnreadyDelay.Std())
+	defer settleTimer.Stop()
 	select {
-	case <-settled.C:
+	case <-settleTimer.C:
 	case <-ctx.Done():
 	}
 	if err := h.server.Shutdown(ctx); err != nil {
-		return h.cut(err)
+		return h.abort(err)
 	}
-	if left := h.control.settleOnce(ctx); left > 0 {
+	if left := h.control.waitOnceIdle(ctx); left > 0 {
 		h.log.Error("left", zap.Int("operations", left), zap.Int64("cut", 0))
-		return fmt.Errorf("%w: %d operations of other hosts", ErrCut, left)
+		return fmt.Errorf("%w: %d operations of other hosts", ErrAborted, left)
 	}
 	h.log.Info("left", zap.Int64("cut", 0))
 	return nil
 }
 
-// hasten cancels when hurry is closed; the result ends its goroutine.
-func (h *Host) hasten(hurry <-chan struct{}, cancel func()) func() {
+// cancelOn calls cancel when abort is closed. The function returned ends its goroutine.
+func (h *Host) cancelOn(abort <-chan struct{}, cancel func()) func() {
 	done := make(chan struct{})
 	go func() {
 		select {
-		case <-hurry:
+		case <-abort:
 			h.log.Warn("hurried")
 			cancel()
 		case <-done:
@@ -64,18 +64,18 @@
 	return func() { close(done) }
 }
 
-// cut ends the requests still in flight, and says which.
-func (h *Host) cut(err error) error {
+// abort aborts the requests still in flight and logs their IDs.
+func (h *Host) abort(err error) error {
 	count := h.server.InFlight()
 	var requests []string
 	for id := range h.State().Calls {
-		if len(requests) < cutsLogged {
+		if len(requests) < maxLoggedRequests {
 			requests = append(requests, id)
 		}
 	}
 	h.log.Error("left", zap.Int64("cut", count), zap.Strings("requests", requests), zap.Error(err))
 	h.server.AbortAll()
-	return fmt.Errorf("%w: %d", ErrCut, count)
+	return fmt.Errorf("%w: %d", ErrAborted, count)
 }
 
 // flush gives the last messages time to arrive.
@@ -85,11 +85,11 @@
 	h.messenger.Flush(ctx)
 }
 
-// State is the host's whole state.
+// State returns the host's complete state.
 func (h *Host) State() State {
 	reply := make(chan State, 1)
 	s := State{Name: h.settings.Name, Roles: []string{}}
-	if h.control.post(stateAsked{reply: reply}) {
+	if h.control.post(stateRequested{reply: reply}) {
 		select {
 		case s = <-reply:
 		case <-h.control.ended:
@@ -97,10 +97,10 @@
 	}
 	s.Zone, s.Ready, s.Leaving, s.Inflight = h.settings.Zone, h.server.Ready(), h.server.Draining(), h.server.InFlight()
 	s.Membership, s.Messenger = h.registrar.Counts(), h.messenger.Counts()
-	s.Configuration = h.following.Status()
-	if h.routing != nil {
-		b := h.routing.choosing.beliefs()
-		s.Beliefs = &b
+	s.Configuration = h.follower.Status()
+	if h.routes != nil {
+		b := h.routes.selector.routingState()
+		s.Routing = &b
 	}
 	return s
 }
--- a/server/fixture_test.go
+++ b/server/fixture_test.go
@@ -115,7 +115,7 @@
 // workerSet is three workers, each behind a link that can fail. Sets are reused between
 // tests, which would otherwise exhaust the machine's ports.
 type workerSet struct {
-	faults  *faker.Failures // shared by all workers
+	faults  *faker.FaultInjector // shared by all workers
 	calls   *faker.Counter
 	links   map[string]*faker.Link
 	engine  []*faker.Engine
@@ -156,14 +156,14 @@
 }
 
 func newWorkerSet() *workerSet {
-	y := &workerSet{faults: &faker.Failures{}, calls: &faker.Counter{}, links: map[string]*faker.Link{}}
+	y := &workerSet{faults: &faker.FaultInjector{}, calls: &faker.Counter{}, links: map[string]*faker.Link{}}
 	for i := range 3 {
 		name := fmt.Sprintf("w%d", i)
 		e := faker.NewEngine(name, faker.Model{Step: time.Millisecond, Slots: 16}, y.calls)
-		e.SetFaults(y.faults)
+		e.ShareInjector(y.faults)
 		y.engine = append(y.engine, e)
 		p := faker.NewService(name, 0, y.calls)
-		p.SetFaults(y.faults)
+		p.ShareInjector(y.faults)
 		m := http.NewServeMux()
 		m.Handle("/v1/", e.Handler())
 		m.Handle("/", p.Handler())
@@ -201,8 +201,8 @@
 	s.places.workers = s.workers
 	f := s.folder(o)
 	limits := loader.Limits{
-		Body: 1 << 20, Header: 64 << 10, Answer: 1 << 20, Buffer: 64 << 20, Calls: 100,
-		Read: loader.Duration(10 * time.Second), Stall: loader.Duration(10 * time.Second), Silence: loader.Duration(silence),
+		MaxBody: 1 << 20, MaxHeader: 64 << 10, MaxAnswer: 1 << 20, MaxBuffered: 64 << 20, MaxCalls: 100,
+		ReadTimeout: loader.Duration(10 * time.Second), WriteTimeout: loader.Duration(10 * time.Second), SilenceTimeout: loader.Duration(silence),
 	}
 	if o.limits != nil {
 		o.limits(&limits)
@@ -237,14 +237,14 @@
 func (s *fixture) folder(o options) *loader.Folder {
 	f := &loader.Folder{
 		Classes: map[string]loader.Class{
-			"chat": {Tier: 1, First: loader.Duration(100 * time.Millisecond), Whole: loader.Duration(20 * time.Second)},
-			"hold": {Tier: 0, First: loader.Duration(cmp.Or(o.target, 100*time.Millisecond)), Whole: loader.Duration(20 * time.Second)},
-			"plan": {Tier: 2, Whole: loader.Duration(20 * time.Second)},
+			"chat": {Tier: 1, FirstByteTarget: loader.Duration(100 * time.Millisecond), AnswerTarget: loader.Duration(20 * time.Second)},
+			"hold": {Tier: 0, FirstByteTarget: loader.Duration(cmp.Or(o.target, 100*time.Millisecond)), AnswerTarget: loader.Duration(20 * time.Second)},
+			"plan": {Tier: 2, AnswerTarget: loader.Duration(20 * time.Second)},
 		},
 		Organisations: map[string]loader.Organisation{"dock": {Keys: []string{loader.HashKey(key)}, Classes: []string{"chat", "hold", "plan"}}},
 	}
 	f.Services = map[string]loader.Service{
-		"lm":   {Kind: loader.KindEngine, Models: []string{"lm"}, Routes: []loader.Route{{Class: "chat"}}, Resume: o.resume, Workers: s.workers},
+		"lm":   {Kind: loader.KindEngine, Models: []string{"lm"}, Routes: []loader.Route{{Class: "chat"}}, Resumable: o.resume, Workers: s.workers},
 		"desk": {Kind: loader.KindPlain, Routes: []loader.Route{{Path: "/holds", Class: "hold", Once: true}, {Path: "/", Class: "hold"}}, Workers: s.workers},
 	}
 	return f
--- a/soaker/fault_test.go
+++ b/soaker/fault_test.go
@@ -77,21 +77,21 @@
 		}
 	}},
 	{"drop the store's watch history", func(c *cluster, _ *rand.Rand) func() {
-		c.store.Forget()
-		return c.store.Forget
+		c.store.DropHistory()
+		return c.store.DropHistory
 	}},
 	{"fail a worker's link", func(c *cluster, r *rand.Rand) func() { return linkFault(r, c.anyWorker(r).link, func() {}) }},
 	{"make a worker misbehave", func(c *cluster, r *rand.Rand) func() {
 		x := c.anyWorker(r)
-		flaws := []faker.Flaws{{Full: true}, {Lose: true}, {Mute: true}, {Unsealed: true}, {Failing: true}, {Cut: 3}, {Extra: true}}
-		x.SetFlaws(flaws[r.IntN(len(flaws))])
-		return func() { x.SetFlaws(faker.Flaws{}) }
+		faults := []faker.WorkerFaults{{Reject: true}, {BreakConnection: true}, {NeverAnswer: true}, {Unsealed: true}, {AnswerError: true}, {CutAtEvent: 3}, {ExtraAnswer: true}}
+		x.SetFaults(faults[r.IntN(len(faults))])
+		return func() { x.SetFaults(faker.WorkerFaults{}) }
 	}},
 	{"crash a worker and restart it under its ID", func(c *cluster, r *rand.Rand) func() {
 		x := c.anyWorker(r)
 		x.stopOnce()
 		return func() {
-			c.startWorker(&faker.Worker{ID: x.ID, Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work, Born: x.Born + 1})
+			c.startWorker(&faker.Worker{ID: x.ID, Service: x.Service, Slots: x.Slots, Events: x.Events, Delay: x.Delay, Incarnation: x.Incarnation + 1})
 		}
 	}},
 	{"have a worker report a rate limit", func(c *cluster, r *rand.Rand) func() { return c.limitWorker(r) }},
@@ -127,7 +127,7 @@
 // linkFault sets a link to a random failure mode and returns the function that repairs
 // it. It calls notify at the start and at the end of the fault.
 func linkFault(r *rand.Rand, l *faker.Link, notify func()) func() {
-	modes := []faker.Mode{faker.Cut, faker.SilentOpen, faker.Forward, faker.Backward}
+	modes := []faker.LinkMode{faker.Cut, faker.SilenceOpen, faker.ForwardOnly, faker.BackwardOnly}
 	notify()
 	l.Set(modes[r.IntN(len(modes))], 0)
 	return func() {
--- a/soaker/judge_test.go
+++ b/soaker/judge_test.go
@@ -111,7 +111,7 @@
 func (c *cluster) runCount(id string) int {
 	n := 0
 	for _, x := range c.workers {
-		n += x.Ran(id)
+		n += x.RunsOf(id)
 	}
 	return n
 }
@@ -120,7 +120,7 @@
 func isOwnAnswer(e exchange) bool {
 	if e.route == "hold" || e.route == "quote" {
 		if e.body == "own" {
-			return true // from a worker that sends the answer of another request after this one (faker.Flaws.Extra)
+			return true // from a worker that sends the answer of another request after this one (faker.WorkerFaults.ExtraAnswer)
 		}
 		return strings.HasPrefix(e.body, "/"+e.route+"/"+e.id+" of d-")
 	}
--- a/soaker/limit_test.go
+++ b/soaker/limit_test.go
@@ -48,7 +48,7 @@
 	}
 	var over []string
 	for _, l := range c.limits {
-		got := l.worker.Most(l.from.Add(undisturbedTime), l.to, limitWindow, func(id string) bool { return undisturbed[id] })
+		got := l.worker.MaxArrivals(l.from.Add(undisturbedTime), l.to, limitWindow, func(id string) bool { return undisturbed[id] })
 		if allowed := limitFactor*l.rate*limitWindow.Seconds() + limitSlack; float64(got) > allowed {
 			over = append(over, fmt.Sprintf("%s, limited to %.2f requests/s, received %d in %s", l.worker.ID, l.rate, got, limitWindow))
 		}
--- a/soaker/poison_test.go
+++ b/soaker/poison_test.go
@@ -60,7 +60,7 @@
 	c.restarts.Go(func() {
 		time.Sleep(500 * time.Millisecond)
 		c.store.Delete("servers", x.ID)
-		c.startWorker(&faker.Worker{ID: fmt.Sprintf("%s.%d", x.ID, n), Service: x.Service, Slots: x.Slots, Events: x.Events, Work: x.Work})
+		c.startWorker(&faker.Worker{ID: fmt.Sprintf("%s.%d", x.ID, n), Service: x.Service, Slots: x.Slots, Events: x.Events, Delay: x.Delay})
 	})
 }
 
--- a/soaker/world_test.go
+++ b/soaker/world_test.go
@@ -80,8 +80,8 @@
 	DeferCleanup(s.Close)
 	DeferCleanup(s.CloseClientConnections)
 	for i := range 3 {
-		c.startWorker(&faker.Worker{ID: fmt.Sprintf("e-%d", i), Service: "engine", Slots: 8, Events: eventsPerStream, Work: 15 * time.Millisecond})
-		c.startWorker(&faker.Worker{ID: fmt.Sprintf("d-%d", i), Service: "desk", Slots: 8, Work: 15 * time.Millisecond})
+		c.startWorker(&faker.Worker{ID: fmt.Sprintf("e-%d", i), Service: "engine", Slots: 8, Events: eventsPerStream, Delay: 15 * time.Millisecond})
+		c.startWorker(&faker.Worker{ID: fmt.Sprintf("d-%d", i), Service: "desk", Slots: 8, Delay: 15 * time.Millisecond})
 	}
 	c.putConfig()
 	var peers []string
@@ -105,7 +105,7 @@
 // startWorker starts a worker behind a link and registers it.
 func (c *cluster) startWorker(f *faker.Worker) {
 	x := &worker{Worker: f}
-	f.Poison, f.Ended = poison, func() { c.workerCrashed(x) }
+	f.Poison, f.OnCrash = poison, func() { c.workerCrashed(x) }
 	x.stop = f.Start()
 	link, closeLink, err := faker.NewLink("127.0.0.1:0", f.Address)
 	Expect(err).NotTo(HaveOccurred())
