--- a/bencher/direct.go
+++ b/bencher/direct.go
@@ -26,8 +26,8 @@
 	loads []int
 }
 
-func newDirect(s *simulator, choose bool, lag time.Duration, seed uint64) *direct {
-	d := &direct{sim: s, twoChoices: choose, reportLag: lag, random: rand.New(rand.NewPCG(seed, 77)), index: map[*worker]int{}}
+func newDirect(s *simulator, twoChoices bool, reportLag time.Duration, seed uint64) *direct {
+	d := &direct{sim: s, twoChoices: twoChoices, reportLag: reportLag, random: rand.New(rand.NewPCG(seed, 77)), index: map[*worker]int{}}
 	for i, w := range s.workers {
 		d.index[w] = i
 	}
--- a/bencher/grid.go
+++ b/bencher/grid.go
@@ -97,12 +97,12 @@
 // simulate runs one service with one seed. It returns the finished simulator and its calls.
 func (p Point) simulate(s service, seed uint64) (*simulator, []*call) {
 	sim := newSimulator(p.Workload, s, p.Condition)
-	lag := 500 * time.Millisecond
+	reportLag := 500 * time.Millisecond
 	if p.Condition == LateReports {
-		lag = 5 * time.Second
+		reportLag = 5 * time.Second
 	}
 	if p.Row.direct {
-		sim.router = newDirect(sim, p.Row.twoChoices, lag, seed)
+		sim.router = newDirect(sim, p.Row.twoChoices, reportLag, seed)
 	} else {
 		sim.router = newRouted(sim, p.Row.cellSize, p.Row.policy, seed)
 	}
--- a/soaker/fault_test.go
+++ b/soaker/fault_test.go
@@ -69,11 +69,13 @@
 	{"restore the store from an older snapshot", func(c *cluster, r *rand.Rand) func() {
 		stop := c.storeFault(faker.Faults{Down: true})
 		age := min(randomDuration(r, 1000, 20_000), time.Since(c.startedAt))
-		apart := randomDuration(r, 0, 1500)
+		rewriteDelay := randomDuration(r, 0, 1500)
 		return func() {
-			c.store.Restore(age, apart)
+			c.store.Restore(age, rewriteDelay)
 			stop()
-			time.Sleep(apart) // a host that has just started knows nothing newer than the snapshot
+			// Until owners have written the lost entries again, a host that has just started
+			// knows nothing newer than the snapshot.
+			time.Sleep(rewriteDelay)
 		}
 	}},
 	{"drop the store's watch history", func(c *cluster, _ *rand.Rand) func() {
