--- a/soaker/world_test.go
+++ b/soaker/world_test.go
@@ -68,7 +68,7 @@
 	exited             chan struct{}
 	expectedExit       bool      // SIGKILL or SIGTERM was sent
 	disturbedAt        time.Time // when a fault of its process or store link last began or ended
-	processDisturbedAt time.Time // when its process was last signaled or started
+	processDisturbedAt time.Time // when its process was last signalled or started
 	lastReady          bool      // result of the last readiness poll
 }
 
@@ -231,7 +231,7 @@
 	return h.disturbedAt.Before(since)
 }
 
-// processUndisturbedSince reports whether the host's process has been neither signaled nor
+// processUndisturbedSince reports whether the host's process has been neither signalled nor
 // started since the given time. Faults of the store don't count.
 func (h *host) processUndisturbedSince(since time.Time) bool {
 	h.mu.Lock()
