--- a/bencher/bencher_test.go
+++ b/bencher/bencher_test.go
@@ -27,14 +27,14 @@
 }
 
 var _ = Describe("The policy at 1.5 times the capacity", func() {
-	top := []string{"quote", "hold", "check"}
+	topTierClasses := []string{"quote", "hold", "check"}
 
 	DescribeTable("meets the targets of the top tier, and starves no class",
 		func(w bencher.Workload) {
-			ours, bound := results(w, bencher.NoFault, "ours"), results(w, bencher.NoFault, "bound")
-			for i, r := range ours {
+			actual, bound := results(w, bencher.NoFault, "ours"), results(w, bencher.NoFault, "bound")
+			for i, r := range actual {
 				for name, t := range r.Classes {
-					if slices.Contains(top, name) {
+					if slices.Contains(topTierClasses, name) {
 						Expect(t.PassedOver).To(BeZero(), "%s of %s was refused although a lower tier was granted", name, r.Service)
 						Expect(t.Met).To(BeNumerically(">=", 99*bound[i].Classes[name].Met/100), "%s of %s", name, r.Service)
 					}
--- a/bencher/direct.go
+++ b/bencher/direct.go
@@ -11,7 +11,7 @@
 type direct struct {
 	sim        *simulator
 	random     *rand.Rand
-	lastTurn   int
+	lastPicked int
 	twoChoices bool             // the less loaded of two random workers; otherwise round-robin
 	reportLag  time.Duration    // until a report is visible to the hosts
 	reports    []report         // oldest first
@@ -50,8 +50,8 @@
 func (d *direct) pickWorker(now time.Duration, host int) int {
 	n := len(d.sim.workers)
 	if !d.twoChoices {
-		d.lastTurn++
-		return d.lastTurn % n
+		d.lastPicked++
+		return d.lastPicked % n
 	}
 	a := d.random.IntN(n)
 	b := (a + 1 + d.random.IntN(n-1)) % n
--- a/bencher/grid.go
+++ b/bencher/grid.go
@@ -63,7 +63,7 @@
 	WastedTokens map[string]int    `json:"wasted_tokens"` // by cause
 	WastedLong   int               `json:"wasted_long"`   // part of WastedTokens spent on answers of at least longTokens
 	Preempted    int               `json:"preempted"`
-	Fairness     float64           `json:"fairness"` // median over the seeds; see measure.fairness
+	Fairness     float64           `json:"fairness"` // median over the seeds, of measure.fairness
 	ControlBytes float64           `json:"control_bytes_request"`
 }
 
@@ -115,7 +115,7 @@
 func (r *Result) add(m *measure) {
 	r.Seeds++
 	r.Goodput += float64(m.goodput)
-	r.MadeTokens += m.made
+	r.MadeTokens += m.generated
 	r.WastedLong += m.wastedLong
 	r.Preempted += m.preempted
 	for cause, n := range m.wasted {
@@ -140,13 +140,13 @@
 // RunAll runs points, at most atOnce at a time, and returns their results in order.
 func RunAll(points []Point, first, last uint64, atOnce int) []Result {
 	results := make([][]Result, len(points))
-	limit := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, atOnce)
 	var tasks sync.WaitGroup
 	for i, p := range points {
-		limit <- struct{}{}
+		slots <- struct{}{}
 		tasks.Go(func() {
 			results[i] = p.Run(first, last)
-			<-limit
+			<-slots
 		})
 	}
 	tasks.Wait()
--- a/bencher/measure.go
+++ b/bencher/measure.go
@@ -28,7 +28,7 @@
 type measure struct {
 	classes    map[string]*tally
 	goodput    int // tokens of requests that met their targets
-	made       int // tokens generated
+	generated  int // tokens generated
 	wasted     map[string]int
 	wastedLong int // tokens wasted on answers of at least longTokens
 	preempted  int
@@ -71,13 +71,13 @@
 	g.waiting++
 }
 
-// waitEnded records that a request no longer waits; began means that it got a slot.
-func (m *measure) waitEnded(now time.Duration, c *call, began bool) {
+// waitEnded records that a request no longer waits.
+func (m *measure) waitEnded(now time.Duration, c *call, gotSlot bool) {
 	m.queued[classOrg{c.class, c.org}]--
 	g := m.gaps[c.class]
 	g.longest = max(g.longest, now-g.since)
 	g.waiting--
-	if began {
+	if gotSlot {
 		g.since = now
 	}
 }
--- a/bencher/routed.go
+++ b/bencher/routed.go
@@ -69,7 +69,7 @@
 	target := r.sim.workload.classes[c.class]
 	a := messenger.Ask{
 		Request: c.id, Class: c.class, Organisation: c.org, Prompt: c.flow.promptTokens, Attempt: r.attempt, NonPreemptible: c.flow.nonRepeatable,
-		Deadline: c.arrivedAt + target.AnswerTarget.Std() - now, Waited: now - c.arrivedAt, Made: c.made, Output: c.flow.maxTokens - c.made,
+		Deadline: c.arrivedAt + target.AnswerTarget.Std() - now, Waited: now - c.arrivedAt, Made: c.generated, Output: c.flow.maxTokens - c.generated,
 	}
 	if r.exact {
 		a.Output = c.length
@@ -133,7 +133,7 @@
 	}
 	r.handle(now, k.ask.Cell, fmt.Sprint(c.host), messenger.Done{
 		Request: c.id, Attempt: k.ask.Attempt, Cell: k.ask.Cell, Worker: k.grant.Worker,
-		Tokens: c.made - k.ask.Made, First: first, Failed: failed,
+		Tokens: c.generated - k.ask.Made, First: first, Failed: failed,
 	})
 }
 
@@ -160,7 +160,7 @@
 			continue
 		}
 		r.handle(now, k.ask.Cell, fmt.Sprint(k.call.host), messenger.Progress{
-			Request: id, Attempt: k.ask.Attempt, Cell: k.ask.Cell, Tokens: k.call.made - k.ask.Made,
+			Request: id, Attempt: k.ask.Attempt, Cell: k.ask.Cell, Tokens: k.call.generated - k.ask.Made,
 		})
 	}
 }
--- a/bencher/simulator.go
+++ b/bencher/simulator.go
@@ -12,7 +12,7 @@
 	hostCount           = 8 // that send requests
 	tickInterval        = 20 * time.Millisecond
 	connectRefusedDelay = time.Millisecond // until a connection to a crashed worker is refused
-	maxTries            = 3                // attempts per call
+	maxAttempts         = 3                // attempts per call
 	crashAt             = 50 * time.Second
 	slowFactor          = 3 // service time of the slow worker over the normal one
 )
@@ -141,12 +141,13 @@
 	s.measure.waitStarted(now, c)
 }
 
-// endWait records that a call no longer waits; began means that it got a slot.
-func (s *simulator) endWait(now time.Duration, c *call, began bool) {
+// endWait records that a call no longer waits; gotSlot is false if it ends or is sent again
+// without a slot.
+func (s *simulator) endWait(now time.Duration, c *call, gotSlot bool) {
 	if c.waiting {
 		c.waiting = false
 		c.maxWait = max(c.maxWait, now-c.waitingSince)
-		s.measure.waitEnded(now, c, began)
+		s.measure.waitEnded(now, c, gotSlot)
 	}
 }
 
@@ -166,7 +167,7 @@
 // place records a new attempt of a call at a worker.
 func (s *simulator) place(now time.Duration, c *call, w *worker) {
 	c.worker, c.placedAt = w, now
-	c.tries++
+	c.attempts++
 }
 
 // refuse ends a call that the router rejected.
@@ -181,8 +182,8 @@
 	if c.endedAt > 0 {
 		return
 	}
-	c.wasted += c.made
-	s.measure.wasted["deadline"] += c.made
+	c.wasted += c.generated
+	s.measure.wasted["deadline"] += c.generated
 	s.endWait(now, c, false)
 	if c.worker == nil {
 		s.finish(now, c)
@@ -211,9 +212,9 @@
 	}
 	s.router.release(now, c, true)
 	c.worker = nil
-	if c.tries >= maxTries || c.flow.nonRepeatable && c.firstTokenAt > 0 {
-		s.measure.wasted["crash"] += c.made
-		c.wasted += c.made
+	if c.attempts >= maxAttempts || c.flow.nonRepeatable && c.firstTokenAt > 0 {
+		s.measure.wasted["crash"] += c.generated
+		c.wasted += c.generated
 		s.finish(now, c)
 		return
 	}
@@ -236,10 +237,10 @@
 }
 
 // prefillAsTokens returns the cost of repeating the prefill of a call's prompt and of the
-// tokens made so far, as the number of tokens that a full batch generates in that time.
+// tokens generated so far, as the number of tokens that a full batch generates in that time.
 func (s *simulator) prefillAsTokens(c *call) int {
 	m := faker.DefaultModel()
-	n := time.Duration(c.flow.promptTokens+c.made) * m.Prefill
+	n := time.Duration(c.flow.promptTokens+c.generated) * m.Prefill
 	return int(float64(n) / float64(m.StepTime(s.service.slots, 0)) * float64(s.service.slots))
 }
 
@@ -265,12 +266,12 @@
 	if w.stepping || w.crashed {
 		return
 	}
-	began := w.fillBatch()
-	for _, c := range began {
+	started := w.fillBatch()
+	for _, c := range started {
 		s.endWait(now, c, true)
 	}
 	if w.plain {
-		for _, c := range began {
+		for _, c := range started {
 			s.schedule(now+w.plainTime(c), func(now time.Duration) { s.plainDone(now, c, w) })
 		}
 		return
@@ -279,7 +280,7 @@
 		return
 	}
 	w.stepping = true
-	s.schedule(now+w.stepTime(began), func(now time.Duration) { s.stepDone(now, w) })
+	s.schedule(now+w.stepTime(started), func(now time.Duration) { s.stepDone(now, w) })
 }
 
 // plainDone completes a call of a plain service.
@@ -287,7 +288,7 @@
 	if c.endedAt > 0 || c.worker != w || w.crashed {
 		return
 	}
-	c.firstTokenAt, c.made = now, c.length
+	c.firstTokenAt, c.generated = now, c.length
 	s.measure.addTokens(now, c, c.length)
 	w.remove(c)
 	s.complete(now, c)
@@ -302,21 +303,21 @@
 		return
 	}
 	var ended []*call
-	kept := w.batch[:0]
+	unfinished := w.batch[:0]
 	for _, c := range w.batch {
-		c.made++
-		s.measure.made++
+		c.generated++
+		s.measure.generated++
 		s.measure.addTokens(now, c, 1)
 		if c.firstTokenAt == 0 {
 			c.firstTokenAt = now
 		}
-		if c.made >= c.length {
+		if c.generated >= c.length {
 			ended = append(ended, c)
 			continue
 		}
-		kept = append(kept, c)
+		unfinished = append(unfinished, c)
 	}
-	w.batch = kept
+	w.batch = unfinished
 	for _, c := range ended {
 		s.complete(now, c)
 	}
--- a/bencher/table.go
+++ b/bencher/table.go
@@ -52,19 +52,19 @@
 	passed := 0
 	for _, c := range classes {
 		t := r.Classes[c]
-		fmt.Fprintf(&b, " %.2f | %.1f | %.2f | %.2f |", t.attained(), percent(t.Refused, t.Requests), t.MaxWait, t.MaxGap)
+		fmt.Fprintf(&b, " %.2f | %.1f | %.2f | %.2f |", t.metPercent(), percent(t.Refused, t.Requests), t.MaxWait, t.MaxGap)
 		passed += t.PassedOver
 	}
-	fmt.Fprintf(&b, " %.0f | %.2f | %d | %d | %d | %.2f | %d | %d | %.1f | %.0f |", r.Goodput, r.wasted(),
+	fmt.Fprintf(&b, " %.0f | %.2f | %d | %d | %d | %.2f | %d | %d | %.1f | %.0f |", r.Goodput, r.wastedPercent(),
 		r.WastedTokens["deadline"], r.WastedTokens["crash"], r.WastedTokens["preempt"], percent(r.WastedLong, r.MadeTokens), r.Preempted, passed, r.Fairness, r.ControlBytes)
 	return b.String()
 }
 
-// attained returns the percentage of requests that met their targets.
-func (t *tally) attained() float64 { return percent(t.Met, t.Requests) }
+// metPercent returns the percentage of requests that met their targets.
+func (t *tally) metPercent() float64 { return percent(t.Met, t.Requests) }
 
-// wasted returns the percentage of generated tokens that were discarded.
-func (r Result) wasted() float64 {
+// wastedPercent returns the percentage of generated tokens that were discarded.
+func (r Result) wastedPercent() float64 {
 	n := 0
 	for _, v := range r.WastedTokens {
 		n += v
--- a/bencher/worker.go
+++ b/bencher/worker.go
@@ -31,7 +31,7 @@
 
 // enqueue adds a call to the queue. The caller must run simulator.step afterwards.
 func (w *worker) enqueue(c *call) {
-	c.prefillTokens = c.flow.promptTokens + c.made
+	c.prefillTokens = c.flow.promptTokens + c.generated
 	w.queue = append(w.queue, c)
 }
 
@@ -45,17 +45,17 @@
 // fillBatch moves calls from the queue to free slots and returns those moved.
 func (w *worker) fillBatch() []*call {
 	n := min(max(w.model.Slots-len(w.batch), 0), len(w.queue))
-	began := slices.Clone(w.queue[:n])
+	started := slices.Clone(w.queue[:n])
 	w.queue = w.queue[n:]
-	w.batch = append(w.batch, began...)
-	return began
+	w.batch = append(w.batch, started...)
+	return started
 }
 
 // stepTime returns the duration of the next step of an engine's batch, including the prefill
 // of the calls that began.
-func (w *worker) stepTime(began []*call) time.Duration {
+func (w *worker) stepTime(started []*call) time.Duration {
 	prefill := 0
-	for _, c := range began {
+	for _, c := range started {
 		prefill += c.prefillTokens
 	}
 	m := w.model
--- a/bencher/workload.go
+++ b/bencher/workload.go
@@ -34,7 +34,7 @@
 type flow struct {
 	class         string
 	demandShare   float64 // share of the service's demand during the burst
-	burst         float64 // ratio of the request rate in the burst to that outside
+	burstFactor   float64 // ratio of the request rate in the burst to that outside
 	medianTokens  int     // of the output length; engines only
 	sigma         float64 // of the log-normal distribution of the output length
 	maxTokens     int     // max output length
@@ -58,9 +58,9 @@
 	services []service
 }
 
-// class returns the settings of a class; first and whole are its targets.
-func class(tier int, first, whole time.Duration, share float64) loader.Class {
-	return loader.Class{Tier: tier, FirstByteTarget: loader.Duration(first), AnswerTarget: loader.Duration(whole), Share: share}
+// class returns the settings of a class; firstByte and answer are its targets.
+func class(tier int, firstByte, answer time.Duration, share float64) loader.Class {
+	return loader.Class{Tier: tier, FirstByteTarget: loader.Duration(firstByte), AnswerTarget: loader.Duration(answer), Share: share}
 }
 
 // Wodnik is the traffic of a booking desk when a ferry arrives: for a minute, quotes and
@@ -78,15 +78,15 @@
 		},
 		services: []service{
 			{name: "cicada-lm", workers: 12, slots: 8, flows: []flow{
-				{class: "quote", demandShare: 0.15, burst: 3, medianTokens: 20, sigma: 0.4, maxTokens: 60, promptTokens: 100},
-				{class: "chat", demandShare: 0.45, burst: 1, medianTokens: 120, sigma: 0.7, maxTokens: 600, promptTokens: 300},
-				{class: "plan", demandShare: 0.40, burst: 1.5, medianTokens: 500, sigma: 0.7, maxTokens: 2000, promptTokens: 600},
+				{class: "quote", demandShare: 0.15, burstFactor: 3, medianTokens: 20, sigma: 0.4, maxTokens: 60, promptTokens: 100},
+				{class: "chat", demandShare: 0.45, burstFactor: 1, medianTokens: 120, sigma: 0.7, maxTokens: 600, promptTokens: 300},
+				{class: "plan", demandShare: 0.40, burstFactor: 1.5, medianTokens: 500, sigma: 0.7, maxTokens: 2000, promptTokens: 600},
 			}},
 			{name: "booking-app", plain: true, workers: 4, slots: 4, flows: []flow{
-				{class: "quote", demandShare: 0.35, burst: 3},
-				{class: "hold", demandShare: 0.20, burst: 3, nonRepeatable: true},
-				{class: "chat", demandShare: 0.30, burst: 1},
-				{class: "plan", demandShare: 0.15, burst: 1.5},
+				{class: "quote", demandShare: 0.35, burstFactor: 3},
+				{class: "hold", demandShare: 0.20, burstFactor: 3, nonRepeatable: true},
+				{class: "chat", demandShare: 0.30, burstFactor: 1},
+				{class: "plan", demandShare: 0.15, burstFactor: 1.5},
 			}},
 		},
 	}
@@ -105,14 +105,14 @@
 		},
 		services: []service{
 			{name: "drafting-models", workers: 9, slots: 8, flows: []flow{
-				{class: "check", demandShare: 0.15, burst: 4, medianTokens: 16, sigma: 0.4, maxTokens: 60, promptTokens: 150},
-				{class: "summary", demandShare: 0.55, burst: 1, medianTokens: 250, sigma: 1.2, maxTokens: 2400, promptTokens: 800},
-				{class: "letter", demandShare: 0.30, burst: 1, medianTokens: 500, sigma: 0.7, maxTokens: 2000, promptTokens: 800, nonRepeatable: true},
+				{class: "check", demandShare: 0.15, burstFactor: 4, medianTokens: 16, sigma: 0.4, maxTokens: 60, promptTokens: 150},
+				{class: "summary", demandShare: 0.55, burstFactor: 1, medianTokens: 250, sigma: 1.2, maxTokens: 2400, promptTokens: 800},
+				{class: "letter", demandShare: 0.30, burstFactor: 1, medianTokens: 500, sigma: 0.7, maxTokens: 2000, promptTokens: 800, nonRepeatable: true},
 			}},
 			{name: "crew-status", plain: true, workers: 3, slots: 4, flows: []flow{
-				{class: "check", demandShare: 0.55, burst: 4},
-				{class: "summary", demandShare: 0.30, burst: 1},
-				{class: "letter", demandShare: 0.15, burst: 1},
+				{class: "check", demandShare: 0.55, burstFactor: 4},
+				{class: "summary", demandShare: 0.30, burstFactor: 1},
+				{class: "letter", demandShare: 0.15, burstFactor: 1},
 			}},
 		},
 	}
@@ -131,16 +131,16 @@
 	arrivedAt     time.Duration
 	firstTokenAt  time.Duration // 0 until the first token
 	endedAt       time.Duration // 0 until the end
-	made          int           // tokens generated so far
+	generated     int           // tokens generated so far
 	wasted        int           // tokens generated and discarded
 	completed     bool
 	refused       bool
-	tries         int // attempts so far
+	attempts      int // attempts so far
 	worker        *worker
 	waitingSince  time.Duration // start of the wait for the current attempt
 	placedAt      time.Duration // start of the current attempt at its worker
 	maxWait       time.Duration // longest wait for a slot
-	prefillTokens int           // of the current attempt: prompt and tokens made so far
+	prefillTokens int           // of the current attempt: prompt and tokens generated so far
 	waiting       bool
 	passedOver    bool // refused although a lower tier was granted while it waited
 }
@@ -178,7 +178,7 @@
 		for at := time.Duration(0); at < arrivalsEnd; {
 			now := rate
 			if at < burstBegin || at >= burstEnd {
-				now = rate / f.burst
+				now = rate / f.burstFactor
 			}
 			at += time.Duration(r.ExpFloat64() / now * float64(time.Second))
 			org := r.IntN(len(organisationDraw))
@@ -203,8 +203,8 @@
 	return f.drawLength(organisation, r)
 }
 
-// organisationDraw holds the organisation of each twentieth of the requests. The first three
-// of ten organisations send 13 twentieths of them.
+// organisationDraw holds organisations by number; each entry stands for a twentieth of the
+// requests. The first three of the ten organisations send 13 twentieths.
 var organisationDraw = []int{0, 0, 0, 0, 0, 0, 0, 1, 1, 1, 1, 2, 2, 3, 4, 5, 6, 7, 8, 9}
 
 // lengthFactors is the factor by which each organisation's median output length differs
--- a/cmd/matrix/known.go
+++ b/cmd/matrix/known.go
@@ -38,7 +38,7 @@
 	return known, lines.Err()
 }
 
-// isKnown reports whether a spec of a suite is in known, letter for letter.
+// isKnown reports whether known has an entry with the suite's folder and exactly the text.
 func isKnown(known []knownFailure, suite, text string) bool {
 	for _, k := range known {
 		if k.text == text && strings.HasSuffix(filepath.ToSlash(suite), "/"+k.dir) {
--- a/cmd/oncebench/main.go
+++ b/cmd/oncebench/main.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	seeds          = 7
+	seedCount      = 7
 	runLength      = 60 * time.Second
 	baselineWrites = 2.0   // writes per call
 	peakRate       = 1500. // requests per second at the design size
@@ -55,7 +55,7 @@
 }
 
 func runSeeds(rate float64) []statistics {
-	out := make([]statistics, seeds)
+	out := make([]statistics, seedCount)
 	for i := range out {
 		s := newSimulation(rate, rand.New(rand.NewPCG(uint64(i+1), 0)))
 		out[i] = s.run()
@@ -73,8 +73,8 @@
 		return fmt.Sprintf(format+" ("+format+".."+format+")", x[len(x)/2], x[0], x[len(x)-1])
 	}
 	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t\n", name,
-		column("%.3f", func(f statistics) float64 { return f.perCall() }),
-		column("%.3f", func(f statistics) float64 { return f.perCall() / baselineWrites }),
+		column("%.3f", func(f statistics) float64 { return f.writesPerCall() }),
+		column("%.3f", func(f statistics) float64 { return f.writesPerCall() / baselineWrites }),
 		column("%.0f", func(f statistics) float64 { return partitions * float64(f.writes) / runLength.Seconds() }),
 		column("%.0f", func(f statistics) float64 { return partitions * float64(f.bytes) / 1e3 / runLength.Seconds() }),
 		column("%.0fms", func(f statistics) float64 { return f.quantile(0.5) }),
--- a/cmd/oncebench/simulation.go
+++ b/cmd/oncebench/simulation.go
@@ -14,24 +14,24 @@
 const (
 	writeTime    = 5 * time.Millisecond
 	networkDelay = 1500 * time.Microsecond // one way, between zones
-	workTime     = 20 * time.Millisecond
-	tickTime     = 20 * time.Millisecond
+	serviceTime  = 20 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
 	answerSize   = 300 // bytes
 )
 
 // statistics are the counts and times of one run.
 type statistics struct {
 	calls, writes, bytes int
-	added                []float64 // milliseconds per call beyond its work and six network delays, ascending
+	addedMS              []float64 // latency of each call beyond its service time and six network delays, ascending
 }
 
-func (f statistics) perCall() float64 { return float64(f.writes) / float64(max(f.calls, 1)) }
+func (f statistics) writesPerCall() float64 { return float64(f.writes) / float64(max(f.calls, 1)) }
 
 func (f statistics) quantile(q float64) float64 {
-	if len(f.added) == 0 {
+	if len(f.addedMS) == 0 {
 		return 0
 	}
-	return f.added[int(q*float64(len(f.added)-1))]
+	return f.addedMS[int(q*float64(len(f.addedMS)-1))]
 }
 
 // simulation runs one keeper with its store, its worker and its entry hosts in virtual
@@ -63,7 +63,7 @@
 		s.now = at
 		do()
 	}
-	slices.Sort(s.statistics.added)
+	slices.Sort(s.statistics.addedMS)
 	return s.statistics
 }
 
@@ -86,8 +86,8 @@
 }
 
 func (s *simulation) tick() {
-	s.handleAfter(tickTime, keeper.Ticked{})
-	s.after(tickTime, s.tick)
+	s.handleAfter(tickInterval, keeper.Ticked{})
+	s.after(tickInterval, s.tick)
 }
 
 func (s *simulation) handleAfter(d time.Duration, in keeper.Input) {
@@ -106,10 +106,10 @@
 		s.handleAfter(2*networkDelay, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true})
 	case keeper.Send:
 		answer := &keeper.Answer{Status: 200, Body: make([]byte, answerSize)}
-		s.handleAfter(2*networkDelay+workTime, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallRan, Answer: answer})
+		s.handleAfter(2*networkDelay+serviceTime, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallRan, Answer: answer})
 	case keeper.Reply:
-		took := s.now.Add(networkDelay).Sub(s.startedAt[o.Request]) - workTime - 6*networkDelay
-		s.statistics.added = append(s.statistics.added, float64(took)/1e6)
+		took := s.now.Add(networkDelay).Sub(s.startedAt[o.Request]) - serviceTime - 6*networkDelay
+		s.statistics.addedMS = append(s.statistics.addedMS, float64(took)/1e6)
 		delete(s.startedAt, o.Request)
 	case keeper.ReadHead:
 		s.handleAfter(writeTime, keeper.HeadRead{Result: keeper.Missing})
--- a/cmd/oncebench/takeover.go
+++ b/cmd/oncebench/takeover.go
@@ -77,15 +77,16 @@
 	return h, stored, nil
 }
 
-// openLog feeds a log to a new keeper, as its adapter does.
+// openLog passes a stored log to a new keeper, as the keeper's adapter does, and returns the
+// keeper once it has loaded the log.
 func openLog(h keeper.Head, stored [][]byte) (*keeper.Keeper, error) {
 	k, now := keeper.New("host", 2, keeper.Settings{}), time.Unix(1_800_000_000, 0)
 	k.Handle(now, keeper.CallReceived{Call: keeper.Call{Request: "first", Deadline: now.Add(time.Second)}})
-	var seal keeper.Output
+	var last keeper.Output
 	for _, o := range k.Handle(now, keeper.HeadRead{Head: h, Version: 1, Result: keeper.Done}) {
-		seal = o
+		last = o
 	}
-	k.Handle(now, keeper.HeadWritten{Stamp: seal.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
+	k.Handle(now, keeper.HeadWritten{Stamp: last.(keeper.WriteHead).Head.Stamp, Version: 2, Result: keeper.Done})
 	for i, s := range h.Segments {
 		records, err := keeper.DecodeRecords(stored[i])
 		if err != nil {
--- a/commander/cmd_status.go
+++ b/commander/cmd_status.go
@@ -113,11 +113,11 @@
 func fetchAll(ctx context.Context, records []registrar.Record) []hostStatus {
 	hosts := make([]hostStatus, len(records))
 	var tasks sync.WaitGroup
-	free := make(chan struct{}, maxConcurrentFetches)
+	slots := make(chan struct{}, maxConcurrentFetches)
 	for i, r := range records {
-		free <- struct{}{}
+		slots <- struct{}{}
 		tasks.Go(func() {
-			defer func() { <-free }()
+			defer func() { <-slots }()
 			hosts[i] = fetchHost(ctx, r)
 		})
 	}
@@ -142,11 +142,11 @@
 	}
 }
 
-// notes returns what an operator should look into.
+// notes returns the conditions of a host that an operator should investigate.
 func notes(h hostStatus, head uint64) []string {
 	list := []string{}
-	note := func(when bool, format string, args ...any) {
-		if when {
+	note := func(applies bool, format string, args ...any) {
+		if applies {
 			list = append(list, fmt.Sprintf(format, args...))
 		}
 	}
--- a/commander/command.go
+++ b/commander/command.go
@@ -59,8 +59,8 @@
 
 // Main runs the command line and returns the exit code.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
-	serves := len(args) > 0 && args[0] == "serve"
-	if serves {
+	isServe := len(args) > 0 && args[0] == "serve"
+	if isServe {
 		catchHangups()
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -70,7 +70,7 @@
 	root.SetIn(stdin)
 	out := &output{w: stdout}
 	root.SetOut(out)
-	if serves {
+	if isServe {
 		root.SetOut(stdout) // a host must not fail because its log can't be written
 	}
 	root.SetErr(stderr)
--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -29,13 +29,13 @@
 	Entry("an unknown command", commander.ExitUsage, `unknown command "chek"`, "chek", "x"),
 	Entry("an unknown flag", commander.ExitUsage, "unknown flag: --quick", "push", "--quick", "x"),
 	Entry("no folder", commander.ExitUsage, "accepts 1 arg", "push"),
-	Entry("a folder that is not there", commander.ExitUsage, "stat nowhere", "check", "nowhere"),
+	Entry("a folder that does not exist", commander.ExitUsage, "stat nowhere", "check", "nowhere"),
 	Entry("a folder without settings", commander.ExitUsage, "folder ..: no .json or .jsonc files", "check", ".."),
 	Entry("a push of a folder without settings", commander.ExitUsage, "folder ..: no .json or .jsonc files", "push", ".."),
 	Entry("no key", commander.ExitUsage, "no key on standard input", "key"),
 	Entry("no platform", commander.ExitUsage, "no platform: give --platform", "--platform", "", "status"),
-	Entry("a platform that is not there", commander.ExitFailed, "platform can't be read", "--platform", "http://127.0.0.1:1", "status"),
-	Entry("a host that is not there", commander.ExitFailed, "call host", "dump", "127.0.0.1:1"),
+	Entry("an unreachable platform", commander.ExitFailed, "platform can't be read", "--platform", "http://127.0.0.1:1", "status"),
+	Entry("an unreachable host", commander.ExitFailed, "call host", "dump", "127.0.0.1:1"),
 )
 
 var _ = Describe("Two operators", func() {
@@ -68,7 +68,8 @@
 		Expect(code).To(Equal(commander.ExitOK))
 	})
 
-	// Both change the same file; the second operator gets its name and loses no change.
+	// Both change the same file. The second operator must get the name of the file, and must
+	// not overwrite the change of the first.
 	It("see which files conflict", Label(prover.Cell(prover.Pushed, prover.PushRace)), func() {
 		write(ann, "10.json", `{"classes": {"hold": {"tier": 1, "whole": "1s"}}}`)
 		write(ben, "10.json", `{"classes": {"hold": {"tier": 2, "whole": "1s"}}}`)
--- a/commander/reload.go
+++ b/commander/reload.go
@@ -17,8 +17,8 @@
 // without a signal.
 const settingsPollInterval = 5 * time.Second
 
-// catchHangups keeps SIGHUP from terminating the process for the rest of its life. During
-// the drain nothing reads the settings any more; a SIGHUP would then take its default
+// catchHangups keeps SIGHUP from terminating the process until it exits. During the drain
+// settings are no longer read; without a handler, a SIGHUP would then take its default
 // action and abort all requests in flight. During the first 4 ms of a process, before the
 // Go runtime handles signals, this can't be prevented.
 func catchHangups() { signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP) }
--- a/driver/caller.go
+++ b/driver/caller.go
@@ -17,41 +17,41 @@
 // caller makes one request as a careful client does: after a broken connection it tries
 // again through another host, a hold with the same key.
 type caller struct {
-	client *http.Client
-	hosts  []string
-	key    string
-	kind   kind
-	id     string
-	start  int
+	client    *http.Client
+	hosts     []string
+	key       string
+	kind      kind
+	id        string // identifies the request; also its idempotency key
+	firstHost int    // index in hosts of the host of the first attempt
 }
 
 // verdict classifies the outcome of one request.
 type verdict string
 
 const (
-	whole   verdict = "whole"
-	refused verdict = "refused" // certainly not run
-	unknown verdict = "unknown" // may have run, and the answer says so
-	lost    verdict = "lost"    // no valid final outcome
-	wrong   verdict = "wrong"   // ended as complete, but with tokens doubled, missing or of another request
+	verdictWhole   verdict = "whole"
+	verdictRefused verdict = "refused" // certainly not run
+	verdictUnknown verdict = "unknown" // may have run, and the answer says so
+	verdictLost    verdict = "lost"    // no valid final outcome
+	verdictWrong   verdict = "wrong"   // ended as complete, but with tokens doubled, missing or of another request
 )
 
 // result is the final outcome of one request.
 type result struct {
-	kind    kind
-	id      string
-	verdict verdict
-	took    time.Duration
-	first   time.Duration
-	tokens  int
-	wasted  int // tokens of answers that broke off
+	kind         kind
+	id           string
+	verdict      verdict
+	took         time.Duration // over all attempts
+	untilHead    time.Duration // to the head of the last response
+	tokens       int           // of a whole answer
+	wastedTokens int           // tokens of answers that broke off
 }
 
 func (c caller) call(ctx context.Context) result {
 	started := time.Now()
-	r := result{kind: c.kind, id: c.id, verdict: lost}
+	r := result{kind: c.kind, id: c.id, verdict: verdictLost}
 	for n := range maxAttempts {
-		retry := c.attempt(ctx, c.hosts[(c.start+n)%len(c.hosts)], started, &r)
+		retry := c.attempt(ctx, c.hosts[(c.firstHost+n)%len(c.hosts)], started, &r)
 		if !retry {
 			break
 		}
@@ -60,7 +60,8 @@
 	return r
 }
 
-// attempt sends the request once and returns whether to try another host.
+// attempt sends the request once, records the outcome in r, and returns whether to try
+// another host.
 func (c caller) attempt(ctx context.Context, host string, started time.Time, r *result) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+host+c.kind.path, strings.NewReader(c.body()))
 	if err != nil {
@@ -76,19 +77,19 @@
 		return true
 	}
 	defer resp.Body.Close()
-	r.first = time.Since(started)
+	r.untilHead = time.Since(started)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		r.wasted += strings.Count(string(body), "content")
+		r.wastedTokens += strings.Count(string(body), "content")
 		return true
 	}
-	r.verdict = c.judge(resp, string(body))
-	if r.verdict == whole {
+	r.verdict = c.classify(resp, string(body))
+	if r.verdict == verdictWhole {
 		r.tokens = strings.Count(string(body), `"content"`)
 		return false
 	}
-	if r.verdict == lost {
-		r.wasted += strings.Count(string(body), `"content"`)
+	if r.verdict == verdictLost {
+		r.wastedTokens += strings.Count(string(body), `"content"`)
 		return true
 	}
 	return false
@@ -101,16 +102,16 @@
 	return fmt.Sprintf(`{"model":"cicada-lm","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"request %s"}]}`, c.kind.tokens, c.id)
 }
 
-// judge classifies an answer that arrived.
-func (c caller) judge(resp *http.Response, body string) verdict {
+// classify classifies an answer that arrived.
+func (c caller) classify(resp *http.Response, body string) verdict {
 	if resp.StatusCode < 300 {
 		if c.kind.engine && !strings.HasSuffix(strings.TrimSpace(body), "data: [DONE]") {
-			return lost
+			return verdictLost
 		}
 		if c.kind.engine && !tokensMatch(resp.Header.Get("X-Request-Id"), body) {
-			return wrong
+			return verdictWrong
 		}
-		return whole
+		return verdictWhole
 	}
 	var e struct {
 		Error struct {
@@ -118,15 +119,15 @@
 		} `json:"error"`
 	}
 	if err := json.Unmarshal([]byte(body), &e); err != nil {
-		return lost
+		return verdictLost
 	}
 	switch e.Error.Run {
 	case "no":
-		return refused
+		return verdictRefused
 	case "unknown":
-		return unknown
+		return verdictUnknown
 	default:
-		return lost
+		return verdictLost
 	}
 }
 
--- a/driver/driver.go
+++ b/driver/driver.go
@@ -26,16 +26,16 @@
 // kind is one kind of request in the mix.
 type kind struct {
 	class  string
-	weight float64
-	once   bool
-	target time.Duration
-	engine bool
-	tokens int
+	weight float64       // share of all requests
+	once   bool          // must not run more than once
+	target time.Duration // for the whole answer
+	engine bool          // served by an engine, not by a plain service
+	tokens int           // maximum per answer; engines only
 	path   string
 }
 
-// mix is Wodnik's traffic: quotes and holds at the booking application, chat
-// and trip plans at the engines.
+// mix is the traffic of the example deployment Wodnik: quotes and holds at the booking
+// application, chat and trip plans at the engines.
 var mix = []kind{
 	{class: "quote", weight: 0.35, target: 500 * time.Millisecond, path: "/services/booking-app/quotes"},
 	{class: "hold", weight: 0.2, once: true, target: time.Second, path: "/services/booking-app/holds"},
@@ -54,7 +54,7 @@
 	var tasks sync.WaitGroup
 	end := time.Now().Add(t.Length)
 	for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-		c := caller{client: client, hosts: t.Hosts, key: t.Key, kind: pickKind(random), id: fmt.Sprintf("%d-%d", t.Seed, n), start: random.IntN(len(t.Hosts))}
+		c := caller{client: client, hosts: t.Hosts, key: t.Key, kind: pickKind(random), id: fmt.Sprintf("%d-%d", t.Seed, n), firstHost: random.IntN(len(t.Hosts))}
 		tasks.Go(func() { report.add(c.call(ctx)) })
 		gap := time.Duration(random.ExpFloat64() / t.Rate * float64(time.Second))
 		select {
--- a/driver/path.go
+++ b/driver/path.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// maxOpening bounds the streams that wait for their first token at the same time.
-const maxOpening = 3000
+// maxOpeningStreams bounds the streams that are being opened at the same time.
+const maxOpeningStreams = 3000
 
 // PathBenchmark measures what a host adds to a call. It makes the same calls through the
 // host and directly to the engine, alternating between them within one run.
@@ -34,15 +34,15 @@
 
 // variant is one of the two paths and the measurements of its rounds.
 type variant struct {
-	name    string
-	address string
-	first   []float64 // p50 to the first token of each round, ms
-	first99 []float64
-	whole   []float64
-	whole99 []float64
-	rate    []float64 // requests per second
-	tokens  []float64 // tokens per second
-	cores   []float64 // processor seconds of the host per second
+	name     string
+	address  string
+	firstP50 []float64 // p50 to the first token of each round, ms
+	firstP99 []float64
+	wholeP50 []float64
+	wholeP99 []float64
+	rate     []float64 // requests per second
+	tokens   []float64 // tokens per second
+	cores    []float64 // processor seconds of the host per second
 }
 
 // Run measures and prints the results.
@@ -82,10 +82,10 @@
 			return err
 		}
 	}
-	w.first = append(w.first, first.percentileMS(50))
-	w.first99 = append(w.first99, first.percentileMS(99))
-	w.whole = append(w.whole, whole.percentileMS(50))
-	w.whole99 = append(w.whole99, whole.percentileMS(99))
+	w.firstP50 = append(w.firstP50, first.percentileMS(50))
+	w.firstP99 = append(w.firstP99, first.percentileMS(99))
+	w.wholeP50 = append(w.wholeP50, whole.percentileMS(50))
+	w.wholeP99 = append(w.wholeP99, whole.percentileMS(99))
 	return nil
 }
 
@@ -182,7 +182,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 0, DisableKeepAlives: true}}
 	var opened, refused atomic.Int64
 	var tasks sync.WaitGroup
-	opening := make(chan struct{}, maxOpening)
+	opening := make(chan struct{}, maxOpeningStreams)
 	for range p.Streams {
 		opening <- struct{}{}
 		tasks.Go(func() {
@@ -215,10 +215,10 @@
 	row := func(name string, a, b []float64) {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.3f\t%.2f\t\n", name, formatRange(a), formatRange(b), median(b)-median(a), median(b)/median(a))
 	}
-	row("first token p50, ms", d.first, h.first)
-	row("first token p99, ms", d.first99, h.first99)
-	row("whole answer p50, ms", d.whole, h.whole)
-	row("whole answer p99, ms", d.whole99, h.whole99)
+	row("first token p50, ms", d.firstP50, h.firstP50)
+	row("first token p99, ms", d.firstP99, h.firstP99)
+	row("whole answer p50, ms", d.wholeP50, h.wholeP50)
+	row("whole answer p99, ms", d.wholeP99, h.wholeP99)
 	row("requests a second", d.rate, h.rate)
 	row("tokens a second", d.tokens, h.tokens)
 	fmt.Fprintf(w, "host's cores in use\t\t%s\t\t\t\n", formatRange(h.cores))
--- a/driver/report.go
+++ b/driver/report.go
@@ -34,7 +34,7 @@
 		if ran[x.id] > 1 {
 			r.doubled++
 		}
-		if x.verdict == refused && ran[x.id] > 0 {
+		if x.verdict == verdictRefused && ran[x.id] > 0 {
 			r.falseNotRun++
 		}
 	}
@@ -43,7 +43,7 @@
 // Passed reports whether no request was lost, doubled or answered wrongly, and none that
 // was reported as not run had run.
 func (r *Report) Passed() bool {
-	return r.count(lost) == 0 && r.count(wrong) == 0 && r.doubled == 0 && r.falseNotRun == 0
+	return r.count(verdictLost) == 0 && r.count(verdictWrong) == 0 && r.doubled == 0 && r.falseNotRun == 0
 }
 
 func (r *Report) count(v verdict) int {
@@ -61,25 +61,25 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\tsent\tanswered\trefused\tunknown\tattainment\twasted tokens\tp50\tp99\t")
 	for _, k := range mix {
-		if err := r.row(w, k); err != nil {
+		if err := r.writeRow(w, k); err != nil {
 			return err
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if n := r.count(wrong); n > 0 {
+	if n := r.count(verdictWrong); n > 0 {
 		fmt.Fprintf(out, "ended as complete, but with wrong tokens: %d\n", n)
 	}
 	if r.falseNotRun > 0 {
 		fmt.Fprintf(out, "reported as not run, but ran: %d\n", r.falseNotRun)
 	}
 	_, err := fmt.Fprintf(out, "demo: sent=%d whole=%d refused=%d unknown=%d lost=%d doubled=%d\n",
-		len(r.results), r.count(whole), r.count(refused), r.count(unknown), r.count(lost), r.doubled)
+		len(r.results), r.count(verdictWhole), r.count(verdictRefused), r.count(verdictUnknown), r.count(verdictLost), r.doubled)
 	return err
 }
 
-func (r *Report) row(w io.Writer, k kind) error {
+func (r *Report) writeRow(w io.Writer, k kind) error {
 	took := newHistogram()
 	sent, answered, notRun, mayHaveRun, onTime, wasted := 0, 0, 0, 0, 0, 0
 	for _, x := range r.results {
@@ -87,9 +87,9 @@
 			continue
 		}
 		sent++
-		wasted += x.wasted
+		wasted += x.wastedTokens
 		switch x.verdict {
-		case whole:
+		case verdictWhole:
 			answered++
 			if err := took.record(x.took); err != nil {
 				return err
@@ -97,9 +97,9 @@
 			if x.took <= k.target {
 				onTime++
 			}
-		case refused:
+		case verdictRefused:
 			notRun++
-		case unknown:
+		case verdictUnknown:
 			mayHaveRun++
 		}
 	}
--- a/driver/slope.go
+++ b/driver/slope.go
@@ -13,8 +13,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is the use of one host per second, measured at one value of the quantity that
-// varies.
+// Point is the resource use of one host, measured at one value of the quantity that varies.
 type Point struct {
 	Series   string  `json:"series"` // name of the quantity that varies
 	Size     float64 `json:"size"`
@@ -95,7 +94,7 @@
 		for _, s := range steps {
 			fmt.Fprintf(w, "%.4g\t", median(valuesAt(sizes, values, s)))
 		}
-		intercept, slope, deviation := fit(sizes, values)
+		intercept, slope, deviation := fitLine(sizes, values)
 		fmt.Fprintf(w, "%.4g\t%.4g\t%.2g\t\n", intercept, slope, deviation)
 	}
 	if err := w.Flush(); err != nil {
@@ -116,8 +115,8 @@
 	return out
 }
 
-// fit returns the least-squares line and the standard error of the values about it.
-func fit(x, y []float64) (intercept, slope, deviation float64) {
+// fitLine returns the least-squares line and the standard error of the values about it.
+func fitLine(x, y []float64) (intercept, slope, deviation float64) {
 	intercept, slope = stat.LinearRegression(x, y, nil, false)
 	var sum float64
 	for i := range x {
--- a/explainer/explainer.go
+++ b/explainer/explainer.go
@@ -26,7 +26,7 @@
 type Line struct {
 	At     time.Time
 	Host   string
-	Event  string
+	Event  string // the line's msg
 	fields []field
 }
 
@@ -42,7 +42,7 @@
 	return ""
 }
 
-// Log holds the lines of one file, and the number of lines that can't be parsed.
+// Log is one parsed log.
 type Log struct {
 	lines    []Line
 	unparsed int
@@ -101,7 +101,7 @@
 type Timeline struct {
 	Request string
 	Lines   []Line   // ordered by time
-	Unknown []string // questions that the logs leave open
+	Unknown []string // questions that the logs do not answer
 }
 
 // Explain returns the timeline of a request. It has no lines if the logs have none of it.
@@ -125,7 +125,7 @@
 	slices.SortStableFunc(own, byTime)
 	t.Lines = slices.Concat(own, contextLines(own, all))
 	slices.SortStableFunc(t.Lines, byTime)
-	t.Unknown = gaps(own, unparsed, dropped)
+	t.Unknown = openQuestions(own, unparsed, dropped)
 	return t
 }
 
@@ -150,8 +150,8 @@
 	return out
 }
 
-// gaps returns the questions that the request's lines leave open.
-func gaps(own []Line, unparsed, dropped int) []string {
+// openQuestions returns the questions that the request's lines do not answer.
+func openQuestions(own []Line, unparsed, dropped int) []string {
 	var out []string
 	last := own[len(own)-1]
 	if last.Event != "request" {
@@ -175,15 +175,15 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s\n", t.Request)
 	start := t.Lines[0].At
-	hosts := 0
+	hostWidth := 0
 	for _, l := range t.Lines {
-		hosts = max(hosts, len(l.Host))
+		hostWidth = max(hostWidth, len(l.Host))
 	}
 	for _, l := range t.Lines {
-		fmt.Fprintf(&b, "%9.3fs  %-*s  %s", l.At.Sub(start).Seconds(), hosts, l.Host, l.Event)
+		fmt.Fprintf(&b, "%9.3fs  %-*s  %s", l.At.Sub(start).Seconds(), hostWidth, l.Host, l.Event)
 		for _, f := range l.fields {
 			if f.name != "request" && f.value != "" {
-				fmt.Fprintf(&b, "  %s=%s", f.name, quoted(f.value))
+				fmt.Fprintf(&b, "  %s=%s", f.name, quoteIfNeeded(f.value))
 			}
 		}
 		b.WriteString("\n")
@@ -194,7 +194,7 @@
 	return b.String()
 }
 
-func quoted(v string) string {
+func quoteIfNeeded(v string) string {
 	if strings.ContainsAny(v, " \"=") {
 		return fmt.Sprintf("%q", v)
 	}
--- a/faker/answer.go
+++ b/faker/answer.go
@@ -13,22 +13,22 @@
 
 // answer is one completion that is being sent.
 type answer struct {
-	engine   *Engine
-	sequence *sequence
-	w        http.ResponseWriter
-	r        *http.Request
-	id       string
-	model    string
-	prompt   int
-	from     int // first token of this answer
-	faults   callFaults
+	engine     *Engine
+	sequence   *sequence
+	w          http.ResponseWriter
+	r          *http.Request
+	id         string
+	model      string
+	prompt     int
+	firstToken int // first token of this answer
+	faults     callFaults
 }
 
 // waitToken waits for token n. It returns false at the end, or if the caller disconnected.
 func (a *answer) waitToken(n int) bool {
 	for {
-		made, total := a.engine.progress(a.sequence)
-		if n < made {
+		generated, total := a.engine.progress(a.sequence)
+		if n < generated {
 			return true
 		}
 		if n >= total {
@@ -49,24 +49,24 @@
 		return false
 	}
 	a.w.Header().Set("X-Request-Id", a.id)
-	a.w.Header().Set("X-Resumed", strconv.Itoa(a.from))
+	a.w.Header().Set("X-Resumed", strconv.Itoa(a.firstToken))
 	a.w.Header().Set("Content-Type", kind)
 	return true
 }
 
 func (a *answer) writeStream() {
-	if !a.waitToken(a.from) && a.r.Context().Err() != nil || !a.writeHead("text/event-stream") {
+	if !a.waitToken(a.firstToken) && a.r.Context().Err() != nil || !a.writeHead("text/event-stream") {
 		return
 	}
-	n := a.from
+	n := a.firstToken
 	for ; a.waitToken(n); n++ {
-		if !a.applyFaults(n - a.from) {
+		if !a.applyFaults(n - a.firstToken) {
 			return
 		}
 		fmt.Fprintf(a.w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", a.id, a.model, Token(a.id, n))
 		flush(a.w)
 	}
-	if a.r.Context().Err() != nil || !a.applyFaults(n-a.from) || !a.applyFaults(AtEnd) {
+	if a.r.Context().Err() != nil || !a.applyFaults(n-a.firstToken) || !a.applyFaults(AtEnd) {
 		return
 	}
 	fmt.Fprintf(a.w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{},\"finish_reason\":\"stop\"}],\"usage\":{\"prompt_tokens\":%d,\"completion_tokens\":%d,\"total_tokens\":%d}}\n\n", a.id, a.model, a.prompt, n, a.prompt+n)
@@ -85,7 +85,7 @@
 }
 
 func (a *answer) writeWhole() {
-	n := a.from
+	n := a.firstToken
 	for a.waitToken(n) {
 		n++
 	}
--- a/faker/engine.go
+++ b/faker/engine.go
@@ -54,10 +54,10 @@
 type sequence struct {
 	tier       int
 	prefill    int
-	made       int // tokens, including those of an earlier attempt
+	generated  int // tokens, including those of an earlier attempt
 	total      int
 	canceled   bool
-	progressed chan struct{} // holds one value after made has grown
+	progressed chan struct{} // receives a value when generated has grown; buffers one
 }
 
 // NewEngine returns a fake engine.
@@ -182,14 +182,14 @@
 	}
 	tier, _ := strconv.Atoi(r.Header.Get("X-Priority"))
 	id := r.Header.Get("X-Request-Id")
-	s := &sequence{tier: tier, prefill: len(body)/4 + c.Resume, made: c.Resume, total: max(c.Min, OutputLength(id, medianLength, cmp.Or(c.Max, maxLength))), progressed: make(chan struct{}, 1)}
+	s := &sequence{tier: tier, prefill: len(body)/4 + c.Resume, generated: c.Resume, total: max(c.Min, OutputLength(id, medianLength, cmp.Or(c.Max, maxLength))), progressed: make(chan struct{}, 1)}
 	if status := e.admit(s, c.Messages, r.Header.Get("X-Fencing-Number")); status != 0 {
 		refuse(w, status, "not taken")
 		return
 	}
 	defer e.cancel(s)
 	e.calls.Add(id)
-	a := &answer{engine: e, sequence: s, w: w, r: r, id: id, model: c.Model, prompt: len(body) / 4, from: c.Resume, faults: faults}
+	a := &answer{engine: e, sequence: s, w: w, r: r, id: id, model: c.Model, prompt: len(body) / 4, firstToken: c.Resume, faults: faults}
 	if c.Stream {
 		a.writeStream()
 		return
@@ -204,9 +204,9 @@
 }
 
 // refuse answers that the call was refused and not run.
-func refuse(w http.ResponseWriter, status int, why string) {
+func refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set("X-Run", "no")
-	http.Error(w, why, status)
+	http.Error(w, reason, status)
 }
 
 // admit adds a sequence to the waiting ones, or returns the status to refuse it with.
@@ -278,18 +278,18 @@
 		if s.canceled {
 			return true
 		}
-		s.made = min(s.made+1, s.total)
+		s.generated = min(s.generated+1, s.total)
 		select {
 		case s.progressed <- struct{}{}:
 		default:
 		}
-		return s.made >= s.total
+		return s.generated >= s.total
 	})
 }
 
 // progress returns how many tokens a sequence has, and how many it will have.
-func (e *Engine) progress(s *sequence) (made, total int) {
+func (e *Engine) progress(s *sequence) (generated, total int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return s.made, s.total
+	return s.generated, s.total
 }
--- a/faker/fault.go
+++ b/faker/fault.go
@@ -31,11 +31,11 @@
 	AtDone = -3 // before the end mark [DONE]
 )
 
-// Fault hits calls at a point of their answer.
+// Fault is a fault that occurs in calls at a point of their answer.
 type Fault struct {
 	Kind  FaultKind     `json:"kind"`
 	At    int           `json:"at"`    // after this many tokens of the answer, or AtHead, AtEnd or AtDone
-	Times int           `json:"times"` // calls it hits; 0 means all
+	Times int           `json:"times"` // calls that it affects; 0 means all
 	Delay time.Duration `json:"delay"` // of Delayed, in nanoseconds
 
 	// Hook is called with the backend server's name when the fault occurs.
--- a/faker/link.go
+++ b/faker/link.go
@@ -33,8 +33,8 @@
 
 // conn is one connection through a Link.
 type conn struct {
-	near, far net.Conn
-	silent    bool
+	client, server net.Conn
+	silenced       bool
 }
 
 // NewLink listens on address and forwards bytes to target; the function returned stops the
@@ -63,10 +63,10 @@
 	for c := range k.conns {
 		switch m {
 		case Cut:
-			_ = c.near.Close()
-			_ = c.far.Close()
+			_ = c.client.Close()
+			_ = c.server.Close()
 		case SilenceOpen:
-			c.silent = true
+			c.silenced = true
 		}
 	}
 	if m == SilenceOpen {
@@ -97,7 +97,7 @@
 		_ = near.Close()
 		return
 	}
-	c := &conn{near: near, far: far}
+	c := &conn{client: near, server: far}
 	k.mu.Lock()
 	k.conns[c] = true
 	k.mu.Unlock()
@@ -119,7 +119,7 @@
 	for {
 		n, err := src.Read(buf)
 		k.mu.Lock()
-		drop, delay := c.silent || k.mode == blocked, k.delay
+		drop, delay := c.silenced || k.mode == blocked, k.delay
 		k.mu.Unlock()
 		if n > 0 && !drop {
 			time.Sleep(delay)
--- a/faker/model.go
+++ b/faker/model.go
@@ -10,10 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Model describes how fast an engine works and how much at the same time. The zero value
-// is not useful; see DefaultModel.
+// Model describes the speed and the batch size of an engine. The zero value is not useful;
+// see DefaultModel.
 type Model struct {
-	Step       time.Duration // one batch step, whatever the batch
+	Step       time.Duration // base time of a batch step
 	Sequence   time.Duration // added to a step by each sequence in the batch
 	Prefill    time.Duration // added by each prompt token that is not cached
 	Slots      int           // sequences in a batch; more wait inside the engine
--- a/faker/platform.go
+++ b/faker/platform.go
@@ -230,7 +230,7 @@
 
 // create handles POST: the object must be new.
 func (p *Platform) create(w http.ResponseWriter, r *http.Request) {
-	o, ok := decode(w, r)
+	o, ok := decodeObject(w, r)
 	if !ok {
 		return
 	}
@@ -243,12 +243,12 @@
 		writeJSON(w, http.StatusConflict, old)
 		return
 	}
-	p.finish(w, func() platform.Object { return p.putObject(kind, o) })
+	p.finishWrite(w, func() platform.Object { return p.putObject(kind, o) })
 }
 
 // replace handles PUT: the object must exist, at the revision that is given, if any.
 func (p *Platform) replace(w http.ResponseWriter, r *http.Request) {
-	o, ok := decode(w, r)
+	o, ok := decodeObject(w, r)
 	if !ok {
 		return
 	}
@@ -267,7 +267,7 @@
 		writeJSON(w, http.StatusConflict, old)
 		return
 	}
-	p.finish(w, func() platform.Object { return p.putObject(kind, o) })
+	p.finishWrite(w, func() platform.Object { return p.putObject(kind, o) })
 }
 
 func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
@@ -286,11 +286,11 @@
 		writeJSON(w, http.StatusConflict, old)
 		return
 	}
-	p.finish(w, func() platform.Object { p.deleteObject(kind, name); return old })
+	p.finishWrite(w, func() platform.Object { p.deleteObject(kind, name); return old })
 }
 
-// finish performs a write, unlocks, and answers unless the reply is to be lost.
-func (p *Platform) finish(w http.ResponseWriter, write func() platform.Object) {
+// finishWrite performs a write, unlocks, and answers unless the reply is to be lost.
+func (p *Platform) finishWrite(w http.ResponseWriter, write func() platform.Object) {
 	o := write()
 	lose := p.faults.Lose > 0
 	if lose {
@@ -303,7 +303,7 @@
 	writeJSON(w, http.StatusOK, o)
 }
 
-func decode(w http.ResponseWriter, r *http.Request) (platform.Object, bool) {
+func decodeObject(w http.ResponseWriter, r *http.Request) (platform.Object, bool) {
 	var o platform.Object
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxValueBytes+maxMetadataBytes))
 	if err == nil {
--- a/faker/prefix.go
+++ b/faker/prefix.go
@@ -8,7 +8,7 @@
 
 const (
 	prefixBytes = 256 // bytes of a prompt that identify its prefix
-	maxPrefixes = 64  // prefixes kept
+	maxPrefixes = 64  // prefixes in the cache
 )
 
 // prefixCache is a cache of prompt prefixes of limited size that evicts the least recently
--- a/faker/restore.go
+++ b/faker/restore.go
@@ -12,7 +12,7 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// maxUndoAge is how far back a Platform can be restored.
+// maxUndoAge is the maximum age of a snapshot that a Platform can be restored from.
 const maxUndoAge = 30 * time.Second
 
 // rewrittenKinds are the kinds whose owners, the operator and the workers, write their
@@ -41,8 +41,8 @@
 }
 
 // RestoreTo restores the store from the snapshot at a revision: its objects and its
-// revision go back, and the era rises. What the operator and the workers wrote since is
-// written again after rewriteAfter; what the system wrote since is lost.
+// revision are reset to it, and the era is incremented. Later writes by the operator and the
+// workers are written again after rewriteAfter; later writes by the system are lost.
 func (p *Platform) RestoreTo(revision uint64, rewriteAfter time.Duration) {
 	p.restore(rewriteAfter, func(u undo) bool { return u.revision >= revision })
 }
@@ -59,8 +59,9 @@
 	time.AfterFunc(rewriteAfter, func() { p.rewrite(lost) })
 }
 
-// rewind undoes the latest changes for which isLost returns true. It returns the objects
-// that their owners write again, as they were; one without a name had been deleted.
+// rewind undoes the latest changes for which isLost returns true. It returns the objects that
+// their owners write again, by key and with their content before the restore; an object
+// without a name had been deleted.
 func (p *Platform) rewind(isLost func(undo) bool) map[string]platform.Object {
 	lost := map[string]platform.Object{}
 	for len(p.undos) > 0 && isLost(p.undos[len(p.undos)-1]) {
@@ -115,12 +116,12 @@
 // postRestore handles POST /restore.
 func (p *Platform) postRestore(w http.ResponseWriter, r *http.Request) {
 	var b struct {
-		Age   time.Duration `json:"age"`   // nanoseconds, of the snapshot
-		Again time.Duration `json:"again"` // nanoseconds until the lost objects are written again
+		Age          time.Duration `json:"age"`   // nanoseconds, of the snapshot
+		RewriteAfter time.Duration `json:"again"` // nanoseconds until the lost objects are written again
 	}
 	if err := json.NewDecoder(r.Body).Decode(&b); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.Restore(b.Age, b.Again)
+	p.Restore(b.Age, b.RewriteAfter)
 }
--- a/faker/service.go
+++ b/faker/service.go
@@ -46,7 +46,8 @@
 	return out
 }
 
-// Service is a fake plain service. Each call takes the same time and is echoed.
+// Service is a fake plain service. Each call takes the same time; the answer describes the
+// request.
 type Service struct {
 	name     string
 	duration time.Duration
--- a/faker/worker.go
+++ b/faker/worker.go
@@ -15,9 +15,9 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// Worker is a fake of a backend server on the users' platform. It knows its own id, seals
-// its answers, answers with one body or with a stream of events that it can resume, and
-// fails as its WorkerFaults say.
+// Worker is a fake of a backend server on the users' platform. It knows its own id, marks its
+// answers with the seal header, answers with one body or with a stream of events that it can
+// resume, and fails as its WorkerFaults specify.
 type Worker struct {
 	ID          string
 	Service     string
@@ -34,8 +34,8 @@
 	faults     WorkerFaults
 	runs       map[string]int         // by request
 	headers    map[string]http.Header // of the last run of a request
-	limit      float64                // requests per second that its answers name; 0 names none
-	limitSince time.Time              // when its answers began to name a limit
+	limit      float64                // requests per second, reported in its answers; 0 reports none
+	limitSince time.Time              // when it began to report a limit
 	arrivals   []arrival              // requests received, in order
 	canceled   int                    // requests whose caller disconnected before the answer
 	seq        int
@@ -87,8 +87,8 @@
 	k.faults = f
 }
 
-// SetLimit makes the worker name, in all answers from now on, how many requests per second
-// it accepts; 0 names none.
+// SetLimit makes the worker report a limit in requests per second in all answers from now
+// on; 0 means that it reports none.
 func (k *Worker) SetLimit(rate float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -98,7 +98,7 @@
 	k.limit = rate
 }
 
-// LimitSince returns when the worker began to name a limit.
+// LimitSince returns when the worker began to report a limit.
 func (k *Worker) LimitSince() time.Time {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,20 +111,20 @@
 	at time.Time
 }
 
-// MaxArrivals returns the maximum number of requests received within any span from one
-// time to another, of those that counts selects.
-func (k *Worker) MaxArrivals(from, to time.Time, span time.Duration, counts func(id string) bool) int {
+// MaxArrivals returns the maximum number of requests received in any window between from and
+// to. It counts those for which include returns true.
+func (k *Worker) MaxArrivals(from, to time.Time, window time.Duration, include func(id string) bool) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var times []time.Time
 	for _, a := range k.arrivals {
-		if !a.at.Before(from) && a.at.Before(to) && counts(a.id) {
+		if !a.at.Before(from) && a.at.Before(to) && include(a.id) {
 			times = append(times, a.at)
 		}
 	}
 	highest, first := 0, 0
 	for i, at := range times {
-		for at.Sub(times[first]) >= span {
+		for at.Sub(times[first]) >= window {
 			first++
 		}
 		highest = max(highest, i-first+1)
@@ -247,17 +247,18 @@
 	}
 }
 
-// answerTwice answers the request, and then one that nobody sent on this connection.
+// answerTwice answers the request, and then sends an answer to a request that did not arrive
+// on this connection.
 func (k *Worker) answerTwice(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	head := func(id, body string) string {
+	response := func(id, body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
 			platform.HeaderRequestID, id, platform.HeaderSeal, k.ID, len(body), body)
 	}
-	_, _ = io.WriteString(conn, head(w.Header().Get(platform.HeaderRequestID), "own")+head("another", "foreign"))
+	_, _ = io.WriteString(conn, response(w.Header().Get(platform.HeaderRequestID), "own")+response("another", "foreign"))
 	holdOpen(conn)
 }
 
--- a/loader/checks.go
+++ b/loader/checks.go
@@ -50,8 +50,9 @@
 	}
 }
 
-// checkShares reports guaranteed shares that leave no capacity to assign by urgency. The sum
-// is rounded, as ten shares of 0.1 would otherwise sum to slightly less than 1.
+// checkShares reports guaranteed shares that sum to 1 or more, which leaves no capacity to
+// assign by urgency. The sum is rounded, as ten shares of 0.1 would otherwise sum to slightly
+// less than 1.
 func (m *merger) checkShares() {
 	sum, last := 0.0, ""
 	forEach(m.folder.Classes, func(name string, c Class) {
@@ -72,7 +73,7 @@
 			m.report("is not sha256: and 64 lower-case hex digits (see cicadawood key)", at...)
 			continue
 		}
-		if other, taken := m.orgByKey[k]; taken {
+		if other, exists := m.orgByKey[k]; exists {
 			m.report("is a key of organisation "+other+" already", at...)
 		}
 		m.orgByKey[k] = name
@@ -126,7 +127,7 @@
 		m.report("missing: an engine serves at least one model", sectionServices, name, "models")
 	}
 	for i, model := range s.Models {
-		if other, taken := m.serviceByModel[model]; taken || model == "" {
+		if other, exists := m.serviceByModel[model]; exists || model == "" {
 			m.report(fmt.Sprintf("model %q is empty or given already by service %q", model, other), sectionServices, name, "models", strconv.Itoa(i))
 		}
 		m.serviceByModel[model] = name
--- a/loader/document.go
+++ b/loader/document.go
@@ -79,8 +79,8 @@
 	return d, nil
 }
 
-// parseLine returns the line number in the text of hujson's error, which gives it in no
-// other form.
+// parseLine returns the line number in the text of an error of hujson, which has no field for
+// it.
 func parseLine(err error) int {
 	var line int
 	for e := err; e != nil; e = errors.Unwrap(e) {
--- a/loader/folder_test.go
+++ b/loader/folder_test.go
@@ -19,8 +19,8 @@
 	return "{\"services\": {\"s\": {\"kind\": \"" + kind + "\", \"hosts\": true, \"owner\": \"desk\",\n" + fields + "}}}"
 }
 
-// reasons returns the text of each Problem, file:line: field: reason.
-func reasons(err error) []string {
+// problemTexts returns the text of each Problem, file:line: field: reason.
+func problemTexts(err error) []string {
 	var all []string
 	for _, p := range loader.Problems(err) {
 		all = append(all, p.Error())
@@ -32,7 +32,7 @@
 	DescribeTable("refuses with file, line, field and reason",
 		func(text, want string) {
 			_, err := loader.Files{"10.jsonc": classes, "20.jsonc": text}.Parse()
-			Expect(reasons(err)).To(ConsistOf(HavePrefix("20.jsonc:" + want)))
+			Expect(problemTexts(err)).To(ConsistOf(HavePrefix("20.jsonc:" + want)))
 		},
 		Entry("bad syntax", "{\n\"classes\" {}}", `2: `),
 		Entry("an unknown field", "{\n\"clases\": {}}", `2: clases: unknown field; did you mean "classes"?`),
@@ -76,7 +76,7 @@
 			"20.jsonc": "{\"organisations\": {\"dock\": {\"keys\": 1, \"limit\": 2}}}",
 			"30.jsonc": "{",
 		}.Parse()
-		Expect(reasons(err)).To(HaveLen(5))
+		Expect(problemTexts(err)).To(HaveLen(5))
 	})
 
 	It("merges files in name order", func() {
@@ -91,7 +91,7 @@
 	func(change, want string) {
 		_, err := loader.ParseHost("h.jsonc", []byte(`{"name": "h", "zone": "z", "listen": "127.0.0.1:1", "control": "127.0.0.1:2",
 "admin": "127.0.0.1:3", "platform": "http://127.0.0.1:4", `+change+`}`))
-		Expect(reasons(err)).To(ConsistOf(HavePrefix("h.jsonc:" + want)))
+		Expect(problemTexts(err)).To(ConsistOf(HavePrefix("h.jsonc:" + want)))
 	},
 	Entry("an unknown field", `"lsiten": 1`, `2: lsiten: unknown field; did you mean "listen"?`),
 	Entry("a peer with a host name as address", `"peers": ["host-2:1"]`, `2: peers/0: "host-2:1" is not IP:port`),
--- a/loader/fuzz_test.go
+++ b/loader/fuzz_test.go
@@ -37,8 +37,8 @@
 				t.Fatalf("problem without file or reason: %+v", p)
 			}
 		}
-		if _, again := (loader.Files{"10.jsonc": text}).Parse(); errors.Is(err, nil) != errors.Is(again, nil) {
-			t.Fatalf("first %v, then %v", err, again)
+		if _, secondErr := (loader.Files{"10.jsonc": text}).Parse(); errors.Is(err, nil) != errors.Is(secondErr, nil) {
+			t.Fatalf("first %v, then %v", err, secondErr)
 		}
 	})
 }
--- a/loader/host.go
+++ b/loader/host.go
@@ -91,7 +91,7 @@
 }
 
 func (l Limits) withDefaults() Limits {
-	set := func(d *Duration, v time.Duration) {
+	setDefault := func(d *Duration, v time.Duration) {
 		if *d == 0 {
 			*d = Duration(v)
 		}
@@ -112,15 +112,15 @@
 	if l.MaxCalls == 0 {
 		l.MaxCalls = 12000
 	}
-	set(&l.ReadTimeout, 10*time.Second)
-	set(&l.WriteTimeout, 10*time.Second)
-	set(&l.SilenceTimeout, 2*time.Second)
-	set(&l.LeaseDuration, 20*time.Second)
-	set(&l.HeartbeatInterval, 250*time.Millisecond)
-	set(&l.AckTimeout, 500*time.Millisecond)
-	set(&l.DrainTimeout, 60*time.Second)
-	set(&l.UnreadyDelay, 3*time.Second)
-	set(&l.ConfirmTimeout, 10*time.Second)
+	setDefault(&l.ReadTimeout, 10*time.Second)
+	setDefault(&l.WriteTimeout, 10*time.Second)
+	setDefault(&l.SilenceTimeout, 2*time.Second)
+	setDefault(&l.LeaseDuration, 20*time.Second)
+	setDefault(&l.HeartbeatInterval, 250*time.Millisecond)
+	setDefault(&l.AckTimeout, 500*time.Millisecond)
+	setDefault(&l.DrainTimeout, 60*time.Second)
+	setDefault(&l.UnreadyDelay, 3*time.Second)
+	setDefault(&l.ConfirmTimeout, 10*time.Second)
 	l.Once = l.Once.withDefaults()
 	return l
 }
--- a/loader/schema.go
+++ b/loader/schema.go
@@ -31,25 +31,25 @@
 	}
 	switch {
 	case t == reflect.TypeFor[Duration]():
-		w.duration(v, path)
+		w.checkDuration(v, path)
 	case t.Kind() == reflect.Struct:
-		w.object(v, t, path)
+		w.checkObject(v, t, path)
 	case t.Kind() == reflect.Map:
-		w.entries(v, t, path)
+		w.checkMap(v, t, path)
 	case t.Kind() == reflect.Slice:
-		w.elements(v, t, path)
+		w.checkList(v, t, path)
 	default:
-		w.scalar(v, t, path)
+		w.checkScalar(v, t, path)
 	}
 }
 
-func (w *walker) object(v *hujson.Value, t reflect.Type, path string) {
+func (w *walker) checkObject(v *hujson.Value, t reflect.Type, path string) {
 	known := w.fields[t]
 	if known == nil {
 		known = fieldsOf(t)
 		w.fields[t] = known
 	}
-	w.members(v, path, func(name string, m *hujson.ObjectMember) {
+	w.forEachMember(v, path, func(name string, m *hujson.ObjectMember) {
 		f, ok := known[name]
 		if !ok {
 			w.report(m.Name.StartOffset, joinPath(path, name), "unknown field"+suggest(name, known))
@@ -59,8 +59,8 @@
 	})
 }
 
-func (w *walker) entries(v *hujson.Value, t reflect.Type, path string) {
-	w.members(v, path, func(name string, m *hujson.ObjectMember) {
+func (w *walker) checkMap(v *hujson.Value, t reflect.Type, path string) {
+	w.forEachMember(v, path, func(name string, m *hujson.ObjectMember) {
 		if !validName(name) {
 			w.report(m.Name.StartOffset, joinPath(path, name), "is not a name: 1 to 64 letters, digits, dots, dashes or underscores, the first a letter or digit")
 		}
@@ -68,11 +68,11 @@
 	})
 }
 
-// members calls do for each member of an object, and reports repeated names.
-func (w *walker) members(v *hujson.Value, path string, do func(string, *hujson.ObjectMember)) {
+// forEachMember calls do for each member of an object, and reports repeated names.
+func (w *walker) forEachMember(v *hujson.Value, path string, do func(string, *hujson.ObjectMember)) {
 	o, ok := v.Value.(*hujson.Object)
 	if !ok {
-		w.mismatch(v, path, "an object")
+		w.reportMismatch(v, path, "an object")
 		return
 	}
 	seen := map[string]bool{}
@@ -88,10 +88,10 @@
 	}
 }
 
-func (w *walker) elements(v *hujson.Value, t reflect.Type, path string) {
+func (w *walker) checkList(v *hujson.Value, t reflect.Type, path string) {
 	a, ok := v.Value.(*hujson.Array)
 	if !ok {
-		w.mismatch(v, path, "a list")
+		w.reportMismatch(v, path, "a list")
 		return
 	}
 	for i := range a.Elements {
@@ -99,10 +99,10 @@
 	}
 }
 
-func (w *walker) duration(v *hujson.Value, path string) {
+func (w *walker) checkDuration(v *hujson.Value, path string) {
 	l, ok := v.Value.(hujson.Literal)
 	if !ok || l.Kind() != '"' {
-		w.mismatch(v, path, `a duration such as "1.5s"`)
+		w.reportMismatch(v, path, `a duration such as "1.5s"`)
 		return
 	}
 	if _, err := time.ParseDuration(l.String()); err != nil {
@@ -110,29 +110,29 @@
 	}
 }
 
-func (w *walker) scalar(v *hujson.Value, t reflect.Type, path string) {
+func (w *walker) checkScalar(v *hujson.Value, t reflect.Type, path string) {
 	l, ok := v.Value.(hujson.Literal)
 	switch t.Kind() {
 	case reflect.String:
 		if !ok || l.Kind() != '"' {
-			w.mismatch(v, path, "a string")
+			w.reportMismatch(v, path, "a string")
 		}
 	case reflect.Bool:
 		if !ok || (l.Kind() != 't' && l.Kind() != 'f') {
-			w.mismatch(v, path, "true or false")
+			w.reportMismatch(v, path, "true or false")
 		}
 	case reflect.Float64:
 		if _, err := strconv.ParseFloat(string(l), 64); !ok || err != nil {
-			w.mismatch(v, path, "a number within range")
+			w.reportMismatch(v, path, "a number within range")
 		}
 	default:
 		if _, err := strconv.ParseInt(string(l), 10, t.Bits()); !ok || err != nil {
-			w.mismatch(v, path, "a whole number within range")
+			w.reportMismatch(v, path, "a whole number within range")
 		}
 	}
 }
 
-func (w *walker) mismatch(v *hujson.Value, path, want string) {
+func (w *walker) reportMismatch(v *hujson.Value, path, want string) {
 	w.report(v.StartOffset, path, "is not "+want)
 }
 
--- a/logger/logger_test.go
+++ b/logger/logger_test.go
@@ -33,7 +33,7 @@
 	})
 
 	// Guards against requests that block on a log whose reader has stopped reading.
-	It("does not block while nobody reads", func() {
+	It("does not block while its output is not read", func() {
 		r, w := io.Pipe()
 		l, clean := logger.New(w, zapcore.InfoLevel)
 		done := make(chan struct{})
@@ -57,18 +57,18 @@
 	})
 
 	It("reports dropped lines even if it is closed with lines queued", func() {
-		w := &blockedWriter{opened: make(chan struct{}), through: make(chan struct{})}
+		w := &blockedWriter{unblocked: make(chan struct{}), permits: make(chan struct{})}
 		l, clean := logger.New(w, zapcore.InfoLevel)
 		for i := range 2000 {
 			l.Info("line "+strconv.Itoa(i%20), zap.Int("n", i))
 		}
 		Expect(l.Dropped()).To(BeNumerically(">", 1000))
 		for range 10 {
-			w.through <- struct{}{}
+			w.permits <- struct{}{}
 		}
 		Eventually(w.written, 5*time.Second).Should(Equal(10))
 		clean()
-		close(w.opened)
+		close(w.unblocked)
 		Eventually(w.text, 5*time.Second).Should(ContainSubstring("msg=dropped lines="))
 	})
 
@@ -85,32 +85,32 @@
 	})
 })
 
-// blockedWriter is a writer whose writes block until opened is closed; each send to through
-// lets one write return before.
+// blockedWriter is a writer whose writes block until unblocked is closed. Each send to
+// permits lets one write return earlier.
 type blockedWriter struct {
-	opened  chan struct{}
-	through chan struct{}
+	unblocked chan struct{}
+	permits   chan struct{}
 
-	mu  sync.Mutex
-	out bytes.Buffer
-	n   int
+	mu     sync.Mutex
+	out    bytes.Buffer
+	writes int
 }
 
 func (b *blockedWriter) Write(p []byte) (int, error) {
 	select {
-	case <-b.opened:
-	case <-b.through:
+	case <-b.unblocked:
+	case <-b.permits:
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.n++
+	b.writes++
 	return b.out.Write(p)
 }
 
 func (b *blockedWriter) written() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.n
+	return b.writes
 }
 
 func (b *blockedWriter) text() string {
--- a/prover/prover.go
+++ b/prover/prover.go
@@ -55,14 +55,14 @@
 	CutBothWays      Fault = "cut2"
 	Blackhole        Fault = "silence" // packets are lost without an error
 	Slow             Fault = "slow"
-	LostReply        Fault = "lostreply" // the write took effect
+	LostReply        Fault = "lostreply" // a write takes effect and its reply is lost
 	StoreDown        Fault = "down"
 	StoreSlow        Fault = "storeslow"
-	WatchGap         Fault = "gap"
-	LateHostList     Fault = "latelist"
-	Reorder          Fault = "reorder" // a frame is duplicated or arrives out of order
-	MismatchedAnswer Fault = "crossed" // an answer belongs to another request
-	PushRace         Fault = "race"    // operators push at the same time
+	WatchGap         Fault = "gap"      // the store has discarded changes that a watch asks for
+	LateHostList     Fault = "latelist" // the platform's host list is out of date
+	Reorder          Fault = "reorder"  // a frame is duplicated or arrives out of order
+	MismatchedAnswer Fault = "crossed"  // an answer belongs to another request
+	PushRace         Fault = "race"     // operators push at the same time
 )
 
 // Steps returns all steps in order: of a request, of a configuration, of a host.
--- a/soaker/fault_test.go
+++ b/soaker/fault_test.go
@@ -194,13 +194,13 @@
 	var active sync.WaitGroup
 	slots := make(chan struct{}, 3)
 	var mu sync.Mutex
-	inUse := map[int]bool{}
+	activeKinds := map[int]bool{}
 	for time.Now().Before(deadline) {
-		i, seed := c.r.IntN(len(faultKinds)), c.r.Uint64()
-		pause, duration := randomDuration(c.r, 100, 700), randomDuration(c.r, 200, 2000)
+		i, seed := c.random.IntN(len(faultKinds)), c.random.Uint64()
+		pause, duration := randomDuration(c.random, 100, 700), randomDuration(c.random, 200, 2000)
 		mu.Lock()
-		alreadyActive := inUse[i]
-		inUse[i] = true
+		alreadyActive := activeKinds[i]
+		activeKinds[i] = true
 		mu.Unlock()
 		if alreadyActive {
 			continue
@@ -212,7 +212,7 @@
 			time.Sleep(duration)
 			stop()
 			mu.Lock()
-			inUse[i] = false
+			activeKinds[i] = false
 			mu.Unlock()
 			<-slots
 		})
--- a/soaker/judge_test.go
+++ b/soaker/judge_test.go
@@ -11,7 +11,7 @@
 )
 
 // maxConfigDelay bounds the time from the write of a configuration to the store until it
-// is in force on a host in touch with the store.
+// is in force on a host that is connected to the store.
 const maxConfigDelay = 2 * time.Second
 
 // checkRecovery waits until every host reports that it is ready, and checks that each
--- a/soaker/limit_test.go
+++ b/soaker/limit_test.go
@@ -8,7 +8,7 @@
 
 const (
 	// In any limitWindow a worker may receive limitFactor times the requests that its limit
-	// allows, and limitSlack more.
+	// allows, plus limitSlack requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
@@ -46,12 +46,12 @@
 	for _, e := range c.exchanges {
 		undisturbed[e.id] = e.undisturbed
 	}
-	var over []string
+	var violations []string
 	for _, l := range c.limits {
 		got := l.worker.MaxArrivals(l.from.Add(undisturbedTime), l.to, limitWindow, func(id string) bool { return undisturbed[id] })
 		if allowed := limitFactor*l.rate*limitWindow.Seconds() + limitSlack; float64(got) > allowed {
-			over = append(over, fmt.Sprintf("%s, limited to %.2f requests/s, received %d in %s", l.worker.ID, l.rate, got, limitWindow))
+			violations = append(violations, fmt.Sprintf("%s, limited to %.2f requests/s, received %d in %s", l.worker.ID, l.rate, got, limitWindow))
 		}
 	}
-	return over
+	return violations
 }
--- a/soaker/world_test.go
+++ b/soaker/world_test.go
@@ -31,7 +31,7 @@
 // cluster is the store, the workers and the hosts of one run, with what was recorded.
 type cluster struct {
 	seed      uint64
-	r         *rand.Rand
+	random    *rand.Rand
 	store     *faker.Platform
 	startedAt time.Time // when all hosts were ready
 
@@ -75,7 +75,7 @@
 func itoa(n uint64) string { return strconv.FormatUint(n, 10) }
 
 func newCluster(seed uint64) *cluster {
-	c := &cluster{seed: seed, r: rand.New(rand.NewPCG(seed, 2)), store: faker.NewPlatform(), keys: []string{"key-0"}, revoked: map[string]time.Time{}}
+	c := &cluster{seed: seed, random: rand.New(rand.NewPCG(seed, 2)), store: faker.NewPlatform(), keys: []string{"key-0"}, revoked: map[string]time.Time{}}
 	s := httptest.NewServer(c.store.Handler())
 	DeferCleanup(s.Close)
 	DeferCleanup(s.CloseClientConnections)
