--- a/dispatcher/cell_test.go
+++ b/dispatcher/cell_test.go
@@ -21,13 +21,13 @@
 }
 
 func cellByWorker(cells []dispatcher.Cell) map[string]string {
-	home := map[string]string{}
+	byWorker := map[string]string{}
 	for _, c := range cells {
 		for _, w := range c.Workers {
-			home[w.Name] = c.Name
+			byWorker[w.Name] = c.Name
 		}
 	}
-	return home
+	return byWorker
 }
 
 var _ = Describe("SplitCells", func() {
@@ -48,9 +48,9 @@
 		const sizes, meanMoved = 20, 5
 		moved := 0
 		for n := 90; n < 90+sizes; n++ {
-			more := serviceOf(n+1, 6)
-			less := loader.Service{CellSize: 6, Workers: slices.Delete(slices.Clone(more.Workers), n/2, n/2+1)}
-			before, after := cellByWorker(dispatcher.SplitCells("s", less)), cellByWorker(dispatcher.SplitCells("s", more))
+			larger := serviceOf(n+1, 6)
+			smaller := loader.Service{CellSize: 6, Workers: slices.Delete(slices.Clone(larger.Workers), n/2, n/2+1)}
+			before, after := cellByWorker(dispatcher.SplitCells("s", smaller)), cellByWorker(dispatcher.SplitCells("s", larger))
 			for w, c := range before {
 				if after[w] != c {
 					moved++
--- a/dispatcher/dispatcher.go
+++ b/dispatcher/dispatcher.go
@@ -119,7 +119,7 @@
 }
 
 // Tick refuses requests that can no longer meet their deadline, reclaims places
-// that nobody holds any more, and grants free places.
+// that no entry holds any more, and grants free places.
 func (d *Dispatcher) Tick(now time.Time) []Output {
 	d.begin(now)
 	d.updateMeans(now)
@@ -235,7 +235,8 @@
 }
 
 // learn updates the estimates, the organisation's served tokens and the
-// breaker's record of the worker with what a finished request used.
+// breaker's record of the worker with the tokens and the time that a finished
+// request used.
 func (d *Dispatcher) learn(now time.Time, g *grant, m messenger.Done) {
 	held := now.Sub(g.grantedAt)
 	if m.Tokens > 0 && !m.Failed && !g.preempted && !g.claimed {
@@ -243,7 +244,7 @@
 		if d.meanHold == 0 {
 			d.meanHold = held.Seconds()
 		}
-		d.meanHold += paceWeight * (held.Seconds() - d.meanHold)
+		d.meanHold += sampleWeight * (held.Seconds() - d.meanHold)
 	}
 	g.class.charge(g.ask.Organisation, float64(m.Tokens)-g.tokens)
 	if !d.options.Policy.NoBreaker {
@@ -255,7 +256,7 @@
 // progress updates a request's generated tokens and renews its grant.
 func (d *Dispatcher) progress(now time.Time, from string, m messenger.Progress) {
 	if g := d.grants[m.Request]; g != nil && g.from == from {
-		g.made = m.Tokens
+		g.generated = m.Tokens
 		g.renew(now)
 	}
 }
--- a/dispatcher/due.go
+++ b/dispatcher/due.go
@@ -26,8 +26,9 @@
 
 // catchUp applies the time that has passed since the last tick before a message
 // is handled. No ticks occur while none is due; without catchUp the message
-// would be judged by means, weights and leases from before the pause, and the
-// means would then count the message's own place as in use during all of it.
+// would be handled with means, weights and leases from before the pause, and
+// the means would then count the message's own place as in use during all of
+// it.
 func (d *Dispatcher) catchUp(now time.Time) {
 	if now.Sub(d.averagedAt) >= TickInterval {
 		d.updateMeans(now)
--- a/dispatcher/due_test.go
+++ b/dispatcher/due_test.go
@@ -133,7 +133,7 @@
 	})
 
 	DescribeTable("reports when the next tick is due",
-		func(asks int, wanted time.Duration, due bool) {
+		func(asks int, expected time.Duration, due bool) {
 			d := started(1, 1)
 			for i := range asks {
 				d.Handle(ready, "a", ask(fmt.Sprint("r", i), "summary"))
@@ -141,7 +141,7 @@
 			at, ok := d.Next()
 			Expect(ok).To(Equal(due))
 			if due {
-				Expect(at).To(Equal(ready.Add(wanted)))
+				Expect(at).To(Equal(ready.Add(expected)))
 			}
 		},
 		Entry("never while idle", 0, time.Duration(0), false),
--- a/dispatcher/estimator.go
+++ b/dispatcher/estimator.go
@@ -12,7 +12,7 @@
 	minSamples          = 8    // fewer give no estimate
 	histogramBuckets    = 28   // half powers of two: 1 to 16,000 tokens
 	histogramMaxSamples = 512  // at this number all counts are halved, so that recent samples weigh more
-	paceWeight          = 0.05 // of a new sample in a moving mean
+	sampleWeight        = 0.05 // of a new sample in a moving mean
 	estimateQuantile    = 0.75 // a mean would be far above the usual length, as lengths have a long tail
 	longestQuantile     = 0.9  // of the lengths that must still fit before the deadline
 )
@@ -60,9 +60,9 @@
 
 type histogramKey struct{ class, organisation string }
 
-// pace is the moving mean of the time that a request holds a place, per token
-// and per request.
-type pace struct {
+// holdTime is the moving mean of the time that a request holds a place, per
+// token and per request.
+type holdTime struct {
 	perToken, perRequest float64 // seconds
 	samples              int
 }
@@ -72,7 +72,7 @@
 // there are enough samples.
 type estimator struct {
 	histograms map[histogramKey]*histogram
-	paces      map[string]*pace
+	holdTimes  map[string]*holdTime
 }
 
 // histogramOf returns the histogram of a class and organisation, or nil if
@@ -99,25 +99,25 @@
 			h.add(a.Made + tokens)
 		}
 	}
-	if e.paces == nil {
-		e.paces = map[string]*pace{}
+	if e.holdTimes == nil {
+		e.holdTimes = map[string]*holdTime{}
 	}
-	p := e.paces[a.Class]
+	p := e.holdTimes[a.Class]
 	if p == nil {
-		p = &pace{}
-		e.paces[a.Class] = p
+		p = &holdTime{}
+		e.holdTimes[a.Class] = p
 	}
 	p.samples++
-	weight := max(paceWeight, 1/float64(p.samples))
+	weight := max(sampleWeight, 1/float64(p.samples))
 	p.perToken += weight * (held.Seconds()/float64(max(tokens, 1)) - p.perToken)
 	p.perRequest += weight * (held.Seconds() - p.perRequest)
 }
 
-// estimate returns how many tokens a request still has to generate after made
-// tokens on its present place, and the seconds that they take. Both are 0 while
-// there are too few samples.
-func (e *estimator) estimate(a messenger.Ask, made int, policy Policy) (tokens, seconds float64) {
-	return e.atQuantile(estimateQuantile, a, made, policy)
+// estimate returns how many tokens a request still has to generate after those
+// already generated on its present place, and the seconds that they take. Both
+// are 0 while there are too few samples.
+func (e *estimator) estimate(a messenger.Ask, generated int, policy Policy) (tokens, seconds float64) {
+	return e.atQuantile(estimateQuantile, a, generated, policy)
 }
 
 // longest returns the seconds that a request takes at longestQuantile.
@@ -126,27 +126,27 @@
 	return seconds
 }
 
-func (e *estimator) atQuantile(q float64, a messenger.Ask, made int, policy Policy) (tokens, seconds float64) {
-	p := e.paces[a.Class]
+func (e *estimator) atQuantile(q float64, a messenger.Ask, generated int, policy Policy) (tokens, seconds float64) {
+	p := e.holdTimes[a.Class]
 	if p == nil || p.samples < minSamples {
 		return 0, 0
 	}
 	if policy.NoEstimate {
 		return p.perRequest / p.perToken, p.perRequest
 	}
-	made += a.Made
+	generated += a.Made
 	if policy.Exact {
-		tokens = float64(max(a.Output-made, 1))
+		tokens = float64(max(a.Output-generated, 1))
 		return tokens, tokens * p.perToken
 	}
 	h := e.histograms[histogramKey{a.Class, a.Organisation}]
 	if h == nil || h.total < minSamples {
 		h = e.histograms[histogramKey{a.Class, ""}]
 	}
-	tokens = h.quantile(q, made)
+	tokens = h.quantile(q, generated)
 	if a.Output > 0 {
 		tokens = min(tokens, float64(a.Output+a.Made))
 	}
-	tokens = max(tokens-float64(made), 1)
+	tokens = max(tokens-float64(generated), 1)
 	return tokens, tokens * p.perToken
 }
--- a/dispatcher/fault_test.go
+++ b/dispatcher/fault_test.go
@@ -13,7 +13,7 @@
 
 var _ = Describe("Dispatcher with failing entries", func() {
 	// A host fails with a call on a worker. Its connection to the worker
-	// breaks, so the worker is free, but nobody sends the Done: without the
+	// breaks, so the worker is free, but no host sends the Done: without the
 	// grace period the place would stay in use as long as the dispatcher runs.
 	It("reclaims a failed host's places after a grace period, and drops its waiting requests immediately",
 		Label(prover.Cell(prover.Granted, prover.Kill), prover.Cell(prover.Queued, prover.Kill)), func() {
@@ -38,9 +38,9 @@
 			g := only[messenger.Grant](d.Handle(ready, "a", ask("one", "summary")))[0]
 			d.Handle(ready, "b", ask("two", "summary"))
 			d.HostLost(ready, "a")
-			again := ask("one", "summary")
-			again.Attempt = 2
-			d.Handle(ready.Add(time.Second), "a", messenger.Claim{Ask: again, Worker: g.Worker})
+			repeated := ask("one", "summary")
+			repeated.Attempt = 2
+			d.Handle(ready.Add(time.Second), "a", messenger.Claim{Ask: repeated, Worker: g.Worker})
 			Expect(d.Tick(ready.Add(3 * time.Second))).To(BeEmpty())
 			Expect(d.State().Granted).To(HaveKey("one"))
 		})
@@ -60,7 +60,7 @@
 
 	// A frame is sent twice, or again on a new connection after a later one.
 	// The caller has gone: an Ask that counted after its Cancel would get a
-	// place for nobody.
+	// place that no caller uses.
 	DescribeTable("leaves no request behind when messages are duplicated or reordered",
 		func(order ...messenger.Message) {
 			d := started(1, 1)
@@ -86,9 +86,9 @@
 		Label(prover.Cell(prover.Granted, prover.CutOneWay)), func() {
 			d := started(2, 1)
 			first := only[messenger.Grant](d.Handle(ready, "a", ask("one", "check")))[0]
-			again := ask("one", "check")
-			again.Attempt = 2
-			second := only[messenger.Grant](d.Handle(ready, "a", again))[0]
+			repeated := ask("one", "check")
+			repeated.Attempt = 2
+			second := only[messenger.Grant](d.Handle(ready, "a", repeated))[0]
 			Expect(second.Worker).To(Equal(first.Worker))
 			Expect(second.Attempt).To(Equal(uint64(2)))
 			Expect(d.State().Granted).To(HaveLen(1))
--- a/dispatcher/line.go
+++ b/dispatcher/line.go
@@ -156,7 +156,7 @@
 	k.active.fix(w.queue.classIndex)
 }
 
-// expectedWait returns the seconds for which a new request of queue l waits
+// expectedWait returns the seconds for which a new request of queue q waits
 // when the class uses the given number of places. As organisations take turns,
 // that is the time for the queue's own backlog and for as much of the backlog
 // of each other queue.
--- a/dispatcher/overload.go
+++ b/dispatcher/overload.go
@@ -28,8 +28,8 @@
 }
 
 // expectedWait returns how long a request of class k that arrives now is
-// expected to wait: behind its organisation's queue l, or behind the whole
-// class if l is nil.
+// expected to wait: behind its organisation's queue q, or behind the whole
+// class if q is nil.
 func (d *Dispatcher) expectedWait(k *class, q *orgQueue) time.Duration {
 	if d.used < d.slots && k.waiting == 0 {
 		return 0
@@ -62,7 +62,7 @@
 	}
 	longest := 0.0
 	for _, k := range d.classesByTier {
-		if p := d.estimator.paces[k.name]; p != nil && k.config.Tier > d.topTier {
+		if p := d.estimator.holdTimes[k.name]; p != nil && k.config.Tier > d.topTier {
 			longest = max(longest, p.perRequest)
 		}
 	}
@@ -166,14 +166,14 @@
 // would get the place again and be preempted again, without end.
 func (d *Dispatcher) victim(now time.Time, w *waiter) *grant {
 	var best *grant
-	var mostLeft float64
+	var mostRemaining float64
 	for _, g := range d.grants {
 		if g.preempted || g.ask.NonPreemptible || g.class.config.Tier == d.topTier || !d.canTake(now, w, g.worker) {
 			continue
 		}
-		left, _ := d.estimator.estimate(g.ask, g.made, d.options.Policy)
-		if best == nil || cmp.Or(cmp.Compare(g.class.config.Tier, best.class.config.Tier), cmp.Compare(left, mostLeft), cmp.Compare(g.order, best.order)) > 0 {
-			best, mostLeft = g, left
+		remaining, _ := d.estimator.estimate(g.ask, g.generated, d.options.Policy)
+		if best == nil || cmp.Or(cmp.Compare(g.class.config.Tier, best.class.config.Tier), cmp.Compare(remaining, mostRemaining), cmp.Compare(g.order, best.order)) > 0 {
+			best, mostRemaining = g, remaining
 		}
 	}
 	return best
--- a/dispatcher/place.go
+++ b/dispatcher/place.go
@@ -32,7 +32,7 @@
 	expiresAt         time.Time // its entry has cut the call off by then
 	order             uint64
 	tokens            float64 // of output, estimated
-	made              int     // tokens that the entry reported
+	generated         int     // tokens that the entry reported
 	claimed           bool    // given by a previous dispatcher
 	preempted         bool    // its entry was asked to give it back
 	reportedToBreaker bool
--- a/dispatcher/policy.go
+++ b/dispatcher/policy.go
@@ -8,7 +8,7 @@
 	NoShare    bool // no guaranteed places: strict tiers
 	NoPreempt  bool
 	NoEstimate bool // every request is assumed to cost its class's mean
-	NoFairness bool // earliest deadline first, whatever the organisation
+	NoFairness bool // earliest deadline first, regardless of the organisation
 	NoRefusal  bool // refuse only requests that are already late
 	NoPostpone bool // requests that missed their targets keep their turn in the top tier too
 	NoBreaker  bool
@@ -48,7 +48,7 @@
 	// fairQuantum is the step, in served tokens, within which organisations
 	// count as equally served and the earlier deadline decides.
 	fairQuantum = 256
-	// minRetryAfter is the minimum time after which a refused caller is told to
-	// return.
+	// minRetryAfter is the minimum time after which a refused caller is asked
+	// to retry.
 	minRetryAfter = 100 * time.Millisecond
 )
--- a/dispatcher/policy_test.go
+++ b/dispatcher/policy_test.go
@@ -84,9 +84,9 @@
 		Expect(d.Handle(now, "a", ask("one", "check"))).To(BeEmpty())
 	})
 
-	// A check failed on one worker and may not go there again; the other worker
-	// is leaving. Preempting a letter would help nobody: the letter would get
-	// its place back immediately.
+	// A check failed on one worker and may not go there again; the other worker is
+	// leaving. Preempting a letter would gain nothing: the letter would get its
+	// place back immediately.
 	It("preempts no place that it can't use", func() {
 		d, now := withHistory(2, 20*time.Second)
 		d.Configure(cellOf(2, 2), classes())
--- a/dispatcher/property_test.go
+++ b/dispatcher/property_test.go
@@ -133,8 +133,8 @@
 var classNames = []string{"check", "summary", "letter"}
 
 var _ = Describe("Dispatcher under any schedule", func() {
-	// Frames arrive twice and late. A place that is granted twice, or to
-	// nobody, would fill the cell bit by bit until it serves nobody.
+	// Frames arrive twice and late. A place that is granted twice, or to no
+	// caller, would use up the cell until it serves no request.
 	It("never grants more than the slots, answers each ask once, and leaves no request behind",
 		Label(prover.Cell(prover.Queued, prover.Reorder), prover.Pair(prover.Asked, prover.Reorder, prover.Granted, prover.Reorder)), func() {
 			rapid.Check(GinkgoT(), func(t *rapid.T) {
--- a/dispatcher/rebuild.go
+++ b/dispatcher/rebuild.go
@@ -71,14 +71,14 @@
 			return
 		}
 		if g.worker == c.Worker {
-			g.from, g.ask.Attempt, g.made = from, c.Ask.Attempt, c.Tokens
+			g.from, g.ask.Attempt, g.generated = from, c.Ask.Attempt, c.Tokens
 			g.renew(now)
 			return
 		}
 		d.free(now, g)
 	}
 	d.occupy(&grant{
-		from: from, ask: c.Ask, worker: c.Worker, class: d.class(c.Ask.Class), grantedAt: now, renewedAt: now, made: c.Tokens,
+		from: from, ask: c.Ask, worker: c.Worker, class: d.class(c.Ask.Class), grantedAt: now, renewedAt: now, generated: c.Tokens,
 		expiresAt: now.Add(c.Ask.Deadline + orphanGrace), claimed: true,
 	}, d.placesOf(c.Worker))
 }
@@ -103,8 +103,8 @@
 }
 
 // reclaim takes back the grants of failed hosts and those that their entries
-// have not renewed or must have cut off by now. A lost Done shows in no other
-// way; its place would otherwise stay in use indefinitely.
+// have not renewed or must have cut off by now. A lost Done is detected in no
+// other way; its place would otherwise stay in use indefinitely.
 func (d *Dispatcher) reclaim(now time.Time) {
 	for _, g := range d.grants {
 		orphaned := !g.orphanedAt.IsZero() && now.Sub(g.orphanedAt) >= orphanGrace
--- a/keeper/archive.go
+++ b/keeper/archive.go
@@ -16,7 +16,7 @@
 // compact moves a tail that has grown past its limit into a segment, and merges small
 // segments. The head is never deleted and created again: the condition of a paused
 // keeper's write could then hold for the new object (the ABA problem). A segment's object
-// is written before a commit names it, so whatever the head names exists.
+// is written before a commit names it, so every segment that the head names exists.
 func (k *Keeper) compact(out *outputs, _ time.Time) {
 	if k.archive == nil && sizeOf(k.head.Tail) > k.settings.ArchiveTailBytes {
 		records := slices.Clone(k.head.Tail)
@@ -73,16 +73,16 @@
 			limit = min(limit, op.intent.At-1)
 		}
 	}
-	kept := c.head.Segments[:0:0]
+	retained := c.head.Segments[:0:0]
 	for _, s := range c.head.Segments {
 		if s.NewestAt > limit {
-			kept = append(kept, s)
+			retained = append(retained, s)
 			continue
 		}
 		c.expired = append(c.expired, s)
 		c.head.Floor = max(c.head.Floor, s.NewestKeyTime)
 	}
-	c.head.Segments = kept
+	c.head.Segments = retained
 }
 
 // forgetExpired removes the records of expired segments from memory and deletes the
--- a/keeper/commit.go
+++ b/keeper/commit.go
@@ -113,7 +113,7 @@
 }
 
 // headWritten handles the result of a write of the head. If the result is uncertain, the
-// head is read back: its stamp tells whether the write took effect.
+// head is read back: its stamp shows whether the write took effect.
 func (k *Keeper) headWritten(out *outputs, now time.Time, w HeadWritten) {
 	if k.discardStale() {
 		return
@@ -158,7 +158,7 @@
 	}
 	restored := r.Era > k.era
 	if restored && k.phase == phaseReady && k.ownedEra < r.Era {
-		k.storeFailed(out, now) // until StoreRestored tells whether the host still owns the partition
+		k.storeFailed(out, now) // until StoreRestored states whether the host still owns the partition
 		return
 	}
 	k.era = r.Era
@@ -179,7 +179,7 @@
 	case k.phase == phaseSealing:
 		k.head, k.version, k.unsettled, k.uncertain = r.Head, r.Version, nil, false
 	case r.Head.predatesRestore(r.Version):
-		k.rewriteOverLate(out, r)
+		k.rewriteOverDelayed(out, r)
 	default:
 		k.relinquish(out)
 	}
@@ -266,11 +266,11 @@
 }
 
 func without(tail, records []*Record) []*Record {
-	gone := make(map[*Record]bool, len(records))
+	removed := make(map[*Record]bool, len(records))
 	for _, e := range records {
-		gone[e] = true
+		removed[e] = true
 	}
-	return slices.DeleteFunc(tail, func(e *Record) bool { return gone[e] })
+	return slices.DeleteFunc(tail, func(e *Record) bool { return removed[e] })
 }
 
 func sizeOf(records []*Record) int {
--- a/keeper/fault_test.go
+++ b/keeper/fault_test.go
@@ -121,7 +121,7 @@
 		}
 	}, func() {
 		switch f.kind() {
-		case cutOne, cutBoth, silence: // the caller is gone; the entry host can't tell
+		case cutOne, cutBoth, silence: // the caller is gone; the entry host can't detect that
 			do()
 		case slow:
 			w.after(slowTime, do)
@@ -275,10 +275,10 @@
 }
 
 // answer delivers a worker's answer under the fault injected at that step, if any.
-func (w *world) answer(h *host, o keeper.Send, fate keeper.CallResult, a *keeper.Answer) {
+func (w *world) answer(h *host, o keeper.Send, result keeper.CallResult, a *keeper.Answer) {
 	f := w.nextFault(answered)
 	in := func() {
-		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: fate, Answer: a})
+		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: result, Answer: a})
 	}
 	lose := func() {
 		w.input(h, keeper.Answered{ID: o.ID, Attempt: o.Attempt, Result: keeper.CallUnknown})
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -14,7 +14,7 @@
 // verdicts runs a simulation to its end and returns the verdict on each request.
 func verdicts(w *world) map[string]keeper.Verdict {
 	GinkgoHelper()
-	playAndCheck(w)
+	runAndCheck(w)
 	out := map[string]keeper.Verdict{}
 	for _, q := range w.order {
 		out[q.id] = *q.verdict
@@ -261,9 +261,9 @@
 		for i := range 1000 {
 			w.request(time.Duration(i)*time.Millisecond, fmt.Sprintf("r%d", i), fmt.Sprintf("k%d", i), "seat", "e1")
 		}
-		w.play(1500 * time.Millisecond)
+		w.runFor(1500 * time.Millisecond)
 		Expect(w.store.writes).To(BeNumerically("<=", 1+5+8))
-		w.play(worldLength)
+		w.runFor(worldLength)
 		Expect(w.checkHistory()).To(BeEmpty(), w.history)
 	})
 })
--- a/keeper/matrix_test.go
+++ b/keeper/matrix_test.go
@@ -165,9 +165,9 @@
 	first[q.key] = body
 }
 
-func playAndCheck(w *world) {
+func runAndCheck(w *world) {
 	GinkgoHelper()
-	w.play(worldLength)
+	w.runFor(worldLength)
 	Expect(w.checkHistory()).To(BeEmpty(), w.history)
 }
 
@@ -194,7 +194,7 @@
 var _ = Describe("A fault at a step", func() {
 	It("answers every request without a fault", func() {
 		w := scenario()
-		playAndCheck(w)
+		runAndCheck(w)
 		for _, q := range w.order {
 			want := keeper.KindRan
 			if q.id == "r6" || q.id == "r0" {
@@ -208,7 +208,7 @@
 			used := 0
 			for _, f := range c.injections() {
 				w := scenario(f)
-				playAndCheck(w)
+				runAndCheck(w)
 				if w.faults[0].used {
 					used++
 				}
@@ -233,7 +233,7 @@
 				for _, f := range first.injections() {
 					for _, g := range second.injections() {
 						w := scenario(f, g)
-						playAndCheck(w)
+						runAndCheck(w)
 						reached = reached || w.faults[0].used && w.faults[1].used
 					}
 				}
--- a/keeper/open.go
+++ b/keeper/open.go
@@ -7,7 +7,7 @@
 
 // seal replaces the head with one of this keeper's own epoch. From then on the conditional
 // writes of every earlier keeper fail, including those of a keeper that was paused and
-// still takes itself for the owner.
+// still considers itself the owner.
 func (k *Keeper) seal(out *outputs, now time.Time) {
 	c := &commit{head: k.head}
 	c.head.Epoch = epochAfter(k.head.Epoch, k.era)
--- a/keeper/operation.go
+++ b/keeper/operation.go
@@ -271,8 +271,8 @@
 	k.remember(op.outcome)
 	if a.size() > k.settings.MaxAnswerBytes {
 		// Too large for the log; it stays available in this keeper's memory only.
-		bare := *op.outcome
-		bare.Answer, op.outcome = nil, &bare
+		withoutAnswer := *op.outcome
+		withoutAnswer.Answer, op.outcome = nil, &withoutAnswer
 	}
 	k.pending.push(op.outcome)
 	if !k.retryAt.IsZero() {
@@ -297,28 +297,28 @@
 		k.finish(out, op)
 		return
 	}
-	var over, waiting []Call
+	var expired, waiting []Call
 	for _, w := range op.waiters {
 		if now.Before(w.Deadline) {
 			waiting = append(waiting, w)
 		} else {
-			over = append(over, w)
+			expired = append(expired, w)
 		}
 	}
-	if len(over) > 0 && op.stage < stageSent && len(waiting) == 0 {
+	if len(expired) > 0 && op.stage < stageSent && len(waiting) == 0 {
 		k.dropUnsent(out, now, op, Verdict{Kind: KindNotRun, Reason: ReasonDeadline, RetryAfter: k.settings.RetryInterval})
 		return
 	}
-	if len(over) > 0 && op.stage == stageAnswered {
+	if len(expired) > 0 && op.stage == stageAnswered {
 		k.finish(out, op)
 		return
 	}
 	// The key may still run, here or for another request.
-	for _, w := range over {
+	for _, w := range expired {
 		out.reply(w, Verdict{Kind: KindUnknown, Reason: ReasonDeadline, Order: op.order})
 	}
 	op.waiters = waiting
-	if len(over) > 0 && op.stage < stageSent {
+	if len(expired) > 0 && op.stage < stageSent {
 		k.dropUnwanted(out, op, Verdict{})
 	}
 	if op.stage == stagePlaced && now.Sub(op.readyAskedAt) >= readyInterval {
--- a/keeper/port.go
+++ b/keeper/port.go
@@ -102,7 +102,7 @@
 	Answer  *Answer // if Result is CallRan
 }
 
-// CallResult tells whether a call that was sent has run.
+// CallResult states whether a call that was sent has run.
 type CallResult uint8
 
 // Results of a call that was sent.
--- a/keeper/queue.go
+++ b/keeper/queue.go
@@ -79,9 +79,9 @@
 	for k.answers.bytes > k.settings.AnswerCacheBytes {
 		old := k.answers.pop()
 		if k.records[old.ID] == old {
-			bare := *old
-			bare.Answer = nil
-			k.records[old.ID] = &bare
+			withoutAnswer := *old
+			withoutAnswer.Answer = nil
+			k.records[old.ID] = &withoutAnswer
 		}
 	}
 }
--- a/keeper/record.go
+++ b/keeper/record.go
@@ -88,7 +88,7 @@
 func (e *Record) size() int { return recordOverheadBytes + e.Answer.size() }
 
 // Stamp identifies one write of one keeper. No two writes share a stamp, so reading it back
-// tells whether a write whose reply was lost took effect.
+// shows whether a write whose reply was lost took effect.
 type Stamp struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Keeper      string
--- a/keeper/refusal_test.go
+++ b/keeper/refusal_test.go
@@ -10,8 +10,8 @@
 )
 
 // The keeper has reached its maximum of one operation in flight, which waits for its place.
-// Each spec feeds it inputs one by one. What another keeper did meanwhile shows in the head
-// that it reads.
+// Each spec feeds it inputs one by one. The actions of another keeper meanwhile show in the
+// head that it reads.
 var _ = Describe("A refusal held until the head is confirmed", func() {
 	var k *keeper.Keeper
 	var now time.Time
--- a/keeper/restore.go
+++ b/keeper/restore.go
@@ -10,7 +10,7 @@
 
 // epochBits is the number of bits of an epoch below the era in it. As an epoch includes the
 // era, a keeper that seals in a later era of the store has a larger epoch than all keepers
-// of earlier eras, including those that the restored store has no trace of.
+// of earlier eras, including those of which the restored store has no record.
 const epochBits = 20
 
 // maxEpochEra is the largest era in an epoch, of which 32 bits go into an order number.
@@ -34,7 +34,7 @@
 
 // storeRestored handles that the log may have been restored from an older snapshot. It
 // guards against this failure: a keeper that was sealed out and has not noticed finds its
-// own head in the store again, as the seal was lost, and takes its outdated memory for the
+// own head in the store again, as the seal was lost, and treats its outdated memory as the
 // complete log. The store can't tell the difference any more, so a keeper relies on its
 // memory only if its host has owned the partition since before the log was read.
 func (k *Keeper) storeRestored(out *outputs, in StoreRestored) {
@@ -87,11 +87,11 @@
 	}
 }
 
-// rewriteOverLate writes the head again over one from before the restore. It guards against
-// this failure: a delayed write of an earlier keeper takes effect, as the restored store
-// assigned the revision in its condition again, and replaces what this keeper has recorded
-// since.
-func (k *Keeper) rewriteOverLate(out *outputs, r HeadRead) {
+// rewriteOverDelayed writes the head again over one from before the restore. It guards
+// against this failure: a delayed write of an earlier keeper takes effect, as the restored
+// store assigned the revision in its condition again, and replaces what this keeper has
+// recorded since.
+func (k *Keeper) rewriteOverDelayed(out *outputs, r HeadRead) {
 	for _, e := range r.Head.Tail {
 		if k.records[e.ID] == nil {
 			k.remember(e)
@@ -132,17 +132,17 @@
 	if sizeOf(records) <= maxTailBytes {
 		return records
 	}
-	bare := make([]*Record, 0, len(records))
+	withoutAnswers := make([]*Record, 0, len(records))
 	for _, e := range records {
 		if e.Answer == nil {
-			bare = append(bare, e)
+			withoutAnswers = append(withoutAnswers, e)
 			continue
 		}
 		x := *e
 		x.Answer = nil
-		bare = append(bare, &x)
+		withoutAnswers = append(withoutAnswers, &x)
 	}
-	return bare
+	return withoutAnswers
 }
 
 // markLost records in a head that keys may have run whose records are lost.
--- a/keeper/restore_test.go
+++ b/keeper/restore_test.go
@@ -114,7 +114,7 @@
 		w.request(10*time.Second, "r3", "k2", "seat 5", "e2")
 		w.request(10*time.Second, "r4", "k1", "seat 4", "e2")
 		w.request(11*time.Second, "r5", "k3", "seat 6", "e2")
-		w.play(worldLength)
+		w.runFor(worldLength)
 		Expect(w.checkHistory()).To(BeEmpty(), w.history)
 		for _, id := range []string{"r1", "r2", "r3", "r4", "r5"} {
 			Expect(kind(w, id)).To(Equal(keeper.KindRan), "%s %s", id, w.history())
@@ -132,7 +132,7 @@
 		})
 		w.request(10*time.Second, "r3", "k2", "seat 5", "e2")
 		w.request(10*time.Second, "r4", "k1", "seat 4", "e2")
-		w.play(worldLength)
+		w.runFor(worldLength)
 		Expect(w.checkHistory()).To(BeEmpty(), w.history)
 		Expect(kind(w, "r2")).To(Equal(keeper.KindRan))
 		Expect(kind(w, "r3")).To(Equal(keeper.KindUnknown), w.history())
@@ -152,7 +152,7 @@
 		key := uuidAt(w.start.Add(time.Hour))
 		w.after(58*time.Minute, func() { w.request(0, "r2", key, "seat 5", "e2") })
 		w.after(58*time.Minute, func() { w.request(0, "r3", "k2", "seat 6", "e2") })
-		w.play(time.Hour)
+		w.runFor(time.Hour)
 		Expect(kind(w, "r2")).To(Equal(keeper.KindRan), w.history())
 		Expect(kind(w, "r3")).To(Equal(keeper.KindUnknown), w.history())
 	})
@@ -178,10 +178,10 @@
 		k.Handle(now, keeper.HeadWritten{Stamp: seal.Head.Stamp, Version: storer.NewVersion(0, 6), Result: keeper.Done})
 		first := call("k", now)
 		k.Handle(now, keeper.CallReceived{Call: first})
-		late := last[keeper.WriteHead](k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
-		k.Handle(now, keeper.HeadWritten{Stamp: late.Head.Stamp, Result: keeper.Lost})
+		lostWrite := last[keeper.WriteHead](k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
+		k.Handle(now, keeper.HeadWritten{Stamp: lostWrite.Head.Stamp, Result: keeper.Lost})
 		k.Handle(now, keeper.StoreRestored{Era: 1, OwnedSince: now.Add(-time.Minute)})
-		out := k.Handle(now, keeper.HeadRead{Head: late.Head, Version: storer.NewVersion(1, 7), Result: keeper.Done})
+		out := k.Handle(now, keeper.HeadRead{Head: lostWrite.Head, Version: storer.NewVersion(1, 7), Result: keeper.Done})
 		Expect(last[keeper.WriteHead](out).Head.LostUntil).To(Equal(now.UnixMilli()))
 	})
 
@@ -196,11 +196,11 @@
 		w := last[keeper.WriteHead](k.Handle(now, keeper.Placed{ID: first.ID, Attempt: 1}))
 		k.Handle(now, keeper.HeadWritten{Stamp: w.Head.Stamp, Version: storer.NewVersion(1, 7), Result: keeper.Done})
 		k.Handle(now, keeper.StoreRestored{Era: 1, OwnedSince: now.Add(-time.Minute)}) // makes it read the head
-		theirs := keeper.Head{Epoch: 1, Era: 1, Stamp: keeper.Stamp{Keeper: "b", Incarnation: 1, Write: 3}}
-		out := k.Handle(now, keeper.HeadRead{Head: theirs, Version: storer.NewVersion(1, 8), Result: keeper.Done})
-		again := last[keeper.WriteHead](out)
-		Expect(again.Match).To(Equal(storer.NewVersion(1, 8)))
-		Expect(again.Head.Tail).To(ContainElement(HaveField("ID", first.ID)))
+		otherHead := keeper.Head{Epoch: 1, Era: 1, Stamp: keeper.Stamp{Keeper: "b", Incarnation: 1, Write: 3}}
+		out := k.Handle(now, keeper.HeadRead{Head: otherHead, Version: storer.NewVersion(1, 8), Result: keeper.Done})
+		rewrite := last[keeper.WriteHead](out)
+		Expect(rewrite.Match).To(Equal(storer.NewVersion(1, 8)))
+		Expect(rewrite.Head.Tail).To(ContainElement(HaveField("ID", first.ID)))
 	})
 
 	// One or two restores of random age and outage, under random schedules of faults, hand-overs
@@ -221,7 +221,7 @@
 				notified := map[string]time.Duration{"a": ms(0, 2000, "notified"), "b": ms(0, 2000, "notified")}
 				w.after(at, func() { w.restoreStore(outage, age, notified) })
 			}
-			w.play(60 * time.Second)
+			w.runFor(60 * time.Second)
 			if violations := w.checkHistory(); len(violations) > 0 {
 				t.Fatalf("%v\n%s", violations, w.history())
 			}
--- a/keeper/schedule_test.go
+++ b/keeper/schedule_test.go
@@ -21,7 +21,7 @@
 		Expect(flag.Set("rapid.nofailfile", "true")).To(Succeed())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			w := randomWorld(t)
-			w.play(60 * time.Second)
+			w.runFor(60 * time.Second)
 			if violations := w.checkHistory(); len(violations) > 0 {
 				t.Fatalf("%v\n%s", violations, w.history())
 			}
@@ -35,8 +35,8 @@
 	for range rapid.IntRange(0, 8).Draw(t, "faults") {
 		c := rapid.SampledFrom(all).Draw(t, "cell")
 		nth := rapid.IntRange(0, 6).Draw(t, "nth")
-		late := rapid.Bool().Draw(t, "late")
-		faults = append(faults, &injection{step: c.step, fault: c.fault, nth: nth, afterEffect: late})
+		afterEffect := rapid.Bool().Draw(t, "late")
+		faults = append(faults, &injection{step: c.step, fault: c.fault, nth: nth, afterEffect: afterEffect})
 	}
 	w := newWorld(keeper.Settings{ArchiveTailBytes: rapid.SampledFrom([]int{1, 200, 1 << 15}).Draw(t, "tail")}, faults...)
 	w.refusals = rapid.IntRange(0, 6).Draw(t, "refused")
--- a/keeper/waiter.go
+++ b/keeper/waiter.go
@@ -4,7 +4,7 @@
 // request, and which verdict is final. The zero value is ready to use.
 //
 // An entry host confirms a request to one keeper at a time, and after that only to later
-// ones. A "not run" of an earlier keeper, or of one that has not loaded the log, tells
+// ones. A "not run" of an earlier keeper, or of one that has not loaded the log, proves
 // nothing about the keeper that got the confirmation.
 type Waiter struct {
 	allowedOrder uint64 // order number of the operation that was confirmed last; 0 if none
--- a/keeper/world_test.go
+++ b/keeper/world_test.go
@@ -105,7 +105,7 @@
 	w.agenda.Add(w.now.Add(d), do)
 }
 
-func (w *world) play(length time.Duration) {
+func (w *world) runFor(length time.Duration) {
 	end := w.start.Add(length - 1) // events at the end itself don't run
 	for at, do, ok := w.agenda.Next(end); ok; at, do, ok = w.agenda.Next(end) {
 		w.now = at
@@ -211,11 +211,11 @@
 		}
 		h := w.hosts[q.asked]
 		c := w.call(q)
-		left := q.began.Add(deadline).Sub(w.now)
+		remaining := q.began.Add(deadline).Sub(w.now)
 		w.entryStep(asked, q, func() {
 			w.sendFrame(asked, q.entry, h.name, func() {
 				// The remaining time counts from the arrival, as hosts share no clock.
-				c.Deadline = w.now.Add(left)
+				c.Deadline = w.now.Add(remaining)
 				w.arrive(w.hosts[h.name], c)
 			})
 		})
@@ -260,8 +260,8 @@
 			w.deliver(q, v)
 			return
 		}
-		old := w.ownerOnly && w.staleOwner[q.entry] != "" // it would ask the same host again
-		if v.Kind == keeper.KindMoved && q.asked != w.owner && !old {
+		outdated := w.ownerOnly && w.staleOwner[q.entry] != "" // it would ask the same host again
+		if v.Kind == keeper.KindMoved && q.asked != w.owner && !outdated {
 			w.askOwner(q)
 		}
 	})
@@ -280,8 +280,8 @@
 
 func (w *world) send(h *host, o keeper.Send, f *injection) {
 	q := w.requests[o.Request]
-	fate := func(after time.Duration, fate keeper.CallResult, a *keeper.Answer) {
-		w.after(after, func() { w.answer(h, o, fate, a) })
+	answer := func(after time.Duration, result keeper.CallResult, a *keeper.Answer) {
+		w.after(after, func() { w.answer(h, o, result, a) })
 	}
 	work := func() *keeper.Answer {
 		w.runs = append(w.runs, run{key: q.key, request: q.id, body: q.body, at: w.now})
@@ -289,30 +289,30 @@
 	}
 	if w.refusals > 0 {
 		w.refusals--
-		fate(hopTime, keeper.CallNotRun, nil)
+		answer(hopTime, keeper.CallNotRun, nil)
 		return
 	}
 	switch f.kind() {
 	case cutOne:
-		fate(hopTime, keeper.CallUnknown, nil)
+		answer(hopTime, keeper.CallUnknown, nil)
 	case cutBoth: // the call was in flight when the connection broke
 		w.after(outageTime, func() { work() })
-		fate(hopTime, keeper.CallUnknown, nil)
+		answer(hopTime, keeper.CallUnknown, nil)
 	case silence:
 		work()
-		fate(storeTimeout, keeper.CallUnknown, nil)
+		answer(storeTimeout, keeper.CallUnknown, nil)
 	case lostReply, crossed:
 		work()
-		fate(workTime, keeper.CallUnknown, nil)
+		answer(workTime, keeper.CallUnknown, nil)
 	case slow:
-		fate(slowTime, keeper.CallRan, work())
+		answer(slowTime, keeper.CallRan, work())
 	case reorder: // the frames that led to the send are repeated, immediately and late
-		for _, late := range []time.Duration{hopTime, frameDelay} {
-			w.after(late, func() { w.input(h, keeper.Placed{ID: o.ID, Attempt: o.Attempt}) })
-			w.after(late, func() { w.input(h, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true}) })
+		for _, delay := range []time.Duration{hopTime, frameDelay} {
+			w.after(delay, func() { w.input(h, keeper.Placed{ID: o.ID, Attempt: o.Attempt}) })
+			w.after(delay, func() { w.input(h, keeper.ReadyAnswered{ID: o.ID, Request: o.Request, OK: true}) })
 		}
 		fallthrough
 	default:
-		fate(workTime, keeper.CallRan, work())
+		answer(workTime, keeper.CallRan, work())
 	}
 }
--- a/limiter/gate.go
+++ b/limiter/gate.go
@@ -10,9 +10,9 @@
 
 	loan        Rates
 	loanExpires time.Time
-	// Each tier's buckets are charged with what that tier and the more urgent ones
-	// use. So a request is never refused because of less urgent ones, and yet all
-	// tiers together stay within the limit.
+	// Each tier's buckets are charged with the use of that tier and of the more
+	// urgent ones. So a request is never refused because of less urgent ones, and
+	// yet all tiers together stay within the limit.
 	requests [tiers]bucket
 	tokens   [tiers]bucket
 
@@ -122,11 +122,11 @@
 	if g.requestCount > 0 && since < interval {
 		return Rates{}, 0, false
 	}
-	span := requestInterval.Seconds()
+	seconds := requestInterval.Seconds()
 	if g.requestCount > 0 {
-		span = since.Seconds()
+		seconds = since.Seconds()
 	}
-	demand = g.newDemand.apply(func(n float64) float64 { return n / span })
+	demand = g.newDemand.apply(func(n float64) float64 { return n / seconds })
 	g.newDemand = Rates{}
 	g.requestedAt = now
 	g.requestCount++
--- a/limiter/lender.go
+++ b/limiter/lender.go
@@ -6,7 +6,7 @@
 // is not safe for concurrent use.
 type Lender struct{ loans map[string]map[string]*loan } // by organisation, host
 
-// loan is what one entry was lent.
+// loan is the part of the limits that one entry was lent.
 type loan struct {
 	demand  Rates
 	lent    Rates
@@ -91,9 +91,9 @@
 }
 
 // share returns an entry's part of the limits in proportion to its demand, but
-// at most twice its demand or an even part: what nobody wants stays free for
-// the next request. A floor is added to each demand, so that a share can grow
-// from nothing.
+// at most twice its demand or an even part: the rest stays free for the next
+// request. A floor is added to each demand, so that a share can grow from
+// nothing.
 func (l *Lender) share(loans map[string]*loan, own *loan, evenShare, limits Rates) Rates {
 	floor := evenShare.apply(func(r float64) float64 { return r / 4 })
 	var sum Rates
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -158,8 +158,8 @@
 				}
 			}
 			length := (time.Duration(ticks) * step).Seconds()
-			if most := 2*limit*length + max(limit, float64(hosts)); float64(w.total()) > most+1 {
-				t.Fatalf("admitted %d in %.1fs, bound %.1f", w.total(), length, most)
+			if bound := 2*limit*length + max(limit, float64(hosts)); float64(w.total()) > bound+1 {
+				t.Fatalf("admitted %d in %.1fs, bound %.1f", w.total(), length, bound)
 			}
 		})
 	})
@@ -195,14 +195,14 @@
 	})
 
 	DescribeTable("are lent to the hosts with traffic",
-		func(hosts int, arrivals []int, least, most float64) {
+		func(hosts int, arrivals []int, minimum, maximum float64) {
 			const limit = 50.0
 			w := newSimulation(hosts, limit)
 			w.delay = step
 			w.run(4*time.Second, arrivals...)
 			before := w.total()
 			w.run(20*time.Second, arrivals...)
-			Expect(float64(w.total()-before) / 20 / limit).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
+			Expect(float64(w.total()-before) / 20 / limit).To(And(BeNumerically(">=", minimum), BeNumerically("<=", maximum)))
 		},
 		Entry("all traffic at one of nine hosts", 9, []int{3, 0, 0, 0, 0, 0, 0, 0, 0}, 0.85, 1.01),
 		Entry("equal traffic at nine hosts", 9, []int{1, 1, 1, 1, 1, 1, 1, 1, 1}, 0.9, 1.01),
@@ -212,14 +212,14 @@
 
 	// The owner fails while an organisation is at its limit on all hosts.
 	DescribeTable("stay within the bound when the owner is lost",
-		func(gone bool, least, most float64) {
+		func(unreachable bool, minimum, maximum float64) {
 			w := newSimulation(9, 90)
 			w.run(5*time.Second, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-			w.ownerUp = !gone
+			w.ownerUp = !unreachable
 			w.loseOwner()
 			before := w.total()
 			w.run(10*time.Second, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-			Expect(float64(w.total()-before) / 10 / 90).To(And(BeNumerically(">=", least), BeNumerically("<=", most)))
+			Expect(float64(w.total()-before) / 10 / 90).To(And(BeNumerically(">=", minimum), BeNumerically("<=", maximum)))
 		},
 		Entry("and another takes over", Label(prover.Cell(prover.Received, prover.Kill)), false, 0.9, 1.2),
 		Entry("and none can be reached", Label(prover.Cell(prover.Received, prover.CutBothWays)), true, 0.9, 1.2),
--- a/messenger/member.go
+++ b/messenger/member.go
@@ -32,7 +32,7 @@
 	Incarnation uint64
 }
 
-// Fact is what is known about one host. Of two facts, the one with the higher
+// Fact is the known state of one host. Of two facts, the one with the higher
 // incarnation is valid, or with equal incarnations the one with the higher
 // status.
 type Fact struct {
--- a/messenger/message_seek.go
+++ b/messenger/message_seek.go
@@ -19,8 +19,8 @@
 	Prompt            int           `msgpack:"prompt"`   // tokens
 	Output            int           `msgpack:"output"`   // tokens, estimated
 	Rank              int           `msgpack:"rank"`     // 0 is the most urgent
-	Left              time.Duration `msgpack:"left"`     // until nobody waits for the answer any more
-	FirstEventTimeout time.Duration `msgpack:"patience"` // until the caller leaves for want of a first event; 0 is Left
+	Left              time.Duration `msgpack:"left"`     // until no caller waits for the answer any more
+	FirstEventTimeout time.Duration `msgpack:"patience"` // until the caller leaves without a first event; 0 is Left
 	Target            time.Duration `msgpack:"target"`   // for the answer, or a stream's first event
 	Gap               time.Duration `msgpack:"gap"`      // target for the longest pause in a stream; 0 for none
 	Exclude           []string      `msgpack:"exclude"`  // workers
--- a/messenger/message_share.go
+++ b/messenger/message_share.go
@@ -4,7 +4,7 @@
 
 const kindFlightUpdate = "shared3"
 
-// FlightUpdate passes on what a host sent to workers since its last
+// FlightUpdate reports a host's requests to workers since its last
 // FlightUpdate, in order: requests sent, requests whose first event arrived,
 // and requests that ended.
 type FlightUpdate struct {
--- a/messenger/message_word.go
+++ b/messenger/message_word.go
@@ -2,8 +2,8 @@
 
 const kindListUpdate = "word"
 
-// ListUpdate passes on what the platform's store reported about a list: all
-// changes after one version, up to another of the same era.
+// ListUpdate passes on the changes of a list that the platform's store
+// reported: all changes after one version, up to another of the same era.
 type ListUpdate struct {
 	_msgpack  struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	After     uint64   `msgpack:"after"`
--- a/messenger/messenger.go
+++ b/messenger/messenger.go
@@ -23,7 +23,7 @@
 
 // Messenger sends messages to other hosts and receives theirs. While both ends
 // run and reach each other within Config.Hold, each message arrives once and in
-// order, whatever happens to connections.
+// order, even if connections fail.
 type Messenger struct {
 	config     Config
 	generation atomic.Uint64
--- a/messenger/messenger_test.go
+++ b/messenger/messenger_test.go
@@ -22,9 +22,9 @@
 // addresses counts the addresses handed out.
 var addresses atomic.Int32
 
-// unusedAddress returns an address on which nobody listens, below the ports
-// that the kernel assigns. While nobody listens on one of those, the kernel may
-// assign it to the very connection that dials it, which then connects to
+// unusedAddress returns an address on which no process listens, below the ports
+// that the kernel assigns. While no process listens on one of those, the kernel
+// may assign it to the very connection that dials it, which then connects to
 // itself.
 func unusedAddress() string {
 	return fmt.Sprintf("127.%d.%d.1:%d", 80+os.Getpid()/250%20, 1+os.Getpid()%250, 10000+addresses.Add(1))
@@ -129,11 +129,11 @@
 		a := openWith(messenger.Config{Name: "a", Incarnation: 1, Address: unusedAddress(), MaxQueue: 1}, ignore)
 		Expect(a.SendAll(peers, messenger.Sync{})).To(Succeed())
 		Eventually(received.Load, 5*time.Second).Should(BeEquivalentTo(2))
-		nobody := unusedAddress()
-		Expect(a.Send(nobody, messenger.Sync{})).To(Succeed())
-		err := a.SendAll([]string{nobody, peers[0]}, messenger.Sync{})
+		unused := unusedAddress()
+		Expect(a.Send(unused, messenger.Sync{})).To(Succeed())
+		err := a.SendAll([]string{unused, peers[0]}, messenger.Sync{})
 		Expect(err).To(MatchError(messenger.ErrFull))
-		Expect(err).To(MatchError(ContainSubstring(nobody)))
+		Expect(err).To(MatchError(ContainSubstring(unused)))
 		Eventually(received.Load, 5*time.Second).Should(BeEquivalentTo(3))
 	})
 
--- a/messenger/outbox.go
+++ b/messenger/outbox.go
@@ -42,7 +42,7 @@
 }
 
 // ack removes the messages that the peer has received. Messages that were never
-// sent stay, whatever the sequence.
+// sent stay queued, regardless of the sequence.
 func (o *outbox) ack(now time.Time, sequence uint64) {
 	n := 0
 	for n < len(o.items) && o.items[n].sent && o.items[n].sequence <= sequence {
@@ -60,16 +60,16 @@
 // restarted, messages that its previous incarnation may have received are
 // dropped, as the new one knows nothing of that state; their number is
 // returned.
-func (o *outbox) startConnection(now time.Time, w welcome) (lost int) {
+func (o *outbox) startConnection(now time.Time, w welcome) (dropped int) {
 	if o.peerIncarnation != 0 && o.peerIncarnation != w.Incarnation {
 		before := len(o.items)
 		o.items = slices.DeleteFunc(o.items, func(i queuedMessage) bool { return i.sent })
-		lost = before - len(o.items)
+		dropped = before - len(o.items)
 	} else {
 		o.ack(now, w.Received)
 	}
 	o.peerIncarnation, o.next = w.Incarnation, 0
-	return lost
+	return dropped
 }
 
 // expire drops messages older than hold and returns their number. It must only
--- a/messenger/peer.go
+++ b/messenger/peer.go
@@ -165,12 +165,12 @@
 	_ = conn.SetWriteDeadline(time.Now().Add(p.m.config.AckTimeout))
 	for {
 		p.mu.Lock()
-		i, again, ok := p.outbox.nextUnsent(time.Now())
+		i, resent, ok := p.outbox.nextUnsent(time.Now())
 		p.mu.Unlock()
 		if !ok {
 			return w.Flush()
 		}
-		if again {
+		if resent {
 			p.m.resent.Add(1)
 		}
 		n, err := writeFrame(w, messageFrame{Sequence: i.sequence, Generation: p.m.generation.Load(), Kind: i.kind, Body: i.body})
--- a/observer/directory_restored.go
+++ b/observer/directory_restored.go
@@ -4,7 +4,7 @@
 
 // staleHold is how long an entry that was restored by an older snapshot of the source is not
 // used if its worker was gone or leaving. By then every running worker has written its entry
-// again, and entries that nobody writes have expired.
+// again, and entries that no worker writes have expired.
 const staleHold = 6 * time.Second
 
 // removedRetention is how long a removed worker is remembered. It covers the age of the oldest
@@ -45,8 +45,8 @@
 	if r := d.entries[e.Name]; r != nil {
 		return r.Incarnation == e.Incarnation && !r.available()
 	}
-	_, gone := d.removedAt[e.Name]
-	return gone
+	_, removed := d.removedAt[e.Name]
+	return removed
 }
 
 // isStale reports whether e is the older entry that was restored and is not in use.
--- a/observer/directory_test.go
+++ b/observer/directory_test.go
@@ -42,27 +42,28 @@
 		d.Listed(start, []observer.Entry{entry("a", false), entry("b", false), entry("c", true)})
 		d.Failed()
 		Expect(d.Sweep(start.Add(time.Minute))).To(BeFalse())
-		back := start.Add(2 * time.Minute)
-		d.Listed(back, nil)
+		recovered := start.Add(2 * time.Minute)
+		d.Listed(recovered, nil)
 		Expect(names(&d)).To(Equal([]string{"a", "b"}))
-		d.Changed(back.Add(time.Second), entry("b", false))
-		Expect(d.Sweep(back.Add(1900 * time.Millisecond))).To(BeFalse())
+		d.Changed(recovered.Add(time.Second), entry("b", false))
+		Expect(d.Sweep(recovered.Add(1900 * time.Millisecond))).To(BeFalse())
 		Expect(names(&d)).To(Equal([]string{"a", "b"}))
-		Expect(d.Sweep(back.Add(2 * time.Second))).To(BeTrue())
+		Expect(d.Sweep(recovered.Add(2 * time.Second))).To(BeTrue())
 		Expect(names(&d)).To(Equal([]string{"b"}))
 	})
 
-	// Guards against requests to workers that reported their end in what the source has lost.
+	// Guards against requests to workers whose report that they are leaving was lost by the
+	// source.
 	It("does not restore leaving or removed workers by an older snapshot of the source", func() {
 		var d observer.Directory
 		d.Listed(start, []observer.Entry{entry("a", false), entry("b", true), entry("c", false), entry("d", false)})
 		d.Removed(start, "c")
-		back := start.Add(5 * time.Second)
-		d.Restored(back, []observer.Entry{entry("a", false), entry("b", false), entry("c", false)})
+		restored := start.Add(5 * time.Second)
+		d.Restored(restored, []observer.Entry{entry("a", false), entry("b", false), entry("c", false)})
 		Expect(names(&d)).To(Equal([]string{"a", "d"}))
-		d.Changed(back.Add(time.Second), entry("b", false)) // written by the worker after it was leaving
+		d.Changed(restored.Add(time.Second), entry("b", false)) // written by the worker after it was leaving
 		Expect(names(&d)).To(Equal([]string{"a", "b", "d"}))
-		d.Sweep(back.Add(2 * time.Second))
+		d.Sweep(restored.Add(2 * time.Second))
 		Expect(names(&d)).To(Equal([]string{"a", "b"}))
 	})
 
@@ -92,9 +93,9 @@
 	// Guards against requests to the address that a worker had before it restarted, which is in
 	// the snapshot.
 	It("keeps the last process of a worker until another one is written", func() {
-		at := func(address, born string) observer.Entry {
+		at := func(address, incarnation string) observer.Entry {
 			e := entry("a", false)
-			e.Address, e.Incarnation = address, born
+			e.Address, e.Incarnation = address, incarnation
 			return e
 		}
 		address := func(d *observer.Directory) string { return d.Available()[0].Address }
--- a/observer/observer_test.go
+++ b/observer/observer_test.go
@@ -113,7 +113,7 @@
 		Expect(o.States(at(1))).To(HaveLen(1))
 	})
 
-	// In whatever order the sources report, a worker that one of them reports as leaving, and
+	// In any order of the sources' reports, a worker that one of them reports as leaving, and
 	// none has revoked since, gets no work.
 	It("never gives work to a worker that a source reports as leaving", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
--- a/placer/chooser_test.go
+++ b/placer/chooser_test.go
@@ -70,11 +70,11 @@
 func (random) begun(time.Duration, *stream) {}
 func (random) ended(time.Duration, *stream) {}
 
-func viewWithout(what string) func([]string, *rand.Rand) chooser {
+func viewWithout(mechanism string) func([]string, *rand.Rand) chooser {
 	return func(names []string, _ *rand.Rand) chooser {
 		v := placer.New("a")
 		v.SetWorkers(start, engines(names...))
-		return viewChooser{view: v, without: what}
+		return viewChooser{view: v, without: mechanism}
 	}
 }
 
@@ -90,7 +90,7 @@
 
 // updateDelays are the delays of a host's reports: of the requests that it sends, and of all
 // other events.
-type updateDelays struct{ sent, others time.Duration }
+type updateDelays struct{ sent, rest time.Duration }
 
 func fleetOf(hosts int, delays updateDelays, worker func(string) placer.Worker) func([]string, *rand.Rand) chooser {
 	return func(names []string, r *rand.Rand) chooser {
@@ -117,11 +117,11 @@
 }
 
 // broadcast has all hosts but one apply a report at a later time.
-func (f *fleet) broadcast(at time.Duration, from int, do func(*placer.View, time.Time)) {
+func (f *fleet) broadcast(at time.Duration, from int, apply func(*placer.View, time.Time)) {
 	heap.Push(&f.updates, event{at: at, do: func(at time.Duration) {
 		for i, h := range f.hosts {
 			if i != from {
-				do(h.view, start.Add(at))
+				apply(h.view, start.Add(at))
 			}
 		}
 	}})
@@ -144,14 +144,14 @@
 	i := f.chosenBy[s.id]
 	took := now - f.sent[s.id]
 	f.hosts[i].view.BegunAfter(start.Add(now), s.id, took)
-	f.broadcast(now+f.delays.others, i, func(v *placer.View, at time.Time) { v.BegunAfter(at, s.id, took) })
+	f.broadcast(now+f.delays.rest, i, func(v *placer.View, at time.Time) { v.BegunAfter(at, s.id, took) })
 }
 
 func (f *fleet) ended(now time.Duration, s *stream) {
 	f.deliver(now)
 	i := f.chosenBy[s.id]
 	f.hosts[i].ended(now, s)
-	f.broadcast(now+f.delays.others, i, func(v *placer.View, at time.Time) { v.Ended(at, s.id, placer.Answered) })
+	f.broadcast(now+f.delays.rest, i, func(v *placer.View, at time.Time) { v.Ended(at, s.id, placer.Answered) })
 }
 
 func atRandom(names []string, r *rand.Rand) chooser { return random{names: names, r: r} }
--- a/placer/cost.go
+++ b/placer/cost.go
@@ -95,8 +95,8 @@
 	if !v.ignoreEvictions {
 		total += c.evictionCost(req)
 	}
-	if over := len(c.flights) + 1 - c.Slots; over > 0 {
-		total += slotCost * float64(over)
+	if excess := len(c.flights) + 1 - c.Slots; excess > 0 {
+		total += slotCost * float64(excess)
 	}
 	if room := memoryShare * float64(c.CacheTokens); float64(c.hold+req.Prompt+req.Output) > room {
 		total += fullCost
@@ -106,15 +106,15 @@
 
 // evictionCost returns the time, in milliseconds, to prefill again what the engine would evict
 // for the request, of parts that other requests use. Without it, engines with a full cache get
-// more requests while their queue is short for a moment, though others have room; what they
-// evict is prefilled again for the next requests, which lengthens the queues.
+// more requests while their queue is short for a moment, though others have room; the evicted
+// parts are prefilled again for the next requests, which lengthens the queues.
 func (c *candidate) evictionCost(req Request) float64 {
 	cached := req.Prompt - c.prefillTokens - c.fetchTokens
-	fresh := -cached
+	uncached := -cached
 	for _, p := range req.Parts {
-		fresh += p.Tokens
+		uncached += p.Tokens
 	}
-	evicted := c.cache.tokens + max(fresh, 0) - c.cacheRoom(c.hold+req.Prompt+req.Output)
+	evicted := c.cache.tokens + max(uncached, 0) - c.cacheRoom(c.hold+req.Prompt+req.Output)
 	return float64(c.cache.sharedTokens(evicted)) / chunkTokens * c.prefillTime(chunkTokens, chunkTokens)
 }
 
@@ -135,9 +135,9 @@
 	return cost
 }
 
-// delay returns how long a long prompt waits at its host until the worker has prefilled what it
-// was sent before, if prefilling both without a break would exceed the target for pauses of
-// streams at the worker. In between, the streams get their next tokens.
+// delay returns how long a long prompt waits at its host until the worker has prefilled the
+// prompts that it was sent before, if prefilling both without a break would exceed the target
+// for pauses of streams at the worker. In between, the streams get their next tokens.
 func (c *candidate) delay(req Request) time.Duration {
 	if c.ownTime < minLongPrefill || c.backlog == 0 || c.ownTime+c.backlog <= longPrefillShare*c.maxPrefillPause() || c.tightStreams == 0 {
 		return 0
--- a/placer/demand.go
+++ b/placer/demand.go
@@ -9,7 +9,7 @@
 // shorter.
 const recentTargetFor = 10 * time.Second
 
-// recentTargets is the targets of recent requests, by service.
+// recentTargets holds the targets of recent requests, by service.
 type recentTargets map[string][]recentTarget
 
 // recentTarget is a target with which requests of a rank and a route's tier arrived.
--- a/placer/engine_test.go
+++ b/placer/engine_test.go
@@ -28,7 +28,7 @@
 	id          uint64
 	at          time.Duration // when it was sent by its caller
 	prefillLeft int
-	tokens      int // made so far
+	tokens      int // generated so far
 	first       time.Duration
 	last        time.Duration // time of the last event
 	maxPause    time.Duration // longest pause so far
@@ -67,7 +67,7 @@
 		}
 		e.queue = e.queue[1:]
 		e.running = append(e.running, s)
-		e.keep(s.req.Parts)
+		e.cacheParts(s.req.Parts)
 	}
 	took = time.Duration(ms * float64(time.Millisecond))
 	at := now + took
@@ -78,7 +78,7 @@
 		}
 		return s.cut
 	})
-	kept := e.running[:0]
+	running := e.running[:0]
 	for _, s := range e.running {
 		if at > s.at+s.timeout {
 			s.cut = true
@@ -100,14 +100,14 @@
 			ended = append(ended, s)
 			continue
 		}
-		kept = append(kept, s)
+		running = append(running, s)
 	}
-	e.running = kept
+	e.running = running
 	return took, begun, ended
 }
 
-// keep marks parts as used, and evicts others if there is no room.
-func (e *engine) keep(parts []placer.Part) {
+// cacheParts marks parts as used, and evicts others if there is no room.
+func (e *engine) cacheParts(parts []placer.Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		p := parts[i]
 		e.order = append(slices.DeleteFunc(e.order, func(k uint64) bool { return k == p.Key }), p.Key)
@@ -120,12 +120,12 @@
 	for _, s := range e.running {
 		room -= s.req.Prompt + s.req.Output
 	}
-	kept := 0
+	cached := 0
 	for _, k := range e.order {
-		kept += e.sizes[k]
+		cached += e.sizes[k]
 	}
-	for len(e.order) > 0 && kept > max(room, e.cacheTokens/4) {
-		kept -= e.sizes[e.order[0]]
+	for len(e.order) > 0 && cached > max(room, e.cacheTokens/4) {
+		cached -= e.sizes[e.order[0]]
 		delete(e.parts, e.order[0])
 		e.order = e.order[1:]
 	}
@@ -158,7 +158,7 @@
 		if !from.parts[p.Key] {
 			return
 		}
-		e.keep([]placer.Part{p})
+		e.cacheParts([]placer.Part{p})
 	}
 }
 
--- a/placer/fetch_test.go
+++ b/placer/fetch_test.go
@@ -24,16 +24,16 @@
 var _ = Describe("A prompt whose parts another engine has cached", func() {
 	var v *placer.View
 	now := start.Add(time.Second)
-	// read places a prompt and has its first event occur.
-	read := func(workers []placer.Worker) placer.Choice {
+	// placeFirst places a prompt and has its first event occur.
+	placeFirst := func(workers []placer.Worker) placer.Choice {
 		v = placer.New("a")
 		v.SetWorkers(start, workers)
 		c, _ := v.Place(start, 1, plan(7))
 		v.Begun(start.Add(300*time.Millisecond), 1)
 		return c
 	}
-	// crowd places copies until one goes to another engine than the holder.
-	crowd := func(holder string) *placer.Choice {
+	// placeUntilOtherEngine places copies until one goes to another engine than the holder.
+	placeUntilOtherEngine := func(holder string) *placer.Choice {
 		for id := uint64(2); id < 60; id++ {
 			c, refusal := v.Place(now, id, plan(7))
 			Expect(refusal).To(BeNil())
@@ -45,8 +45,8 @@
 	}
 
 	It("is fetched if the queue at that engine is long", func() {
-		first := read(linkedEngines("e-1", "e-2"))
-		c := crowd(first.Worker.Name)
+		first := placeFirst(linkedEngines("e-1", "e-2"))
+		c := placeUntilOtherEngine(first.Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(Equal(first.Worker.Address))
 		Expect(c.Flight.Prefill).To(Equal(2900))
@@ -54,7 +54,7 @@
 	})
 
 	It("is prefilled again if engines can't fetch", func() {
-		c := crowd(read(engines("e-1", "e-2")).Worker.Name)
+		c := placeUntilOtherEngine(placeFirst(engines("e-1", "e-2")).Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(BeEmpty())
 		Expect(c.Flight.Prefill).To(Equal(9200))
@@ -64,7 +64,7 @@
 		v = placer.New("a")
 		v.SetWorkers(start, linkedEngines("e-1", "e-2"))
 		first, _ := v.Place(now, 1, plan(7))
-		c := crowd(first.Worker.Name)
+		c := placeUntilOtherEngine(first.Worker.Name)
 		Expect(c).NotTo(BeNil())
 		Expect(c.Source).To(BeEmpty())
 		Expect(c.Flight.Prefill).To(Equal(9200))
--- a/placer/fit_test.go
+++ b/placer/fit_test.go
@@ -11,7 +11,7 @@
 )
 
 // trueTime is the time of an engine to the first event of a request that it prefills alone: 85
-// ms per request, 93 tokens per millisecond, and more the longer the prompt.
+// ms per request, 93 tokens per millisecond, and more time per token the longer the prompt.
 func trueTime(prefill, tokens int) time.Duration {
 	pairs := float64(prefill) * (float64(tokens) - float64(prefill)/2)
 	ms := 85 + float64(prefill)/93 + pairs*0.45/1e6
@@ -24,7 +24,7 @@
 }
 
 // Guards against predictions that do not follow when an operator deploys engines twice as fast
-// as those before, with 85 ms to a first event whatever the prompt. A host that keeps its old
+// as those before, with 85 ms to a first event for every prompt. A host that keeps its old
 // estimate expects short prompts too early and long ones too late, refuses what would be served
 // in time, and sends what will not be. This happened with a single factor that was learned from
 // the host's own requests only.
--- a/placer/flight.go
+++ b/placer/flight.go
@@ -42,7 +42,7 @@
 // already known.
 func (v *View) addReceived(now time.Time, host string, f Flight) *flight {
 	v.lastReceived = now
-	if _, over := v.endedEarly[f.ID]; over {
+	if _, ended := v.endedEarly[f.ID]; ended {
 		// One host reports that a request was sent, another that it ended, and the second
 		// report arrived first. Adding the flight now would count it for good.
 		delete(v.endedEarly, f.ID)
@@ -72,9 +72,9 @@
 	}
 }
 
-// BegunAfter records that a flight's first event was seen so long after it was sent, by
-// whichever host. The measurements of all hosts are learned from: in a large fleet, a host that
-// decides sends few requests itself.
+// BegunAfter records that a flight's first event was seen so long after it was sent, by any
+// host. The measurements of all hosts are learned from: in a large fleet, a host that decides
+// sends few requests itself.
 func (v *View) BegunAfter(now time.Time, id uint64, took time.Duration) {
 	f := v.flights[id]
 	if f == nil || f.begun {
--- a/placer/flight_test.go
+++ b/placer/flight_test.go
@@ -25,8 +25,8 @@
 		Expect(v.WorkerStates(start)[0].Flights).To(BeZero())
 	})
 
-	// Guards against taking engines for slow because the first events of a lost host's requests
-	// are not reported.
+	// Guards against treating engines as slow because the first events of a lost host's
+	// requests are not reported.
 	It("does not make its engine look slower after its host is lost", func() {
 		v := placer.New("a")
 		v.SetWorkers(start, engines("e-1"))
--- a/placer/flood_test.go
+++ b/placer/flood_test.go
@@ -14,7 +14,7 @@
 // flood is floods of every kind at several times the usual rate, with a quiet second before and
 // after.
 var flood = load{
-	chats: 190, plans: 58, reviews: 110, engines: 9, rate: 93, slots: 48, memory: 444_000, hints: true, tiers: true, quiet: time.Second,
+	chats: 190, plans: 58, reviews: 110, engines: 9, rate: 93, slots: 48, memory: 444_000, hints: true, tiers: true, quietTime: time.Second,
 	planGap: 300 * time.Millisecond, chatGap: 200 * time.Millisecond,
 }
 
@@ -71,7 +71,7 @@
 	// flood.
 	It("serves the least urgent again two seconds after it, including the longest", func() {
 		l := flood
-		l.quiet = 3 * time.Second
+		l.quietTime = 3 * time.Second
 		var after, long tally
 		for seed := range uint64(6) {
 			o := simulate(l, 811+seed, 12*time.Second, memories)
--- a/placer/limiting.go
+++ b/placer/limiting.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// minLimit is the minimum rate, in requests per second, that a worker gets whatever limit
-	// it states. Only its answers show that it no longer states one.
+	// minLimit is the minimum rate, in requests per second, that a worker gets regardless of the
+	// limit that it states. Only its answers show that it no longer states one.
 	minLimit = 0.25
 	// limitBurst is the time for which a worker's rate may accumulate. The burst is one request
 	// at least.
@@ -70,17 +70,17 @@
 }
 
 // UpdateLimit records the limit that a worker stated in an answer; rate is 0 if it stated none.
-// Known is the limit known when the request was placed, here or by the host that decided: the
-// answer to a request that was sent before a limit was known does not end the limit.
-// UpdateLimit reports whether other hosts may not know the limit.
+// The argument known is the limit that this host, or the one that decided, knew when it placed
+// the request: the answer to a request that was sent before a limit was known does not end the
+// limit. UpdateLimit reports whether other hosts may not know the limit.
 func (v *View) UpdateLimit(now time.Time, worker string, rate, known float64) bool {
 	w := v.workers[worker]
 	if w == nil || rate <= 0 && known <= 0 {
 		return false
 	}
-	was := w.limit.rate
+	previous := w.limit.rate
 	w.limit.set(now, rate)
-	return w.limit.rate != was || w.limit.rate != known
+	return w.limit.rate != previous || w.limit.rate != known
 }
 
 // ReceiveLimit applies a limit that a worker stated to another host.
--- a/placer/limiting_test.go
+++ b/placer/limiting_test.go
@@ -12,8 +12,8 @@
 
 var _ = Describe("Workers that state how many requests per second they accept", func() {
 	const (
-		span  = 4 * time.Second
-		delay = 5 * time.Millisecond // until other hosts learn of a request
+		window = 4 * time.Second
+		delay  = 5 * time.Millisecond // until other hosts learn of a request
 	)
 	quote := placer.Request{Service: "app", Left: 2 * time.Second, Target: 300 * time.Millisecond, Tier: 1}
 	var (
@@ -28,11 +28,11 @@
 	answer := func(now time.Time, worker string, rate float64) bool {
 		return v.UpdateLimit(now.Add(time.Millisecond), worker, rate, v.RateLimit(worker))
 	}
-	// maxInSpan returns the maximum number of these times within any span.
-	maxInSpan := func(at []time.Time) int {
+	// maxInWindow returns the maximum number of these times within any window.
+	maxInWindow := func(at []time.Time) int {
 		n, from := 0, 0
 		for i := range at {
-			for at[i].Sub(at[from]) >= span {
+			for at[i].Sub(at[from]) >= window {
 				from++
 			}
 			n = max(n, i-from+1)
@@ -80,7 +80,7 @@
 				sent = append(sent, now)
 			}
 		}
-		Expect(maxInSpan(sent)).To(BeNumerically("<=", int(1.5*rate*span.Seconds()+5)))
+		Expect(maxInWindow(sent)).To(BeNumerically("<=", int(1.5*rate*window.Seconds()+5)))
 		Expect(len(sent)).To(BeNumerically(">=", int(0.8*rate*20)), "the limit is used")
 	},
 		Entry("one host", 2.0, 1), Entry("nine", 2.0, 9), Entry("sixteen", 1.0, 16), Entry("less than one per second", 0.3, 9), Entry("many per second", 40.0, 9),
--- a/placer/line.go
+++ b/placer/line.go
@@ -24,7 +24,7 @@
 	q.flights = slices.Insert(q.flights, at, f)
 }
 
-// advance removes what must have been prefilled by now.
+// advance removes the prompts that must have been prefilled by now.
 func (q *prefillQueue) advance(now time.Time) {
 	spent := inMilliseconds(now.Sub(q.since))
 	q.since = now
--- a/placer/line_test.go
+++ b/placer/line_test.go
@@ -44,9 +44,9 @@
 
 	It("has room when a refused request retries as asked", func() {
 		refusal := fill()
-		back := start.Add(refusal.RetryAfter)
-		_, again := v.Place(back, 100, less)
-		Expect(again).To(BeNil())
+		retryAt := start.Add(refusal.RetryAfter)
+		_, retryRefusal := v.Place(retryAt, 100, less)
+		Expect(retryRefusal).To(BeNil())
 	})
 
 	It("advances when a first event shows that a prompt was prefilled", func() {
--- a/placer/load_test.go
+++ b/placer/load_test.go
@@ -22,18 +22,18 @@
 // prefill, and chats beside them have a pause in each event.
 var _ = Describe("A heavy day", func() {
 	const day = 20 * time.Second
-	var on load
+	var current load
 	mean := func(of func([]string, *rand.Rand) chooser) (plans, chats float64) {
 		const seeds = 3
 		for seed := range uint64(seeds) {
-			p, c := simulate(on, 101+seed, day, of).share()
+			p, c := simulate(current, 101+seed, day, of).share()
 			plans, chats = plans+p/seeds, chats+c/seeds
 		}
 		return plans, chats
 	}
 
 	DescribeTable("is served better by each mechanism", func(l load) {
-		on = l
+		current = l
 		plans, chats := mean(viewWithout(""))
 		AddReportEntry("view", fmt.Sprintf("plans %.3f chats %.3f", plans, chats))
 		p, c := mean(viewWithout("pauses"))
@@ -99,7 +99,7 @@
 			o := simulate(flood, 201+seed, 2*time.Second, viewWithout(""))
 			AddReportEntry("two seconds", o.reviews.String())
 			Expect(o.reviews.refused).To(BeNumerically(">", 20))
-			Expect(o.reviews.back).To(BeNumerically(">", o.reviews.refused/2))
+			Expect(o.reviews.servedOnRetry).To(BeNumerically(">", o.reviews.refused/2))
 		}
 	})
 })
@@ -149,8 +149,8 @@
 			return all, read
 		}
 		with, read := served("counted", func(*placer.View) {})
-		without, more := served("not counted", (*placer.View).IgnoreEvictions)
-		Expect(read).To(BeNumerically("<", more))
+		without, readWithout := served("not counted", (*placer.View).IgnoreEvictions)
+		Expect(read).To(BeNumerically("<", readWithout))
 		Expect(with.inTime).To(BeNumerically(">", without.inTime))
 		Expect(with.refused).To(BeNumerically("<", without.refused))
 	})
--- a/placer/memory.go
+++ b/placer/memory.go
@@ -2,7 +2,7 @@
 
 import "container/list"
 
-// prefixCache holds the prompt parts that an engine is believed to keep, least recently used
+// prefixCache holds the prompt parts that an engine is assumed to cache, least recently used
 // first. The zero prefixCache is empty.
 type prefixCache struct {
 	order  list.List // of *cachedPart
@@ -10,7 +10,7 @@
 	tokens int
 }
 
-// cachedPart is one part that an engine keeps.
+// cachedPart is one part that an engine caches.
 type cachedPart struct {
 	key    uint64
 	tokens int
@@ -45,9 +45,9 @@
 	return n
 }
 
-// dropUnread removes the parts of a request that ended before its first event: whether they
+// dropUnconfirmed removes the parts of a request that ended before its first event: whether they
 // were prefilled is unknown.
-func (c *prefixCache) dropUnread(f *flight) {
+func (c *prefixCache) dropUnconfirmed(f *flight) {
 	for _, p := range f.Parts {
 		if e := c.byKey[p.Key]; e != nil && e.Value.(*cachedPart).owner == f {
 			c.remove(e)
--- a/placer/offer.go
+++ b/placer/offer.go
@@ -61,13 +61,13 @@
 }
 
 // note adds requests to the offered load.
-func (t tierLoads) note(now time.Time, more OfferedLoad) {
-	if more.Count <= 0 {
+func (t tierLoads) note(now time.Time, added OfferedLoad) {
+	if added.Count <= 0 {
 		return
 	}
-	x := t.tier(more.Service, more.Tier)
-	count := float64(more.Count)
-	output, prefill := float64(more.Output)/count, inMilliseconds(more.Prefill)/count
+	x := t.tier(added.Service, added.Tier)
+	count := float64(added.Count)
+	output, prefill := float64(added.Output)/count, inMilliseconds(added.Prefill)/count
 	if x.at.IsZero() {
 		x.output, x.prefill = output, prefill
 	}
@@ -125,7 +125,7 @@
 	return sum
 }
 
-// ReceiveOffered adds what other hosts refused to the offered load.
+// ReceiveOffered adds the requests that other hosts refused to the offered load.
 func (v *View) ReceiveOffered(now time.Time, list []OfferedLoad) {
 	for _, x := range list {
 		v.offered.note(now, x)
--- a/placer/option.go
+++ b/placer/option.go
@@ -15,8 +15,8 @@
 	crossZoneFactor = 2.0
 )
 
-// candidate is a worker that a request may go to, and what the request would mean for it. Times
-// are in milliseconds.
+// candidate is a worker that a request may go to, with the predicted effects of the request.
+// Times are in milliseconds.
 type candidate struct {
 	*worker
 	contention
@@ -36,8 +36,8 @@
 	limitWait     time.Duration // until the worker may get a request by its limit
 }
 
-// candidate returns what a request would mean for an engine. For a plain worker, setPlainTimes
-// completes it.
+// candidate predicts the effects of a request on an engine. For a plain worker, setPlainTimes
+// adds them.
 func (w *worker) candidate(now time.Time, req Request, holder *worker, heldTokens int) candidate {
 	c := candidate{worker: w, contention: w.contention(now, req), limitWait: w.limit.wait(now)}
 	if w.CacheTokens == 0 {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -58,7 +58,7 @@
 	lastReceived  time.Time                 // when another host last reported what it sent
 	deciders      int                       // number of hosts that decide by views of their own
 	self          int                       // index of this host among them
-	returns       map[serviceRank]time.Time // when the refused requests that were asked to retry will have been prefilled
+	nextRetries   map[serviceRank]time.Time // when the refused requests that were asked to retry will have been prefilled
 
 	ignoreEvictions bool // evictions cost nothing, so that specs can compare
 }
@@ -68,7 +68,7 @@
 func New(zone string) *View {
 	return &View{
 		zone: zone, workers: map[string]*worker{}, flights: map[uint64]*flight{}, endedEarly: map[uint64]time.Time{},
-		answerTimes: map[string]time.Duration{}, fits: map[string]*fit{}, returns: map[serviceRank]time.Time{}, recentTargets: recentTargets{}, offered: tierLoads{},
+		answerTimes: map[string]time.Duration{}, fits: map[string]*fit{}, nextRetries: map[serviceRank]time.Time{}, recentTargets: recentTargets{}, offered: tierLoads{},
 		quarantine: quarantiner.Tracker{RenamedOnRestart: true},
 	}
 }
@@ -76,7 +76,7 @@
 // SetWorkers replaces the workers that may get requests. The view keeps its data on those that
 // stay, except for those that restarted: their caches are empty. SetWorkers returns the workers
 // that were added and removed.
-func (v *View) SetWorkers(now time.Time, workers []Worker) (added, gone []Worker) {
+func (v *View) SetWorkers(now time.Time, workers []Worker) (added, removed []Worker) {
 	old := v.workers
 	v.workers = make(map[string]*worker, len(workers))
 	for _, w := range workers {
@@ -96,10 +96,10 @@
 	}
 	for name, x := range old {
 		if v.workers[name] == nil {
-			gone = append(gone, x.Worker)
+			removed = append(removed, x.Worker)
 		}
 	}
-	return added, gone
+	return added, removed
 }
 
 // fitOf returns the fit of a service's engines.
@@ -122,8 +122,8 @@
 
 // PlaceFor is like Place, for a request that another host sends.
 func (v *View) PlaceFor(now time.Time, host string, id uint64, req Request) (Choice, *Refusal) {
-	if left, quarantined := v.quarantine.Quarantined(now, req.Fingerprint); quarantined {
-		return Choice{}, newRefusal("quarantine", left)
+	if remaining, quarantined := v.quarantine.Quarantined(now, req.Fingerprint); quarantined {
+		return Choice{}, newRefusal("quarantine", remaining)
 	}
 	best, refusal := v.best(now, req)
 	v.offered.note(now, req.offeredLoad(best))
@@ -166,17 +166,17 @@
 	if refusal == nil {
 		return best, nil
 	}
-	least := v.recentTargets.leastUrgent(req)
-	other := cheapest(candidates, func(c *candidate) bool { return (c.tightStreams == 0 || !least) && v.refuse(c, req) == nil })
+	leastUrgent := v.recentTargets.leastUrgent(req)
+	other := cheapest(candidates, func(c *candidate) bool { return (c.tightStreams == 0 || !leastUrgent) && v.refuse(c, req) == nil })
 	if other == nil {
-		refusal.RetryAfter = v.scheduleReturn(now, req, candidates, refusal.RetryAfter)
+		refusal.RetryAfter = v.scheduleRetry(now, req, candidates, refusal.RetryAfter)
 		return best, refusal
 	}
 	return other, nil
 }
 
-// candidatesFor returns the workers of a request's service with what the request would mean for
-// each, and its cost.
+// candidatesFor returns the workers of a request's service with the predicted effects and the
+// cost of the request at each.
 func (v *View) candidatesFor(now time.Time, req Request) []candidate {
 	candidates := v.candidates[:0]
 	holder, heldTokens := v.holder(req)
@@ -200,11 +200,11 @@
 }
 
 // cheapest returns the candidate with the lowest cost among those that may get the request.
-func cheapest(candidates []candidate, may func(*candidate) bool) *candidate {
+func cheapest(candidates []candidate, accept func(*candidate) bool) *candidate {
 	var best *candidate
 	for i := range candidates {
 		c := &candidates[i]
-		if best != nil && (c.cost > best.cost || c.cost == best.cost && c.Name > best.Name) || !may(c) {
+		if best != nil && (c.cost > best.cost || c.cost == best.cost && c.Name > best.Name) || !accept(c) {
 			continue
 		}
 		best = c
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -52,9 +52,9 @@
 		v.SetWorkers(start, engines("e-1", "e-2", "e-3"))
 		first, _ := place(start, plan(7))
 		v.Begun(start.Add(300*time.Millisecond), first.Flight.ID)
-		again, _ := place(start.Add(400*time.Millisecond), plan(7))
-		Expect(again.Worker.Name).To(Equal(first.Worker.Name))
-		Expect(again.Flight.Prefill).To(Equal(2900))
+		second, _ := place(start.Add(400*time.Millisecond), plan(7))
+		Expect(second.Worker.Name).To(Equal(first.Worker.Name))
+		Expect(second.Flight.Prefill).To(Equal(2900))
 		Expect(first.Flight.Prefill).To(Equal(9200))
 		used := map[string]bool{}
 		for range 30 {
@@ -324,8 +324,8 @@
 		var busy string
 		c, _ := place(start.Add(400*time.Millisecond), plan(7))
 		busy = c.Worker.Name
-		quiet, _ := place(start.Add(500*time.Millisecond), chat)
-		Expect(quiet.Worker.Name).NotTo(Equal(busy))
+		other, _ := place(start.Add(500*time.Millisecond), chat)
+		Expect(other.Worker.Name).NotTo(Equal(busy))
 	})
 
 	// Guards against evictions from a full cache of parts that many prompts share. The next
@@ -333,7 +333,7 @@
 	// evicted parts again takes longer than that wait.
 	It("avoids the eviction of parts that others use, and of no others", func() {
 		workers := engines("e-1", "e-2")
-		fresh := placer.Request{
+		uncached := placer.Request{
 			Service: "lm", Prompt: 9000, Left: 8 * time.Second, Target: 1500 * time.Millisecond, Parts: []placer.Part{{Key: 99, Tokens: 9000}},
 		}
 		chosen := func(users int) string {
@@ -347,7 +347,7 @@
 			}
 			later := start.Add(10 * time.Second)
 			v.Receive(later, "other", placer.Flight{ID: 99, Worker: "e-2", Prefill: 2000, Hold: 2000, Left: 9 * time.Second})
-			c, refusal := place(later, fresh)
+			c, refusal := place(later, uncached)
 			Expect(refusal).To(BeNil())
 			return c.Worker.Name
 		}
@@ -360,7 +360,7 @@
 	It("refuses a stream that would not end before its caller leaves, if the caller states its length", func() {
 		v.SetWorkers(start, engines("e-1", "e-2"))
 		now := start
-		read := func(names ...string) {
+		prefill := func(names ...string) {
 			for id := range uint64(40) {
 				for _, name := range names {
 					f := placer.Flight{ID: 100 + 2*id + uint64(len(name)), Worker: name, Prefill: 5000, Hold: 5000, Left: 9 * time.Second}
@@ -372,26 +372,26 @@
 			}
 		}
 		long := placer.Request{Service: "lm", Prompt: 800, Output: 400, Expected: 400, Left: 8 * time.Second, Target: time.Second}
-		short, unsaid := long, long
-		short.Expected, unsaid.Expected = 40, 0
-		read("e-1")
+		short, unstated := long, long
+		short.Expected, unstated.Expected = 40, 0
+		prefill("e-1")
 		c, refusal := place(now, long)
 		Expect(refusal).To(BeNil())
 		Expect(c.Worker.Name).To(Equal("e-2"), "which has nothing to prefill")
-		read("e-1", "e-2")
+		prefill("e-1", "e-2")
 		_, refusal = place(now, long)
 		Expect(refusal).NotTo(BeNil())
 		Expect(refusal.Reason).To(Equal("length"))
 		Expect(refusal.RetryAfter).To(BeNumerically("<=", long.Left/3))
 		urgent, less := long, long
 		less.Expected, less.Tier = 0, 1
-		for _, a := range []placer.Request{short, unsaid, less, urgent} { // accepted once a less urgent one arrived
+		for _, a := range []placer.Request{short, unstated, less, urgent} { // accepted once a less urgent one arrived
 			c, refusal = place(now, a)
 			Expect(refusal).To(BeNil())
 			v.Ended(now, c.Flight.ID, placer.Canceled)
 		}
 		now = now.Add(11 * time.Second) // the last less urgent one was long ago
-		read("e-1", "e-2")
+		prefill("e-1", "e-2")
 		_, refusal = place(now, long)
 		Expect(refusal).NotTo(BeNil())
 		// Streams last a third of the prediction, as the prefill of the past is not repeated.
@@ -402,7 +402,7 @@
 			Expect(refusal).To(BeNil())
 			v.BegunAfter(now, c.Flight.ID, 120*time.Millisecond)
 			v.Ended(now.Add(250*time.Millisecond), c.Flight.ID, placer.Answered)
-			read("e-1", "e-2")
+			prefill("e-1", "e-2")
 		}
 		longer := long
 		longer.Output, longer.Expected = 1500, 1500
--- a/placer/plain.go
+++ b/placer/plain.go
@@ -22,8 +22,8 @@
 // rounds returns the time until a plain worker answers a request that is sent now, in
 // multiples of one answer's time: its own, and a fraction for each request that waits.
 func (w *worker) rounds() float64 {
-	over := len(w.flights) + 1 - w.Slots
-	return 1 + float64(max(over, 0))/float64(max(w.Slots, 1))
+	excess := len(w.flights) + 1 - w.Slots
+	return 1 + float64(max(excess, 0))/float64(max(w.Slots, 1))
 }
 
 // setPlainTimes sets the times of a request at a plain worker.
--- a/placer/plain_test.go
+++ b/placer/plain_test.go
@@ -38,23 +38,23 @@
 	waiting []*plainRequest
 }
 
-// plainOutcome is what callers of a plain service got.
+// plainOutcome counts the results for callers of a plain service.
 type plainOutcome struct {
 	asked, inTime, refused int
 	served                 int
 	servedOnRetry          int           // of those refused, the ones served on their retry
-	predicted, seen        time.Duration // sums over served requests
+	predicted, measured    time.Duration // sums over served requests
 }
 
 // waits returns the mean time to an answer, as predicted and as measured.
-func (c plainOutcome) waits() (predicted, seen time.Duration) {
-	return c.predicted / time.Duration(c.served), c.seen / time.Duration(c.served)
+func (c plainOutcome) waits() (predicted, measured time.Duration) {
+	return c.predicted / time.Duration(c.served), c.measured / time.Duration(c.served)
 }
 
 func (c plainOutcome) String() string {
-	predicted, seen := c.waits()
+	predicted, measured := c.waits()
 	return fmt.Sprintf("%d asked, %d served, %d in time, %d refusals, %d served after one; %s expected, %s seen",
-		c.asked, c.served, c.inTime, c.refused, c.servedOnRetry, predicted, seen)
+		c.asked, c.served, c.inTime, c.refused, c.servedOnRetry, predicted, measured)
 }
 
 // run simulates the service before eight hosts, each with a view of its own.
@@ -75,11 +75,11 @@
 	}
 	var queue eventQueue
 	do := func(at time.Duration, f func(time.Duration)) { heap.Push(&queue, event{at, f}) }
-	broadcast := func(at time.Duration, from int, say func(*placer.View, time.Time)) {
+	broadcast := func(at time.Duration, from int, apply func(*placer.View, time.Time)) {
 		do(at, func(now time.Duration) {
 			for i, v := range views {
 				if i != from {
-					say(v, start.Add(now))
+					apply(v, start.Add(now))
 				}
 			}
 		})
@@ -90,7 +90,7 @@
 		return func(now time.Duration) {
 			took := now - j.at
 			out.served++
-			out.seen, out.predicted = out.seen+took, out.predicted+j.predicted
+			out.measured, out.predicted = out.measured+took, out.predicted+j.predicted
 			if now-j.asked <= req.Target {
 				out.inTime++
 			}
@@ -102,7 +102,7 @@
 				v.Ended(at, j.id, placer.Answered)
 			}
 			report(views[j.host], start.Add(now))
-			broadcast(now+c.delays.others, j.host, report)
+			broadcast(now+c.delays.rest, j.host, report)
 			j.worker.running--
 			if w := j.worker.waiting; len(w) > 0 {
 				j.worker.waiting = w[1:]
@@ -154,18 +154,18 @@
 // were refused for a wait of over a second, while those served waited for a quarter of one.
 var _ = Describe("A plain service near its capacity", func() {
 	const (
-		most   = 400.0 // requests per second: 24 slots of 60 ms
-		length = 15 * time.Second
+		capacity = 400.0 // requests per second: 24 slots of 60 ms
+		length   = 15 * time.Second
 	)
-	busy := plainSimulation{workers: 4, slots: 6, work: 60 * time.Millisecond, rate: 0.97 * most, delays: updateDelays{3 * time.Millisecond, 50 * time.Millisecond}}
+	busy := plainSimulation{workers: 4, slots: 6, work: 60 * time.Millisecond, rate: 0.97 * capacity, delays: updateDelays{3 * time.Millisecond, 50 * time.Millisecond}}
 	hold := placer.Request{Service: "app", Left: time.Second, Target: 300 * time.Millisecond}
 
 	It("has accurate predictions, and serves nearly all callers", func() {
 		for seed := range uint64(3) {
 			o := busy.run(401+seed, length, hold)
 			AddReportEntry("near its limit", o.String())
-			predicted, seen := o.waits()
-			Expect(predicted).To(BeNumerically("~", seen, seen/3))
+			predicted, measured := o.waits()
+			Expect(predicted).To(BeNumerically("~", measured, measured/3))
 			Expect(o.served).To(BeNumerically(">", o.asked*99/100))
 			Expect(o.inTime).To(BeNumerically(">", o.asked*95/100))
 		}
@@ -173,11 +173,11 @@
 
 	It("stays at its capacity when twice as much arrives, with answers in time unless refused once", func() {
 		flood := busy
-		flood.rate = 2 * most
+		flood.rate = 2 * capacity
 		for seed := range uint64(3) {
 			o := flood.run(401+seed, length, hold)
 			AddReportEntry("twice its limit", o.String())
-			Expect(o.served).To(BeNumerically(">", most*length.Seconds()*95/100))
+			Expect(o.served).To(BeNumerically(">", capacity*length.Seconds()*95/100))
 			Expect(o.inTime).To(BeNumerically(">", (o.served-o.servedOnRetry)*95/100))
 		}
 	})
@@ -194,22 +194,22 @@
 			tight.Target, loose.Target, loose.Rank = 150*time.Millisecond, 600*time.Millisecond, rank
 			served := map[time.Duration]int{}
 			now, id, r := start, uint64(0), rand.New(rand.NewPCG(501, 2))
-			var under []placer.Flight
+			var underWay []placer.Flight
 			for round := range 200 {
 				callers := []placer.Request{loose, tight}
 				r.Shuffle(len(callers), func(i, j int) { callers[i], callers[j] = callers[j], callers[i] })
 				for _, a := range callers {
 					id++
 					if c, refusal := v.Place(now, id, a); refusal == nil {
-						under = append(under, c.Flight)
+						underWay = append(underWay, c.Flight)
 						served[a.Target]++
 					}
 				}
 				now = now.Add(20 * time.Millisecond)
-				if round%2 == 1 && len(under) > 0 { // two slots of 40 ms each answer one of two requests
-					v.BegunAfter(now, under[0].ID, 40*time.Millisecond*time.Duration(1+max(len(under)-2, 0)/2))
-					v.Ended(now, under[0].ID, placer.Answered)
-					under = under[1:]
+				if round%2 == 1 && len(underWay) > 0 { // two slots of 40 ms each answer one of two requests
+					v.BegunAfter(now, underWay[0].ID, 40*time.Millisecond*time.Duration(1+max(len(underWay)-2, 0)/2))
+					v.Ended(now, underWay[0].ID, placer.Answered)
+					underWay = underWay[1:]
 				}
 			}
 			Expect(served[tight.Target]).To(BeNumerically(">=", served[loose.Target]*3/4), fmt.Sprint("loose ones of rank ", rank))
--- a/placer/play_test.go
+++ b/placer/play_test.go
@@ -44,14 +44,14 @@
 	hints            bool          // callers state how long an answer they expect
 	tiers            bool          // chats, plans and reviews are of routes of tiers 0, 1 and 2
 	organisations    int           // number of organisations, whose tier outranks the route's; 0 is one
-	quiet            time.Duration // for so long at the start and at the end, the rates are a tenth
+	quietTime        time.Duration // for so long at the start and at the end, the rates are a tenth
 }
 
-// tally is what callers of one class got.
+// tally counts the results for callers of one class.
 type tally struct {
 	asked, inTime, late int
 	refused             int // at least once
-	back                int // of these, the ones served on their retry
+	servedOnRetry       int // of these, the ones served on their retry
 }
 
 func (t *tally) count(s *stream, ok, late bool) {
@@ -66,23 +66,23 @@
 		t.refused++
 	}
 	if s.refused > 0 && (ok || late) {
-		t.back++
+		t.servedOnRetry++
 	}
 }
 
 // plus returns the sum of two tallies.
 func (t tally) plus(o tally) tally {
-	return tally{t.asked + o.asked, t.inTime + o.inTime, t.late + o.late, t.refused + o.refused, t.back + o.back}
+	return tally{t.asked + o.asked, t.inTime + o.inTime, t.late + o.late, t.refused + o.refused, t.servedOnRetry + o.servedOnRetry}
 }
 
 // share returns the share of requests that were served in time.
 func (t tally) share() float64 { return float64(t.inTime) / float64(t.asked) }
 
 func (t tally) String() string {
-	return fmt.Sprintf("%d asked, %d in time, %d late, %d refused, %d of these served", t.asked, t.inTime, t.late, t.refused, t.back)
+	return fmt.Sprintf("%d asked, %d in time, %d late, %d refused, %d of these served", t.asked, t.inTime, t.late, t.refused, t.servedOnRetry)
 }
 
-// outcome is what callers got.
+// outcome is the results for callers of all classes.
 type outcome struct {
 	plans, chats, reviews tally
 	refused               int
@@ -140,7 +140,9 @@
 	return d.outcome()
 }
 
-func (d *simulation) do(at time.Duration, f func(time.Duration)) { heap.Push(&d.queue, event{at, f}) }
+func (d *simulation) schedule(at time.Duration, f func(time.Duration)) {
+	heap.Push(&d.queue, event{at, f})
+}
 
 // run has an engine take step after step until it has nothing to do.
 func (d *simulation) run(now time.Duration, e *engine) {
@@ -149,7 +151,7 @@
 		return
 	}
 	took, begun, ended := e.step(now)
-	d.do(now+took, func(at time.Duration) {
+	d.schedule(now+took, func(at time.Duration) {
 		for _, s := range begun {
 			d.chooser.begun(at, s)
 		}
@@ -190,7 +192,7 @@
 	}
 	next := func(at time.Duration) time.Duration {
 		now := rate
-		if at < d.load.quiet || length-at < d.load.quiet {
+		if at < d.load.quietTime || length-at < d.load.quietTime {
 			now = rate / 10
 		}
 		return time.Duration(d.r.ExpFloat64() / now * float64(time.Second))
@@ -199,7 +201,7 @@
 		s := &stream{req: newRequest(), id: uint64(len(d.streams) + 1), at: at}
 		s.isReview, s.timeout = s.req.Target > time.Second, s.req.Left
 		d.streams = append(d.streams, s)
-		d.do(at, func(now time.Duration) { d.try(now, s) })
+		d.schedule(at, func(now time.Duration) { d.try(now, s) })
 	}
 }
 
@@ -211,17 +213,17 @@
 		s.refused++
 		if s.refused == 1 && choice.retryAfter <= s.req.Left/3 {
 			s.id += 1 << 32
-			d.do(now+choice.retryAfter, func(now time.Duration) { d.try(now, s) })
+			d.schedule(now+choice.retryAfter, func(now time.Duration) { d.try(now, s) })
 		}
 		return
 	}
 	e, from := d.engines[choice.worker], d.engines[choice.source]
-	d.do(now+choice.delay, func(now time.Duration) {
+	d.schedule(now+choice.delay, func(now time.Duration) {
 		if from == nil || from == e {
 			d.arriveAt(now, s, e)
 			return
 		}
-		d.do(now+fetchTime, func(now time.Duration) {
+		d.schedule(now+fetchTime, func(now time.Duration) {
 			e.fetch(from, s)
 			d.arriveAt(now, s, e)
 		})
@@ -261,7 +263,7 @@
 	}
 }
 
-// outcome returns what callers of each class got.
+// outcome returns the results for callers of each class.
 func (d *simulation) outcome() outcome {
 	o := outcome{prefilled: d.prefilled}
 	for _, e := range d.engines {
@@ -314,6 +316,6 @@
 }
 
 // logNormal returns a log-normal size with a mean, limited to most.
-func logNormal(r *rand.Rand, mean, spread, most float64) int {
-	return int(math.Max(1, math.Min(mean*math.Exp(spread*r.NormFloat64()-spread*spread/2), most)))
+func logNormal(r *rand.Rand, mean, spread, limit float64) int {
+	return int(math.Max(1, math.Min(mean*math.Exp(spread*r.NormFloat64()-spread*spread/2), limit)))
 }
--- a/placer/protecting.go
+++ b/placer/protecting.go
@@ -15,8 +15,8 @@
 	pooledDeviations = 3.0
 )
 
-// reservation is the slots of a service's engines that routes more urgent than a request's will
-// want.
+// reservation is the demand of routes more urgent than a request's for slots of its service's
+// engines.
 type reservation struct {
 	rate     float64 // requests per second of those routes
 	holdTime float64 // milliseconds for which one of them takes a slot
--- a/placer/refusing.go
+++ b/placer/refusing.go
@@ -21,8 +21,8 @@
 // all that follow it late as well: if it returns after as long as that, it finds the queue
 // short again and is served no later than otherwise. Short prompts are not worth a refusal.
 // That bound only applies to the queue, so that long prompts are not refused for their own
-// prefill; and only to flights that are at least as urgent, as refusing a request for a less
-// urgent one under way helps nobody.
+// prefill; and only to flights that are at least as urgent, as refusing a request because of a
+// less urgent one under way has no benefit.
 func (v *View) refuse(c *candidate, req Request) *Refusal {
 	wait := milliseconds(c.wait)
 	bound := req.Left
--- a/placer/returning.go
+++ b/placer/returning.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// returnWeight is how many times the prefill time of a refused request must pass before the
+	// retryWeight is how many times the prefill time of a refused request must pass before the
 	// next one is asked to retry: new requests arrive as well.
-	returnWeight = 2.0
-	// maxAwayShare is the maximum part of its remaining time for which a caller waits to retry.
-	maxAwayShare = 1.0 / 3
+	retryWeight = 2.0
+	// maxRetryShare is the maximum part of its remaining time for which a caller waits to retry.
+	maxRetryShare = 1.0 / 3
 )
 
 // serviceRank identifies the requests of a service with the same rank.
@@ -16,24 +16,24 @@
 	rank    int
 }
 
-// scheduleReturn returns the retry time of a refused request: when there is room, and the
+// scheduleRetry returns the retry time of a refused request: when there is room, and the
 // requests of its rank refused before it have been prefilled. Without it, requests that are
 // refused together return together, and all but the first are refused again. Less urgent
 // requests do not delay more urgent ones.
-func (v *View) scheduleReturn(now time.Time, req Request, candidates []candidate, after time.Duration) time.Duration {
+func (v *View) scheduleRetry(now time.Time, req Request, candidates []candidate, after time.Duration) time.Duration {
 	prefill := 0.0
 	for _, c := range candidates {
 		prefill += c.ownTime / float64(len(candidates)*len(candidates))
 	}
 	at := now.Add(after)
 	key := serviceRank{service: req.Service, rank: req.Rank}
-	if b := v.returns[key]; b.After(at) {
+	if b := v.nextRetries[key]; b.After(at) {
 		at = b
 	}
-	latest := now.Add(time.Duration(maxAwayShare * float64(req.Left)))
+	latest := now.Add(time.Duration(maxRetryShare * float64(req.Left)))
 	if at.After(latest) {
 		at = latest
 	}
-	v.returns[key] = at.Add(milliseconds(returnWeight * prefill))
+	v.nextRetries[key] = at.Add(milliseconds(retryWeight * prefill))
 	return at.Sub(now)
 }
--- a/placer/running.go
+++ b/placer/running.go
@@ -10,12 +10,12 @@
 	Begun bool   // its first event was seen
 }
 
-// RunningFlights returns the flights of this host, and with others set also those of other
-// hosts. Parts of prompts are left out, as they are most of the data.
-func (v *View) RunningFlights(now time.Time, others bool) []RunningFlight {
+// RunningFlights returns the flights of this host or, if allHosts is set, of all hosts. Parts
+// of prompts are left out, as they are most of the data.
+func (v *View) RunningFlights(now time.Time, allHosts bool) []RunningFlight {
 	var out []RunningFlight
 	for _, x := range v.flights {
-		if x.host != "" && !others {
+		if x.host != "" && !allHosts {
 			continue
 		}
 		f := x.Flight
@@ -26,7 +26,7 @@
 }
 
 // ReceiveRunning adds a flight that another host had under way. Without it, a host that starts
-// takes the engines for empty and sends more than their slots hold, so that streams are
+// treats the engines as empty and sends more than their slots hold, so that streams are
 // preempted. Neither its time nor its demand is learned from, as it was not requested now.
 func (v *View) ReceiveRunning(now time.Time, host string, r RunningFlight) {
 	f := r.Flight
--- a/placer/running_test.go
+++ b/placer/running_test.go
@@ -12,13 +12,13 @@
 var _ = Describe("Requests under way", func() {
 	chat := placer.Request{Service: "lm", Prompt: 800, Output: 300, Left: 10 * time.Second, FirstEventTimeout: 2 * time.Second, Target: 300 * time.Millisecond}
 
-	// Guards against a host that starts, takes all engines for empty and sends more than their
+	// Guards against a host that starts, treats all engines as empty and sends more than their
 	// slots hold.
 	It("are known to a host that starts, and do not count as offered load", func() {
 		workers := engines("e-1", "e-2")
-		old, fresh := placer.New("a"), placer.New("a")
+		old, started := placer.New("a"), placer.New("a")
 		old.SetWorkers(start, workers)
-		fresh.SetWorkers(start, workers)
+		started.SetWorkers(start, workers)
 		for id := range uint64(12) {
 			old.Place(start, id, chat)
 			if id < 10 {
@@ -27,17 +27,17 @@
 		}
 		later := start.Add(time.Second)
 		for _, r := range old.RunningFlights(later, false) {
-			fresh.ReceiveRunning(later, "old", r)
+			started.ReceiveRunning(later, "old", r)
 		}
-		Expect(fresh.WorkerStates(later)[0].Flights + fresh.WorkerStates(later)[1].Flights).To(Equal(12))
+		Expect(started.WorkerStates(later)[0].Flights + started.WorkerStates(later)[1].Flights).To(Equal(12))
 		long := plan(7)
 		long.Tier, long.Rank, long.Target = 1, 1, time.Millisecond
-		c, refusal := fresh.Place(later, 99, long)
+		c, refusal := started.Place(later, 99, long)
 		Expect(refusal).NotTo(BeNil())
 		Expect(c.Basis.Offered).To(BeZero())
 		for id := range uint64(12) {
-			fresh.Ended(later, id, placer.Answered)
+			started.Ended(later, id, placer.Answered)
 		}
-		Expect(fresh.WorkerStates(later)[0].Flights + fresh.WorkerStates(later)[1].Flights).To(BeZero())
+		Expect(started.WorkerStates(later)[0].Flights + started.WorkerStates(later)[1].Flights).To(BeZero())
 	})
 })
--- a/placer/suspecting_test.go
+++ b/placer/suspecting_test.go
@@ -72,19 +72,19 @@
 	It("is none if its worker stays alive or answers it", func() {
 		for range 9 {
 			c := send(bad)
-			var others []string
+			var otherWorkers []string
 			for _, w := range []string{"e-1", "e-2", "e-3", "e-4", "e-5", "e-6"} {
 				if w != c.Worker.Name {
-					others = append(others, w)
+					otherWorkers = append(otherWorkers, w)
 				}
 			}
 			nextID++
-			beside, refused := v.Place(advance(), nextID, placer.Request{Service: "lm", Prompt: 500, Left: 5 * time.Second, Exclude: others})
+			other, refused := v.Place(advance(), nextID, placer.Request{Service: "lm", Prompt: 500, Left: 5 * time.Second, Exclude: otherWorkers})
 			Expect(refused).To(BeNil())
 			v.Ended(advance(), c.Flight.ID, placer.Disconnected)
 			advance()
-			v.Begun(advance(), beside.Flight.ID)
-			v.Ended(now, beside.Flight.ID, placer.Canceled)
+			v.Begun(advance(), other.Flight.ID)
+			v.Ended(now, other.Flight.ID, placer.Canceled)
 		}
 		for range 9 {
 			v.Ended(advance(), send(bad).Flight.ID, placer.Disconnected)
--- a/placer/worker.go
+++ b/placer/worker.go
@@ -100,7 +100,7 @@
 	w.hold -= f.Hold
 	if !f.begun {
 		w.awaitingFirst--
-		w.cache.dropUnread(f)
+		w.cache.dropUnconfirmed(f)
 	}
 	w.queue.remove(now, f)
 	if w.awaitingFirst == 0 {
@@ -161,9 +161,9 @@
 	if w.penalty == 0 {
 		return 0
 	}
-	left := w.penalty * math.Exp(-now.Sub(w.penaltyAt).Seconds()/penaltyDecay.Seconds())
-	if left < 1 {
+	remaining := w.penalty * math.Exp(-now.Sub(w.penaltyAt).Seconds()/penaltyDecay.Seconds())
+	if remaining < 1 {
 		return 0
 	}
-	return left
+	return remaining
 }
--- a/quarantiner/quarantiner.go
+++ b/quarantiner/quarantiner.go
@@ -2,11 +2,12 @@
 // them: repeated by callers or by the system's own retries, a single such request can take down
 // a whole fleet of workers.
 //
-// A Tracker holds what one host knows. When a worker crashes, each request that it had gets a
-// mark. What tells the cause from the other requests is that it crashes workers again. So marks
-// only count in sequence, each for a copy that was sent after the previous crash. An answer to
-// the request clears its marks; an answer of the worker shows that only a connection broke; and
-// a crash that a quarantined request explains is no mark against other requests.
+// A Tracker holds one host's records of such requests. When a worker crashes, each request that
+// it had gets a mark. The cause differs from the other requests in that it crashes workers
+// again. So marks only count in sequence, each for a copy that was sent after the previous
+// crash. An answer to the request clears its marks; an answer of the worker shows that only a
+// connection broke; and a crash that a quarantined request explains is no mark against other
+// requests.
 //
 // The package does no I/O and takes the time as an argument. A Tracker is not safe for
 // concurrent use.
@@ -56,14 +57,14 @@
 
 // record is the state of one request.
 type record struct {
-	marks    []mark
-	needed   int           // marks that put it in quarantine
-	until    time.Time     // end of the quarantine; zero if there was none
-	duration time.Duration // of the current or last quarantine
-	released bool          // released since the last quarantine
+	marks     []mark
+	threshold int           // marks that put it in quarantine
+	endsAt    time.Time     // end of the quarantine; zero if there was none
+	duration  time.Duration // of the current or last quarantine
+	released  bool          // released since the last quarantine
 }
 
-func (r *record) quarantined(now time.Time) bool { return now.Before(r.until) }
+func (r *record) quarantined(now time.Time) bool { return now.Before(r.endsAt) }
 
 // explains reports whether the record has the crash that a mark stands for. A worker may
 // restart under its name and crash again, so only marks close in time are the same crash.
@@ -85,15 +86,15 @@
 // idleSince returns the time of the latest mark or the end of the quarantine, whichever is
 // later.
 func (r *record) idleSince() time.Time {
-	if last := r.lastMark(); last.After(r.until) {
+	if last := r.lastMark(); last.After(r.endsAt) {
 		return last
 	}
-	return r.until
+	return r.endsAt
 }
 
 // quarantine puts the request in quarantine for d.
 func (r *record) quarantine(now time.Time, d time.Duration) {
-	r.until, r.released = now.Add(d), false
+	r.endsAt, r.released = now.Add(d), false
 }
 
 // empty reports whether the record holds neither marks nor a quarantine.
@@ -107,7 +108,7 @@
 	Workers     []string      // the first ones that it crashed
 }
 
-// Tracker holds what one host knows of requests that crashed workers. The zero Tracker is empty
+// Tracker holds one host's records of requests that crashed workers. The zero Tracker is empty
 // and ready to use.
 type Tracker struct {
 	// MinRestartTime is the time after an apparent crash within which an answer of the worker
@@ -146,7 +147,7 @@
 	}
 	r.marks = append(r.marks, mark{worker, now})
 	t.lastMark = now
-	if len(r.marks) < r.needed {
+	if len(r.marks) < r.threshold {
 		return
 	}
 	r.duration = min(max(2*r.duration, firstDuration), maxDuration)
@@ -226,7 +227,7 @@
 	if len(t.records) >= maxRecords {
 		t.shrink()
 	}
-	r := &record{needed: maxMarks}
+	r := &record{threshold: maxMarks}
 	t.records[f] = r
 	return r
 }
@@ -235,7 +236,7 @@
 // others.
 func (t *Tracker) shrink() {
 	all := slices.SortedFunc(maps.Keys(t.records), func(x, y Fingerprint) int {
-		return cmp.Or(t.records[x].until.Compare(t.records[y].until), t.records[x].lastMark().Compare(t.records[y].lastMark()))
+		return cmp.Or(t.records[x].endsAt.Compare(t.records[y].endsAt), t.records[x].lastMark().Compare(t.records[y].lastMark()))
 	})
 	for _, f := range all[:len(all)/4] {
 		delete(t.records, f)
@@ -260,8 +261,8 @@
 			return m.worker == worker && at.Sub(m.at) > UsualUpdateDelay && now.Sub(m.at) < minRestart
 		})
 		removed = removed || len(r.marks) < before
-		if len(r.marks) < r.needed && r.quarantined(now) {
-			r.until, r.duration = time.Time{}, 0
+		if len(r.marks) < r.threshold && r.quarantined(now) {
+			r.endsAt, r.duration = time.Time{}, 0
 		}
 		if r.empty() {
 			delete(t.records, f)
@@ -279,7 +280,7 @@
 	if r == nil || !r.quarantined(now) {
 		return 0, false
 	}
-	return r.until.Sub(now), true
+	return r.endsAt.Sub(now), true
 }
 
 // List returns the quarantined requests, ordered by fingerprint.
@@ -295,7 +296,7 @@
 }
 
 func (r *record) entry(now time.Time, f Fingerprint) Entry {
-	return Entry{Fingerprint: f, Remaining: r.until.Sub(now), Duration: r.duration, Workers: r.workers()}
+	return Entry{Fingerprint: f, Remaining: r.endsAt.Sub(now), Duration: r.duration, Workers: r.workers()}
 }
 
 func (r *record) workers() []string {
@@ -337,7 +338,7 @@
 		case r.quarantined(now):
 		case r.duration > 0 && !r.released:
 			t.newlyReleased = append(t.newlyReleased, f)
-			r.marks, r.needed, r.released = nil, 1, true
+			r.marks, r.threshold, r.released = nil, 1, true
 		case now.Sub(r.idleSince()) > max(forgetAfter, r.duration):
 			delete(t.records, f)
 		}
--- a/quarantiner/quarantiner_test.go
+++ b/quarantiner/quarantiner_test.go
@@ -39,12 +39,12 @@
 			Expect(quarantined(bad)).To(BeFalse())
 			crash(fmt.Sprint("w-", i), bad)
 		}
-		left, ok := tracker.Quarantined(now, bad)
+		remaining, ok := tracker.Quarantined(now, bad)
 		Expect(ok).To(BeTrue())
-		Expect(left).To(Equal(10 * time.Minute))
+		Expect(remaining).To(Equal(10 * time.Minute))
 		Expect(tracker.DrainQuarantined()).To(Equal(tracker.List(now)))
 		Expect(tracker.DrainQuarantined()).To(BeEmpty())
-		Expect(tracker.List(now)).To(Equal([]quarantiner.Entry{{Fingerprint: bad, Remaining: left, Duration: left, Workers: []string{"w-0", "w-1", "w-2"}}}))
+		Expect(tracker.List(now)).To(Equal([]quarantiner.Entry{{Fingerprint: bad, Remaining: remaining, Duration: remaining, Workers: []string{"w-0", "w-1", "w-2"}}}))
 	})
 
 	// Guards against quarantining requests that were under way when all workers lost power.
@@ -67,7 +67,7 @@
 		Expect(tracker.Suspected(bad)).To(BeTrue())
 	})
 
-	// Guards against taking reset connections for crashes.
+	// Guards against treating reset connections as crashes.
 	It("removes the mark if the worker is still alive", func() {
 		crash("w-0", bad)
 		crash("w-1", bad)
@@ -80,7 +80,7 @@
 		Expect(quarantined(bad)).To(BeFalse(), "also for a quarantined request")
 	})
 
-	// Guards against taking an answer that was on its way for one of the restarted process.
+	// Guards against treating an answer that was on its way as one of the restarted process.
 	It("only accepts signs of life from after the crash, and soon after it", func() {
 		for i := range 3 {
 			crash(fmt.Sprint("w-", i), bad)
@@ -142,8 +142,8 @@
 		Expect(tracker.DrainReleased()).To(Equal([]quarantiner.Fingerprint{bad}))
 		Expect(quarantined(bad)).To(BeFalse())
 		crash("w-3", bad)
-		left, _ := tracker.Quarantined(now, bad)
-		Expect(left).To(Equal(20 * time.Minute))
+		remaining, _ := tracker.Quarantined(now, bad)
+		Expect(remaining).To(Equal(20 * time.Minute))
 	})
 
 	It("forgets marks after an hour", func() {
--- a/registrar/bench_test.go
+++ b/registrar/bench_test.go
@@ -125,11 +125,11 @@
 				b.ReportMetric(100*time.Since(started).Seconds()/float64(hosts)/20, "%core/host")
 				sent = f.sent()
 				f.kill(victim)
-				died := f.now
-				for f.now-died < 10*time.Second && (len(f.rosters()) > 1 || f.rosters()[0] != f.running()) {
+				killedAt := f.now
+				for f.now-killedAt < 10*time.Second && (len(f.rosters()) > 1 || f.rosters()[0] != f.running()) {
 					f.run(10 * time.Millisecond)
 				}
-				b.ReportMetric(float64((f.now-died)/time.Millisecond), "ms-to-know")
+				b.ReportMetric(float64((f.now-killedAt)/time.Millisecond), "ms-to-know")
 				f.run(5 * time.Second)
 				b.ReportMetric(float64(f.sent()-sent)/float64(hosts), "msg/host-in-death")
 			}
--- a/registrar/churn_test.go
+++ b/registrar/churn_test.go
@@ -23,12 +23,12 @@
 		f.shutdown(name)
 		f.forget(name)
 		f.after(restartInterval, func() {
-			fresh := fmt.Sprintf("%s.%d", self.Control, turn)
-			f.names = append(f.names, fresh)
-			f.records[fresh] = registrar.Record{
-				Name: fresh, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: uint64(timeAt(f.now).UnixNano()),
+			successor := fmt.Sprintf("%s.%d", self.Control, turn)
+			f.names = append(f.names, successor)
+			f.records[successor] = registrar.Record{
+				Name: successor, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: uint64(timeAt(f.now).UnixNano()),
 			}
-			f.start(f.records[fresh])
+			f.start(f.records[successor])
 		})
 	})
 }
@@ -85,12 +85,12 @@
 
 // losePower stops all hosts at once and later restarts them under new names. Each reads the
 // records of the previous processes after it has written its own.
-func (f *fleet) losePower(away time.Duration, step time.Duration) {
+func (f *fleet) losePower(downtime time.Duration, step time.Duration) {
 	stopped := slices.Clone(f.names)
 	for _, name := range stopped {
 		f.kill(name)
 	}
-	f.after(away, func() {
+	f.after(downtime, func() {
 		for i, name := range stopped {
 			f.after(time.Duration(i)*step, func() { f.restartAs(name, uint64(timeAt(f.now).UnixNano())) })
 		}
@@ -100,12 +100,12 @@
 // restartAs starts a new process at the address of one that has stopped.
 func (f *fleet) restartAs(name string, incarnation uint64) string {
 	self := f.nodes[name].m.Self()
-	fresh := fmt.Sprintf("%s.%d", self.Control, incarnation)
+	successor := fmt.Sprintf("%s.%d", self.Control, incarnation)
 	f.forget(name)
 	f.previous = append(f.previous, name)
-	f.names = append(f.names, fresh)
-	f.start(registrar.Record{Name: fresh, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: incarnation})
-	return fresh
+	f.names = append(f.names, successor)
+	f.start(registrar.Record{Name: successor, Zone: self.Zone, Region: self.Region, Control: self.Control, Incarnation: incarnation})
+	return successor
 }
 
 // staleEntries counts the entries for stopped hosts on the rosters of running ones.
@@ -143,11 +143,11 @@
 		f := newFleet(9, 3, 1)
 		f.kill(victim)
 		f.run(50 * time.Millisecond)
-		fresh := f.restartAs(victim, 0)
+		successor := f.restartAs(victim, 0)
 		f.run(beat)
 		Expect(f.staleEntries()).To(Equal(0))
-		_, there := f.nodes["h00"].roster.Find(fresh)
-		Expect(there).To(BeTrue())
+		_, found := f.nodes["h00"].roster.Find(successor)
+		Expect(found).To(BeTrue())
 		Expect(f.rosters()).To(HaveLen(1))
 	})
 
@@ -157,14 +157,14 @@
 		f := newFleet(9, 3, 1)
 		old := f.nodes[victim].m.Self()
 		f.kill(victim)
-		fresh := f.restartAs(victim, uint64(timeAt(f.now).UnixNano()))
+		successor := f.restartAs(victim, uint64(timeAt(f.now).UnixNano()))
 		f.run(beat / 2)
 		old.Leaving = true
 		f.storeRecord(old)
 		f.run(beat / 2)
 		Expect(f.staleEntries()).To(Equal(0))
-		_, there := f.nodes["h00"].roster.Find(fresh)
-		Expect(there).To(BeTrue())
+		_, found := f.nodes["h00"].roster.Find(successor)
+		Expect(found).To(BeTrue())
 	})
 })
 
--- a/registrar/fleet_test.go
+++ b/registrar/fleet_test.go
@@ -179,8 +179,8 @@
 		case registrar.Suspected:
 			n.suspicions++
 		case registrar.CheckLease:
-			doubted := f.now
-			f.after(lease, func() { f.expireLease(n, name, o.Host, doubted) })
+			checkedAt := f.now
+			f.after(lease, func() { f.expireLease(n, name, o.Host, checkedAt) })
 		case registrar.DeclaredDead:
 			f.deaths = append(f.deaths, fmt.Sprintf("%s@%d", o.Host.Name, o.Host.Incarnation))
 			if r := f.records[o.Host.Name]; r.Incarnation <= o.Host.Incarnation && !f.storeDown {
@@ -210,11 +210,11 @@
 	if from != "" {
 		f.links[from+">"+to] = true
 	}
-	reach := func(ok bool) {
+	setReachable := func(ok bool) {
 		f.input(n, from, func(now time.Time) []registrar.Output { return n.m.SetReachable(now, to, ok) })
 	}
 	if x == nil || !x.up || f.cut[from+">"+to] || f.cut[to+">"+from] {
-		f.after(500*time.Millisecond, func() { reach(false) })
+		f.after(500*time.Millisecond, func() { setReachable(false) })
 	}
 	if x == nil || !x.up || f.cut[from+">"+to] {
 		return
@@ -233,7 +233,7 @@
 		})
 	}
 	if !f.cut[to+">"+from] {
-		f.after(2*f.delay, func() { reach(true) })
+		f.after(2*f.delay, func() { setReachable(true) })
 	}
 }
 
@@ -266,7 +266,7 @@
 }
 
 // setCut cuts hosts off from all others, or reconnects them: in both directions, or only
-// for what they send.
+// in the direction in which they send.
 func (f *fleet) setCut(cut, both bool, hosts ...string) {
 	for _, a := range hosts {
 		for _, b := range f.names {
@@ -295,11 +295,11 @@
 func (f *fleet) rosterOf(name string) string {
 	var out []string
 	for _, h := range f.nodes[name].roster.Hosts() {
-		mark := ""
+		suffix := ""
 		if h.Leaving {
-			mark = "!"
+			suffix = "!"
 		}
-		out = append(out, h.Name+mark)
+		out = append(out, h.Name+suffix)
 	}
 	return strings.Join(out, " ")
 }
--- a/registrar/follow.go
+++ b/registrar/follow.go
@@ -12,7 +12,7 @@
 )
 
 // Prefix is the key prefix of host records in the Object API. A record changes only when
-// its host joins, leaves or rejoins, so a watch of all records is quiet.
+// its host joins, leaves or rejoins, so a watch of all records reports few changes.
 const Prefix = "hosts/"
 
 const (
--- a/registrar/members.go
+++ b/registrar/members.go
@@ -94,7 +94,7 @@
 	nameHash     uint64
 	noConnection bool // the messenger can't connect to the host
 	unreachable  bool // as in Record
-	mismatches   int  // successive heartbeats with a digest other than ours
+	mismatches   int  // successive heartbeats with a digest other than this host's
 }
 
 // Members decides which hosts are alive, as seen by one host. It does no I/O: the time is
@@ -258,8 +258,8 @@
 }
 
 // merge applies facts from a host, or from the store if from is empty, and forwards those
-// that are new. A fact is only ever replaced by a newer one, so connected hosts converge in
-// whatever order they receive facts.
+// that are new. A fact is only ever replaced by a newer one, so connected hosts converge
+// regardless of the order in which they receive facts.
 func (m *Members) merge(now time.Time, from string, facts []messenger.Fact) {
 	changed := false
 	for _, f := range facts {
--- a/registrar/members_test.go
+++ b/registrar/members_test.go
@@ -55,9 +55,9 @@
 	// Guards against a host's failure being detected too late, with or without the store: the
 	// requests through it break, and its places and roles must be free within about a second.
 	DescribeTable("detects a host's failure on all hosts within the bound",
-		func(hosts, zones, regions int, also ...prover.Fault) {
+		func(hosts, zones, regions int, faults ...prover.Fault) {
 			f := newFleet(hosts, zones, regions)
-			for _, a := range also {
+			for _, a := range faults {
 				benign[a].begin(f)
 			}
 			f.run(5 * time.Second)
@@ -160,9 +160,9 @@
 		}
 	})
 
-	// Guards against a region staying split after a failed switch is back. With the store down,
-	// each group of hosts has declared the other dead, and neither sends to the other. All hosts
-	// must be on every roster again.
+	// Guards against a region staying split after a failed switch works again. With the store
+	// down, each group of hosts has declared the other dead, and neither sends to the other.
+	// All hosts must be on every roster again.
 	It("two groups that declared each other dead converge again", Label(prover.Pair(prover.LeaseRenewed, prover.CutBothWays, prover.LeaseRenewed, prover.StoreDown)), func() {
 		f := newFleet(9, 4, 1)
 		f.storeDown = true
@@ -209,7 +209,7 @@
 	})
 
 	// Guards against a planned stop looking like a failure: the roles must move while the host
-	// still runs, nobody may suspect it, and nobody may declare it dead after it has left, also
+	// still runs, no host may suspect it, and none may declare it dead after it has left, also
 	// under other faults.
 	DescribeTable("a leaving host takes no role, and is not declared dead when it has left",
 		func(faults ...prover.Fault) {
@@ -317,12 +317,12 @@
 	// Guards against a superseded process acting on an outdated roster.
 	It("keeps the roster of a superseded host up to date", func() {
 		m := registrar.NewMembers(timeAt(0), registrar.Record{Name: "a", Control: "a", Incarnation: 1}, beat)
-		hear := func(name string, incarnation uint64) {
+		receiveFact := func(name string, incarnation uint64) {
 			m.Receive(timeAt(0), "c", messenger.RosterUpdate{Facts: []messenger.Fact{{Name: name, Control: name, Incarnation: incarnation}}})
 		}
-		hear("a", 2)
+		receiveFact("a", 2)
 		for i := range 8 {
-			hear(fmt.Sprint("h", i), 1)
+			receiveFact(fmt.Sprint("h", i), 1)
 			m.Tick(timeAt(time.Duration(i) * beat))
 		}
 		Expect(m.Roster().Hosts()).To(HaveLen(8))
@@ -383,8 +383,8 @@
 }
 
 // randomFault injects or ends one fault of a host, the links or the store.
-func (f *fleet) randomFault(name string, what int) {
-	switch what {
+func (f *fleet) randomFault(name string, choice int) {
+	switch choice {
 	case 0:
 		f.kill(name)
 	case 1:
--- a/registrar/recorder.go
+++ b/registrar/recorder.go
@@ -16,13 +16,13 @@
 )
 
 // LeasePrefix is the key prefix of leases in the Object API. Leases are separate from the
-// records and nobody watches them; otherwise every renewal would wake every host.
+// records and are not watched; otherwise every renewal would wake every host.
 const LeasePrefix = "leases/"
 
 const removeTimeout = time.Second
 
-// restoreWindow is the time over which the hosts of a fleet spread their checks for what
-// was lost after the store was restored from an older snapshot.
+// restoreWindow is the time over which the hosts of a fleet spread their checks for lost
+// records and leases after the store was restored from an older snapshot.
 const restoreWindow = 2 * time.Second
 
 // renewalsPerCheck is the number of lease renewals per check of the stored record. A host
@@ -71,7 +71,8 @@
 }
 
 // queuePredecessor schedules the removal of the record and lease of an earlier process at
-// this host's address. Nobody writes them any more, so they are deleted without being read.
+// this host's address. No process writes them any more, so they are deleted without being
+// read.
 func (c *recorder) queuePredecessor(name string) {
 	c.mu.Lock()
 	c.predecessors = append(c.predecessors, name)
--- a/registrar/registrar.go
+++ b/registrar/registrar.go
@@ -37,8 +37,8 @@
 	// Peers are the control addresses of other hosts, which are asked for the roster while
 	// this host knows no other host, such as when it starts while the store is down.
 	Peers []string
-	// ShouldWatch reports whether this host is to watch the records. Hosts that watch send
-	// what they learn to the others as roster updates. Nil means always.
+	// ShouldWatch reports whether this host is to watch the records. Hosts that watch send the
+	// changes to the others as roster updates. Nil means always.
 	ShouldWatch func() bool
 	// Notify is called with each new roster. It must not block for long.
 	Notify func(Roster)
--- a/registrar/ticking.go
+++ b/registrar/ticking.go
@@ -60,10 +60,10 @@
 }
 
 // notifyGone notifies hosts that are gone, one at a time in turn. If a network partition
-// splits the hosts into two groups, each group declares the other dead, and nobody sends
-// anything to the other side after the connections are restored. The notification makes
-// both sides rejoin, even without the store. Hosts whose address now belongs to another
-// process are left out.
+// splits the hosts into two groups, each group declares the other dead, and neither sends
+// anything to the other after the connections are restored. The notification makes both
+// sides rejoin, even without the store. Hosts whose address now belongs to another process
+// are left out.
 func (m *Members) notifyGone(now time.Time) {
 	var goneMembers []*member
 	for _, x := range m.sortedMembers() {
@@ -79,8 +79,9 @@
 
 // detectPause detects that this process itself was paused. Afterwards every other host
 // looks dead to it, and it may have been declared dead itself. So heartbeats missed during
-// the pause count against nobody. After a pause of suspectBeats or more this host takes no
-// role until a peer confirms that it is alive, or none contradicts for unconfirmedBeats.
+// the pause count against no host. After a pause of suspectBeats or more this host takes
+// no role until a peer confirms that it is alive, or none contradicts for
+// unconfirmedBeats.
 func (m *Members) detectPause(now time.Time) {
 	pause := now.Sub(m.lastTick) - m.heartbeatInterval/TicksPerHeartbeat
 	if pause < m.heartbeatInterval {
--- a/relayer/eras_test.go
+++ b/relayer/eras_test.go
@@ -16,13 +16,13 @@
 func versionIn(era, revision uint64) storer.Version { return storer.NewVersion(era, revision) }
 
 var _ = Describe("Relay over eras of the store", func() {
-	// Guards against hosts taking every change for an old one after the store was restored and
+	// Guards against hosts treating every change as an old one after the store was restored and
 	// its revisions went back.
 	It("applies the complete list of a later era, and changes after it", func() {
 		r := follower(object("a", versionIn(1, 9)))
 		Expect(r.ReceivedList(start, "w-1", versionIn(2, 7), []storer.Object{object("a", versionIn(2, 5))})).To(BeTrue())
-		fresh, whole := r.Received(start, "w-1", update(versionIn(2, 7), versionIn(2, 8), object("a", versionIn(2, 8))))
-		Expect(whole).To(BeTrue())
+		fresh, complete := r.Received(start, "w-1", update(versionIn(2, 7), versionIn(2, 8), object("a", versionIn(2, 8))))
+		Expect(complete).To(BeTrue())
 		Expect(fresh).To(ConsistOf(object("a", versionIn(2, 8))))
 	})
 
@@ -33,8 +33,8 @@
 		Expect(r.ReceivedList(start, "w-2", versionIn(2, 7), nil)).To(BeTrue())
 		Expect(r.Listed(start, 900, nil)).To(BeFalse(), "a list that was on its way")
 		Expect(r.Era()).To(BeEquivalentTo(2))
-		fresh, whole := r.Received(start, "w-1", update(11, 12, object("a", 12)))
-		Expect(whole).To(BeFalse())
+		fresh, complete := r.Received(start, "w-1", update(11, 12, object("a", 12)))
+		Expect(complete).To(BeFalse())
 		Expect(fresh).To(BeEmpty())
 		Expect(r.ReceivedList(start, "w-1", 900, nil)).To(BeFalse())
 		r.WatcherLost("w-2")
@@ -44,8 +44,8 @@
 	// Guards against a host staying in an earlier era because no host sends it the list.
 	It("calls the store if it receives only changes of a later era", func() {
 		r := follower()
-		_, whole := r.Received(start, "w-1", update(versionIn(2, 7), versionIn(2, 8), object("a", versionIn(2, 8))))
-		Expect(whole).To(BeFalse())
+		_, complete := r.Received(start, "w-1", update(versionIn(2, 7), versionIn(2, 8), object("a", versionIn(2, 8))))
+		Expect(complete).To(BeFalse())
 		_, call, behind := r.Next(start.Add(100 * time.Millisecond))
 		Expect(call).To(BeTrue())
 		Expect(behind).To(BeTrue())
@@ -75,10 +75,11 @@
 	}
 }
 
-// restored returns the store's next era, restored from a snapshot with the first kept changes.
-func (h *history) restored(kept int) *history {
+// restored returns the store's next era, restored from a snapshot with the first count
+// changes.
+func (h *history) restored(count int) *history {
 	next := &history{era: h.era + 1}
-	for i, o := range h.changes[:kept] {
+	for i, o := range h.changes[:count] {
 		o.Version = versionIn(next.era, uint64(i+1))
 		next.changes = append(next.changes, o)
 	}
@@ -109,23 +110,23 @@
 	first.grow(r, 40)
 	second := first.restored(10 + r.IntN(30))
 	second.grow(r, 40)
-	relay, believed, latest := relayer.New("h", "list"), map[string]storer.Version{}, uint64(0)
-	take := func(fresh []storer.Object) {
+	relay, applied, latest := relayer.New("h", "list"), map[string]storer.Version{}, uint64(0)
+	applyChanges := func(fresh []storer.Object) {
 		for _, o := range fresh {
 			Expect(o.Version.Era()).To(BeNumerically(">=", latest), "seed %d", seed)
 			latest = o.Version.Era()
-			if delete(believed, o.Key); !o.Deleted {
-				believed[o.Key] = o.Version
+			if delete(applied, o.Key); !o.Deleted {
+				applied[o.Key] = o.Version
 			}
 		}
 	}
-	adopt := func(h *history, upto int) {
-		clear(believed)
-		take(h.list(upto))
+	replaceList := func(h *history, upto int) {
+		clear(applied)
+		applyChanges(h.list(upto))
 	}
 	begin := r.IntN(20)
 	relay.Listed(start, versionIn(1, uint64(begin)), first.list(begin))
-	adopt(first, begin)
+	replaceList(first, begin)
 	for range 60 {
 		h, from := first, fmt.Sprintf("w-%d", r.IntN(3))
 		if r.IntN(2) == 0 {
@@ -134,24 +135,24 @@
 		upto := r.IntN(len(h.changes))
 		if r.IntN(6) == 0 {
 			if relay.ReceivedList(start, from, versionIn(h.era, uint64(upto)), h.list(upto)) {
-				adopt(h, upto)
+				replaceList(h, upto)
 			}
 			continue
 		}
 		fresh, _ := relay.Received(start, from, h.update(r.IntN(upto+1), upto))
-		take(fresh)
+		applyChanges(fresh)
 	}
 	end := len(second.changes)
 	after, _, _ := relay.Next(start)
 	if after.Era() < second.era {
 		relay.Listed(start, versionIn(second.era, uint64(end)), second.list(end))
-		adopt(second, end)
+		replaceList(second, end)
 	} else {
-		take(relay.Watched(start, second.update(int(after.Revision()), end)))
+		applyChanges(relay.Watched(start, second.update(int(after.Revision()), end)))
 	}
 	content := map[string]storer.Version{}
 	for _, o := range second.list(end) {
 		content[o.Key] = o.Version
 	}
-	Expect(believed).To(Equal(content), "seed %d", seed)
+	Expect(applied).To(Equal(content), "seed %d", seed)
 }
--- a/relayer/relayer.go
+++ b/relayer/relayer.go
@@ -2,10 +2,10 @@
 // behalf of all hosts.
 //
 // Watchers watch the list and send each answer to all other hosts as an Update. Every host
-// has a Relay, which accepts updates from any watcher in any order and detects by the
-// store's revisions whether one is missing. If so, or if no watcher sends anything, the host
-// calls the store itself. So in normal operation only the watchers call the store, and no
-// host depends on another one to learn what the store holds.
+// has a Relay, which accepts updates from any watcher in any order and detects by the store's
+// revisions whether one is missing. If so, or if no watcher sends anything, the host calls
+// the store itself. So in normal operation only the watchers call the store, and no host
+// depends on another one to learn the contents of the store.
 //
 // A Relay does no I/O, and the time is an argument.
 package relayer
@@ -61,7 +61,7 @@
 	firstListed  time.Time            // zero before the first list
 	hadWatcher   bool                 // an update of a watcher was ever received
 	lastAnswer   time.Time            // of the store; zero after a failed call
-	behindSince  time.Time            // since when latest exceeds what is known; zero if it does not
+	behindSince  time.Time            // since when latest exceeds the known revision; zero if it does not
 	latest       storer.Version       // highest revision that the store is known to have reached, from other hosts
 }
 
@@ -167,7 +167,7 @@
 }
 
 // ReceivedList applies the complete list, sent by another host, of a store that was restored
-// from an older snapshot, and returns whether it is newer than what is known. Without it all
+// from an older snapshot, and returns whether it is newer than the known list. Without it all
 // hosts of a fleet would call the store at the moment it is available again.
 func (r *Relay) ReceivedList(now time.Time, from string, upto storer.Version, all []storer.Object) bool {
 	if upto <= r.ledger.upto || r.firstListed.IsZero() {
--- a/relayer/relayer_test.go
+++ b/relayer/relayer_test.go
@@ -68,11 +68,11 @@
 
 	It("applies each change once, whichever host sends it and however often", func() {
 		r := follower()
-		fresh, whole := r.Received(start, "w-1", update(10, 12, object("a", 11), object("b", 12)))
-		Expect(whole).To(BeTrue())
+		fresh, complete := r.Received(start, "w-1", update(10, 12, object("a", 11), object("b", 12)))
+		Expect(complete).To(BeTrue())
 		Expect(fresh).To(HaveLen(2))
-		fresh, whole = r.Received(start, "w-1", update(9, 13, object("a", 11), object("b", 12), object("c", 13)))
-		Expect(whole).To(BeTrue())
+		fresh, complete = r.Received(start, "w-1", update(9, 13, object("a", 11), object("b", 12), object("c", 13)))
+		Expect(complete).To(BeTrue())
 		Expect(fresh).To(ConsistOf(object("c", 13)))
 	})
 
@@ -110,8 +110,8 @@
 		Expect(call).To(BeTrue(), "no watcher sent anything")
 	})
 
-	// Guards against a revoked key staying in use while nobody reads the store: the store leaves
-	// just the watchers without an answer, and they report that one by one.
+	// Guards against a revoked key staying in use while no host reads the store: the store
+	// leaves just the watchers without an answer, and they report that one by one.
 	It("has a host call the store itself once the store answers no watcher", func() {
 		r := follower()
 		for _, w := range []string{"w-1", "w-2", "w-3"} {
@@ -142,8 +142,8 @@
 	It("rejects updates after a gap, and has the host request what is missing", func() {
 		r := follower()
 		r.Received(start, "w-1", update(10, 10))
-		fresh, whole := r.Received(start, "w-1", update(14, 15, object("c", 15)))
-		Expect(whole).To(BeFalse())
+		fresh, complete := r.Received(start, "w-1", update(14, 15, object("c", 15)))
+		Expect(complete).To(BeFalse())
 		Expect(fresh).To(BeEmpty())
 		_, call, _ := r.Next(start.Add(10 * time.Millisecond))
 		Expect(call).To(BeFalse(), "the update may be on its way")
@@ -157,7 +157,7 @@
 	})
 
 	// Guards against a watcher that was frozen for seconds sending an entry of a worker that has
-	// left since: requests would go to whatever process has its address now.
+	// left since: requests would go to the process that has its address now.
 	It("does not restore a deleted object by a late update", func() {
 		r := follower(object("a", 5))
 		r.Received(start, "w-1", update(10, 12, object("a", 11)))
@@ -242,18 +242,18 @@
 		}
 		return all
 	}
-	relay, believed := relayer.New("h", "list"), map[string]storer.Version{}
-	take := func(fresh []change) {
+	relay, applied := relayer.New("h", "list"), map[string]storer.Version{}
+	applyChanges := func(fresh []change) {
 		for _, c := range fresh {
-			if delete(believed, c.Key); !c.Deleted {
-				believed[c.Key] = c.Version
+			if delete(applied, c.Key); !c.Deleted {
+				applied[c.Key] = c.Version
 			}
 		}
 	}
 	relist := func(upto storer.Version) {
 		relay.Listed(start, upto, list(upto))
-		clear(believed)
-		take(list(upto))
+		clear(applied)
+		applyChanges(list(upto))
 	}
 	end := storer.Version(len(history))
 	relist(storer.Version(r.IntN(10)))
@@ -262,13 +262,13 @@
 		upto := after + storer.Version(r.IntN(int(end-after)+1))
 		switch fresh, _ := relay.Received(start, "w-1", update(after, upto, between(after, upto)...)); r.IntN(20) {
 		case 0:
-			take(fresh)
+			applyChanges(fresh)
 			relist(storer.Version(r.IntN(int(end))))
 		default:
-			take(fresh)
+			applyChanges(fresh)
 		}
 	}
 	after, _, _ := relay.Next(start)
-	take(relay.Watched(start, update(after, end, between(after, end)...)))
-	Expect(believed).To(Equal(content), "seed %d", seed)
+	applyChanges(relay.Watched(start, update(after, end, between(after, end)...)))
+	Expect(applied).To(Equal(content), "seed %d", seed)
 }
--- a/retrier/retrier.go
+++ b/retrier/retrier.go
@@ -44,7 +44,7 @@
 	refilledAt time.Time
 }
 
-// recordFirst adds what a first try earns.
+// recordFirst adds the retries that a first try earns.
 func (b *Budget) recordFirst(now time.Time, p Policy) {
 	b.refill(now, p)
 	b.spent = max(0, b.spent-p.Ratio)
@@ -145,7 +145,8 @@
 
 // Jitter returns the time after which a refused caller should retry: after, plus a random
 // part of half of it or of one second, whichever is longer. It is never shorter than after,
-// as a caller that retried earlier would be refused again. Random is from 0 to 1.
+// as a caller that retried earlier would be refused again. The argument random is in [0,
+// 1].
 func Jitter(after time.Duration, random float64) time.Duration {
 	return after + time.Duration(random*float64(max(after/2, minSpread)))
 }
