--- a/connector/bound.go
+++ b/connector/bound.go
@@ -10,14 +10,14 @@
 const tcpUserTimeout = 0x12
 
 // UserTimeoutControl returns a Control function for net.Dialer. It makes the system
-// close a connection if sent data stays unacknowledged for bound. A request sent on an
-// idle connection that a middlebox has forgotten then fails after bound; by default,
+// close a connection if sent data stays unacknowledged for timeout. A request sent on an
+// idle connection that a middlebox has dropped then fails after timeout; by default,
 // Linux would retransmit it for about 15 minutes.
-func UserTimeoutControl(bound time.Duration) func(network, address string, c syscall.RawConn) error {
+func UserTimeoutControl(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var sockoptErr error
 		err := c.Control(func(fd uintptr) {
-			sockoptErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(bound.Milliseconds()))
+			sockoptErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 		})
 		return errors.Join(err, sockoptErr)
 	}
--- a/connector/connector.go
+++ b/connector/connector.go
@@ -44,7 +44,7 @@
 	// time.
 	defaultKeepAlive = 2 * time.Second
 	// maxIdleShare is the share of the server's keep-alive time within which an idle
-	// connection is reused. The rest covers the request's way to the server.
+	// connection is reused. The rest covers the transit time of the request.
 	maxIdleShare = 0.6
 	// maxIdlePerServer is the maximum number of idle connections to one server.
 	maxIdlePerServer = 32
@@ -61,8 +61,8 @@
 	// are skipped: a late answer to an earlier request may arrive first.
 	Matches func(http.Header) bool
 	// FreshOnly requires a connection that has been idle only briefly. It is set for
-	// requests that must not be repeated, which are lost if the connection is closed
-	// under them.
+	// requests that must not be repeated, which are lost if the server closes the
+	// connection while they are being sent.
 	FreshOnly bool
 }
 
@@ -73,7 +73,7 @@
 	closed bool
 	dialer net.Dialer
 
-	made, reused uint64
+	created, reused uint64
 }
 
 // New returns an empty pool and its clean-up function.
@@ -99,10 +99,10 @@
 
 // Counts returns the number of connections made, and of idle connections taken for
 // reuse.
-func (p *Pool) Counts() (made, reused uint64) {
+func (p *Pool) Counts() (created, reused uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.made, p.reused
+	return p.created, p.reused
 }
 
 // HasIdle reports whether there is an idle connection to address.
@@ -142,7 +142,7 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	p.made++
+	p.created++
 	p.mu.Unlock()
 	return newConn(p, address, raw), nil
 }
@@ -178,19 +178,19 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, list := range p.idle {
-		kept := list[:0]
+		freshConns := list[:0]
 		for _, c := range list {
 			if c.fresh(now, false) {
-				kept = append(kept, c)
+				freshConns = append(freshConns, c)
 				continue
 			}
 			c.close()
 		}
-		if len(kept) == 0 {
+		if len(freshConns) == 0 {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = kept
+		p.idle[address] = freshConns
 	}
 }
 
--- a/connector/connector_test.go
+++ b/connector/connector_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-func whole(id, body string, more ...string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n%s\r\n%s", id, len(body), strings.Join(more, ""), body)
+func response(id, body string, headers ...string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n%s\r\n%s", id, len(body), strings.Join(headers, ""), body)
 }
 
 var _ = Describe("Pool", func() {
@@ -102,7 +102,7 @@
 	bg := context.Background()
 
 	It("reuses a connection, and sends requests unchanged", func() {
-		w := newWorker([]string{whole("1", "one"), whole("2", "two")})
+		w := newWorker([]string{response("1", "one"), response("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(do(bg, w, "2")).To(Equal("two"))
 		Expect(w.conns).To(HaveLen(1))
@@ -114,7 +114,7 @@
 	// Guards against sending a request on an idle connection that the worker has closed.
 	// The request would be lost, and fail without need if it must not be repeated.
 	It("does not reuse a connection that the other end has closed", func() {
-		w := newWorker([]string{whole("1", "one") + "", "close"}, []string{whole("2", "two")})
+		w := newWorker([]string{response("1", "one") + "", "close"}, []string{response("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		c := <-w.conns
 		Expect(c.Close()).To(Succeed())
@@ -124,7 +124,7 @@
 	// Guards against an unexpected extra answer being read as the answer to the next
 	// request on its connection.
 	It("does not reuse a connection with unread data", func() {
-		w := newWorker([]string{whole("1", "one") + whole("9", "nine")}, []string{whole("2", "two")})
+		w := newWorker([]string{response("1", "one") + response("9", "nine")}, []string{response("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(do(bg, w, "2")).To(Equal("two"))
 		Expect(w.conns).To(HaveLen(2))
@@ -132,7 +132,7 @@
 
 	// The extra answer arrives late, just before the expected one.
 	It("skips an answer that belongs to another request", func() {
-		w := newWorker([]string{whole("0", "zero") + whole("1", "one"), whole("2", "two")}, []string{whole("2", "two")})
+		w := newWorker([]string{response("0", "zero") + response("1", "one"), response("2", "two")}, []string{response("2", "two")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(do(bg, w, "2")).To(Equal("two"))
 		Expect(w.conns).To(HaveLen(2))
@@ -150,7 +150,7 @@
 		Entry("when the answer is truncated", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 99\r\n\r\nhalf\nthen close"),
 		Entry("when a chunked answer is truncated", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\nthen close"),
 		Entry("when the answer is not HTTP", "nonsense\r\n\r\n\nthen close"),
-		Entry("when all answers belong to other requests", whole("7", "x")+whole("8", "y")+whole("9", "z")),
+		Entry("when all answers belong to other requests", response("7", "x")+response("8", "y")+response("9", "z")),
 	)
 
 	It("reports that a request was not sent if no connection was made", func() {
@@ -194,14 +194,14 @@
 	// because the worker answered early. The next request would be read as the rest of
 	// that body.
 	It("does not reuse a connection whose request was not completely written", func() {
-		w := newWorker([]string{whole("1", "one")}, []string{whole("2", "two")})
+		w := newWorker([]string{response("1", "one")}, []string{response("2", "two")})
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(l.Close)
 		go func() {
 			c, err := l.Accept()
 			if err == nil {
-				_, _ = io.WriteString(c, whole("1", "early"))
+				_, _ = io.WriteString(c, response("1", "early"))
 			}
 		}()
 		a, err := pool.Do(bg, l.Addr().String(), connector.Call{Method: http.MethodPost, Target: "/", Host: "h", Body: make([]byte, 32<<20)})
@@ -215,7 +215,7 @@
 	})
 
 	It("keeps an idle connection no longer than the server states", func() {
-		w := newWorker([]string{whole("1", "one", "Keep-Alive: timeout=1\r\n"), whole("2", "two")}, []string{whole("3", "three")})
+		w := newWorker([]string{response("1", "one", "Keep-Alive: timeout=1\r\n"), response("2", "two")}, []string{response("3", "three")})
 		Expect(do(bg, w, "1")).To(Equal("one"))
 		Expect(pool.HasIdle(w.address)).To(BeTrue())
 		pool.CloseExpired(time.Now().Add(700 * time.Millisecond))
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -62,11 +62,11 @@
 func (e *Events) Next() (Event, error) {
 	e.raw, e.data = e.raw[:0], e.data[:0]
 	for {
-		from := len(e.raw)
+		lineStart := len(e.raw)
 		if err := e.readLine(); err != nil {
 			return e.finish(err)
 		}
-		line := bytes.TrimRight(e.raw[from:], "\r\n")
+		line := bytes.TrimRight(e.raw[lineStart:], "\r\n")
 		if len(line) == 0 {
 			return e.parse()
 		}
@@ -170,12 +170,12 @@
 // templateOf returns the template of a parsed event, or an empty one if the position of
 // its text is ambiguous.
 func templateOf(data []byte) eventTemplate {
-	for _, mark := range [][]byte{[]byte(`"content":"`), []byte(`"text":"`)} {
-		at := bytes.Index(data, mark)
-		if at < 0 || bytes.Count(data, mark) != 1 {
+	for _, textKey := range [][]byte{[]byte(`"content":"`), []byte(`"text":"`)} {
+		at := bytes.Index(data, textKey)
+		if at < 0 || bytes.Count(data, textKey) != 1 {
 			continue
 		}
-		at += len(mark)
+		at += len(textKey)
 		end := bytes.IndexByte(data[at:], '"')
 		if end <= 0 || bytes.IndexByte(data[at:at+end], '\\') >= 0 {
 			continue
--- a/forwarder/lane.go
+++ b/forwarder/lane.go
@@ -31,12 +31,12 @@
 	echoesID atomic.Bool
 }
 
-func newBackend(silence time.Duration) *backend {
-	// An answer that is not streamed may take long, so a silent connection can't be told
-	// from a lost one by a time-out. TCP keep-alive probes detect a connection whose
+func newBackend(silenceTimeout time.Duration) *backend {
+	// An answer that is not streamed may take long, so a time-out can't distinguish a silent
+	// connection from a lost one. TCP keep-alive probes detect a connection whose
 	// packets are dropped. They are not sent while data is unacknowledged, which
 	// UserTimeoutControl covers.
-	bound := max(silence, probeInterval)
+	bound := max(silenceTimeout, probeInterval)
 	dialer := &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: bound, Interval: probeInterval, Count: maxProbes},
@@ -60,7 +60,7 @@
 	byAddress map[string]*backend
 }
 
-func (l *backends) get(address string, silence time.Duration) *backend {
+func (l *backends) get(address string, silenceTimeout time.Duration) *backend {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if b := l.byAddress[address]; b != nil {
@@ -72,7 +72,7 @@
 		l.closeIdle()
 		l.byAddress = map[string]*backend{}
 	}
-	b := newBackend(silence)
+	b := newBackend(silenceTimeout)
 	l.byAddress[address] = b
 	return b
 }
--- a/forwarder/resend_test.go
+++ b/forwarder/resend_test.go
@@ -52,7 +52,7 @@
 }
 
 // Guards against a call running twice because net/http resends it. The call is sent on a
-// kept connection, the backend server runs it, and the connection breaks before the
+// reused connection, the backend server runs it, and the connection breaks before the
 // answer. net/http would resend it, as it has an Idempotency-Key and no body to rewind.
 var _ = DescribeTable("a call whose connection breaks is not resent",
 	func(method string, body []byte, key string) {
--- a/forwarder/watched.go
+++ b/forwarder/watched.go
@@ -17,7 +17,7 @@
 // answer slowly isn't mistaken for a silent backend server.
 type timedBody struct {
 	body             io.ReadCloser
-	silence          time.Duration
+	silenceTimeout   time.Duration
 	firstByteTimeout time.Duration // until the first byte; 0 after it was received
 	timer            *time.Timer
 	ctx              context.Context
@@ -27,7 +27,7 @@
 
 // Read implements io.Reader.
 func (w *timedBody) Read(p []byte) (int, error) {
-	w.timer.Reset(max(w.silence, w.firstByteTimeout))
+	w.timer.Reset(max(w.silenceTimeout, w.firstByteTimeout))
 	n, err := w.body.Read(p)
 	w.timer.Stop()
 	if n > 0 {
@@ -51,7 +51,7 @@
 // Drain reads for a short time to the end of the body, so that the connection of a
 // complete answer can be reused.
 func (w *timedBody) Drain() {
-	w.silence, w.firstByteTimeout = drainTimeout, 0
+	w.silenceTimeout, w.firstByteTimeout = drainTimeout, 0
 	var rest [64]byte
 	for {
 		w.timer.Reset(drainTimeout)
--- a/publisher/bench_test.go
+++ b/publisher/bench_test.go
@@ -74,8 +74,8 @@
 }
 
 const (
-	// quietWindow is the time in which reads are counted while nothing changes.
-	quietWindow = 10 * time.Second
+	// idleWindow is the time in which reads are counted while nothing changes.
+	idleWindow = 10 * time.Second
 	// changeWindow is the time in which reads are still counted after all followers have a
 	// change in force.
 	changeWindow = 500 * time.Millisecond
@@ -112,9 +112,9 @@
 			awaitAll(followers, g)
 			for b.Loop() {
 				before, _ := platform.Calls()
-				time.Sleep(quietWindow)
+				time.Sleep(idleWindow)
 				after, _ := platform.Calls()
-				b.ReportMetric(float64(after-before)/quietWindow.Seconds()/float64(n), "reads/s/host")
+				b.ReportMetric(float64(after-before)/idleWindow.Seconds()/float64(n), "reads/s/host")
 				start := time.Now()
 				awaitAll(followers, push(after))
 				b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms-to-all")
--- a/publisher/follower.go
+++ b/publisher/follower.go
@@ -142,8 +142,8 @@
 	f.tryEnqueue(HeadReceived{Peer: peer, Head: h})
 }
 
-// tryEnqueue queues an input from a peer, or drops it if the queue is full: peers repeat
-// what they send.
+// tryEnqueue queues an input from a peer, or drops it if the queue is full: peers send it
+// again.
 func (f *Follower) tryEnqueue(i Input) {
 	select {
 	case f.inputs <- i:
@@ -158,7 +158,7 @@
 	ticker := time.NewTicker(f.tick)
 	defer ticker.Stop()
 	// The first tick is handled immediately: a host without a configuration can't serve its
-	// callers, and after a power loss of all hosts nobody is served in that time.
+	// callers, and after a power loss of all hosts no caller is served in that time.
 	f.handle(ctx, &tasks, Tick{})
 	for {
 		select {
--- a/publisher/follower_test.go
+++ b/publisher/follower_test.go
@@ -113,9 +113,9 @@
 	// Guards against calls by hosts that are not to watch, and against changes that are
 	// missed when such a host takes over the watch.
 	It("does not watch while others do, and lists again when it takes over", func() {
-		var turn atomic.Bool
+		var shouldWatch atomic.Bool
 		g := push("a")
-		m := runFollower(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour}, func(s *publisher.Source) { s.ShouldWatch = turn.Load })
+		m := runFollower(store, publisher.Timing{GatherTimeout: 10 * time.Millisecond, PollInterval: time.Hour}, func(s *publisher.Source) { s.ShouldWatch = shouldWatch.Load })
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 		g = push("b")
 		before, _ := platform.Calls()
@@ -125,7 +125,7 @@
 		m.ReceiveGeneration("h2", g, time.Now())
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 		g = push("c")
-		turn.Store(true)
+		shouldWatch.Store(true)
 		Eventually(generation(m), 5*time.Second).Should(Equal(g))
 	})
 
--- a/publisher/input.go
+++ b/publisher/input.go
@@ -29,7 +29,7 @@
 	Head Head
 }
 
-// Tick is sent periodically and triggers whatever is due.
+// Tick is sent periodically and triggers the actions that are due.
 type Tick struct{}
 
 func (HeadRead) input()           {}
--- a/publisher/publisher.go
+++ b/publisher/publisher.go
@@ -3,7 +3,7 @@
 //
 // A configuration is a folder of files, stored as one object in the Object API. A push is
 // accepted by a single conditional write of that object. The decisions are free of I/O:
-// rebase and Tracker get what was read, and the time, as arguments; Pusher and Follower
+// rebase and Tracker receive the data read, and the time, as arguments; Pusher and Follower
 // do the I/O.
 package publisher
 
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxAttempts limits the attempts of one push that others get ahead of.
+	// maxAttempts limits the attempts of one push while other pushes land first.
 	maxAttempts = 16
 	// maxReadBacks limits the reads that determine the outcome of a write whose reply
 	// was lost.
@@ -54,7 +54,7 @@
 type Result struct {
 	Generation uint64 // of the push
 	Head       Head   // contains the push, and possibly later ones
-	Rebased    bool   // the head was another generation than the base
+	Rebased    bool   // the head had another generation than the base
 	Repeated   bool   // the head contained this push, or all its changes, before
 }
 
@@ -132,7 +132,7 @@
 	}
 	if _, landed := head.generationOf(t.id); !landed && t.unconfirmed && head.version != t.unconfirmedBase.version {
 		// The condition of the unconfirmed write was the older version: it can't land any
-		// more. Whether it landed before is known only as far back as the head lists pushes.
+		// more. Whether it landed before is known only for the pushes that the head still lists.
 		if !head.recordsSince(t.unconfirmedBase.Generation) {
 			return Head{}, fmt.Errorf("push: %w: too many pushes landed since", ErrOutcomeUnknown)
 		}
--- a/publisher/push_test.go
+++ b/publisher/push_test.go
@@ -87,9 +87,9 @@
 			Expect(r.Generation).To(Equal(uint64(101)))
 			Expect(store.head().Files).To(HaveKeyWithValue("quote.json", class("quote", 0)))
 		},
-		Entry("that landed", Label(prover.Cell(prover.Pushed, prover.LostReply)), lost),
-		Entry("that never landed", Label(prover.Cell(prover.Pushed, prover.LostReply)), dropped),
-		Entry("that takes effect after the second attempt", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Pushed, prover.StoreSlow)), late),
+		Entry("that landed", Label(prover.Cell(prover.Pushed, prover.LostReply)), replyLost),
+		Entry("that never landed", Label(prover.Cell(prover.Pushed, prover.LostReply)), writeLost),
+		Entry("that takes effect after the second attempt", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Pushed, prover.StoreSlow)), writeDelayed),
 	)
 
 	// As above, but another push changes the same file before the head is read back.
@@ -98,7 +98,7 @@
 			_, err := newOperator(store).edit("quote", 2).push(102)
 			Expect(err).NotTo(HaveOccurred())
 		}}
-		store.outcomes = []outcome{lost}
+		store.outcomes = []outcome{replyLost}
 		p := publisher.Pusher{Store: raced}
 		r, err := p.Push(context.Background(), publisher.Change{Files: ann.edit("quote", 0).files, Base: ann.base})
 		Expect(err).NotTo(HaveOccurred())
@@ -124,14 +124,14 @@
 			Expect(store.written).To(HaveLen(3))
 			Expect(store.head().Files).To(HaveLen(4))
 		},
-		Entry("when it landed", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), lost),
-		Entry("when it did not", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), dropped),
+		Entry("when it landed", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), replyLost),
+		Entry("when it did not", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.StoreDown)), writeLost),
 	)
 
 	// Guards against a guessed result: after a lost reply, so many other pushes land before
 	// the head is read back that it would no longer list the write if it had landed.
 	It("reports an unknown outcome if the head no longer lists the write", Label(prover.Pair(prover.Pushed, prover.LostReply, prover.Written, prover.PushRace)), func() {
-		store.outcomes = []outcome{lost}
+		store.outcomes = []outcome{replyLost}
 		busy := &racingStore{fakeStore: store, race: func() {
 			for i := range 64 {
 				_, err := newOperator(store).edit("plan", i).push(int64(200 + i))
@@ -162,15 +162,15 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = newOperator(store).edit("hold", 4).push(102)
 		Expect(err).NotTo(HaveOccurred())
-		again := &operator{store: store, base: base, files: files}
-		r, err := again.push(103)
+		restarted := &operator{store: store, base: base, files: files}
+		r, err := restarted.push(103)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.Repeated).To(BeTrue())
 		Expect(r.Generation).To(Equal(uint64(101)))
 		Expect(store.written).To(Equal([]uint64{100, 101, 102}))
 	})
 
-	It("makes the next generation newer than all that a restored backup lost", func() {
+	It("makes the next generation newer than all generations lost by restoring a backup", func() {
 		old, version := store.value, store.version
 		for i := range 3 {
 			_, err := ann.edit("quote", i).push(int64(200 + i))
@@ -270,12 +270,12 @@
 		}
 	}
 	for _, a := range accepted {
-		at := slices.Index(s.written, a.generation)
-		if at < 0 {
+		index := slices.Index(s.written, a.generation)
+		if index < 0 {
 			t.Fatalf("generation %d was accepted and is in no head: %v", a.generation, s.written)
 		}
 		for name, text := range a.changed {
-			if s.heads[at][name] != text {
+			if s.heads[index][name] != text {
 				t.Fatalf("%s is not in generation %d, which was accepted with it", name, a.generation)
 			}
 		}
--- a/publisher/rebase.go
+++ b/publisher/rebase.go
@@ -80,16 +80,16 @@
 	if merged == nil {
 		merged = loader.Files{}
 	}
-	theirs := base.ChangedFiles(head.Files)
+	headChanges := base.ChangedFiles(head.Files)
 	var conflicts []string
 	for _, name := range base.ChangedFiles(f) {
-		text, here := f[name]
-		other, there := head.Files[name]
-		if slices.Contains(theirs, name) && (here != there || text != other) {
+		text, inFolder := f[name]
+		headText, inHead := head.Files[name]
+		if slices.Contains(headChanges, name) && (inFolder != inHead || text != headText) {
 			conflicts = append(conflicts, name)
 			continue
 		}
-		if here {
+		if inFolder {
 			merged[name] = text
 		} else {
 			delete(merged, name)
--- a/publisher/store_test.go
+++ b/publisher/store_test.go
@@ -15,11 +15,11 @@
 type outcome int
 
 const (
-	lands   outcome = iota
-	refused         // has no effect: the store is down
-	lost            // takes effect, and its reply is lost
-	dropped         // has no effect, and its reply is lost
-	late            // takes effect after the next write, and its reply is lost
+	lands        outcome = iota
+	refused              // has no effect: the store is down
+	replyLost            // takes effect, and its reply is lost
+	writeLost            // has no effect, and its reply is lost
+	writeDelayed         // takes effect after the next write, and its reply is lost
 )
 
 // fakeStore holds one object in memory.
@@ -27,7 +27,7 @@
 	value       []byte
 	version     storer.Version
 	down        bool
-	outcomes    []outcome           // of the next writes; lands for all further ones
+	outcomes    []outcome           // of the next writes; all further ones land
 	beforeWrite func()              // called once, between a pusher's read and its write
 	lateWrite   func()              // the delayed write
 	heads       []loader.Files      // of every version
@@ -67,12 +67,12 @@
 	switch result {
 	case refused:
 		return 0, storer.ErrUnavailable
-	case dropped:
+	case writeLost:
 		return 0, storer.ErrUnknown
-	case late:
+	case writeDelayed:
 		s.lateWrite = func() { _ = s.write(value, c, changing) }
 		return 0, storer.ErrUnknown
-	case lost:
+	case replyLost:
 		_ = s.write(value, c, changing)
 		return 0, storer.ErrUnknown
 	}
--- a/publisher/timing.go
+++ b/publisher/timing.go
@@ -5,14 +5,14 @@
 // Timing holds the timeouts and intervals of a Tracker. Zero fields take the defaults set
 // by withDefaults.
 type Timing struct {
-	ConfirmTimeout time.Duration // without confirmation by platform or peer, until the host is unready
-	PollInterval   time.Duration // of reads of the platform, in addition to the watch
-	GatherTimeout  time.Duration // for a new host to find the highest generation
-	FetchTimeout   time.Duration // for one source to answer, until the next is asked
-	TickInterval   time.Duration // of Tick inputs
-	// AlwaysCurrent states that the platform's answers are never older than what a host
-	// may have in force: it loses no writes and is not restored from backups. A new host
-	// then need not wait for a peer's answer.
+	ConfirmTimeout time.Duration // time without confirmation by the platform or a peer after which the host becomes unready
+	PollInterval   time.Duration // interval of reads of the platform, in addition to the watch
+	GatherTimeout  time.Duration // maximum time in which a new host looks for the highest generation
+	FetchTimeout   time.Duration // time that one source has to answer before the next is asked
+	TickInterval   time.Duration // interval of Tick inputs
+	// AlwaysCurrent states that the platform's answers are never older than the
+	// configuration that a host may have in force: it loses no writes and is not restored
+	// from backups. A new host then need not wait for a peer's answer.
 	AlwaysCurrent bool
 }
 
@@ -21,9 +21,9 @@
 	defaultGather  = time.Second
 	defaultFetch   = time.Second
 	defaultTick    = 250 * time.Millisecond
-	// firstRetry is the pause after the first failed read. It doubles with each further
+	// firstRetryDelay is the pause after the first failed read. It doubles with each further
 	// failure, up to Timing.PollInterval.
-	firstRetry = 500 * time.Millisecond
+	firstRetryDelay = 500 * time.Millisecond
 )
 
 func (t Timing) withDefaults() Timing {
--- a/publisher/tracker.go
+++ b/publisher/tracker.go
@@ -33,7 +33,7 @@
 	anyRequestedAt time.Time          // last request to arbitrary peers
 	rejected       uint64             // newest generation that can't be used
 	rejection      error
-	platformOlder  bool // than what is in force; reported once
+	platformOlder  bool // the platform's head is older than the one in force; reported once
 }
 
 // NewTracker returns the tracker of a host that starts at now. The jitter function returns
@@ -150,9 +150,9 @@
 // reject records a configuration that can't be used; the one in force stays. Each
 // rejection is reported once.
 func (t *Tracker) reject(generation uint64, err error) []Output {
-	known := t.rejection != nil && t.rejected == max(t.rejected, generation)
+	reported := t.rejection != nil && t.rejected == max(t.rejected, generation)
 	t.rejected, t.rejection = max(t.rejected, generation), err
-	if known {
+	if reported {
 		return nil
 	}
 	return []Output{Report{Event: "configuration can't be used; keeping the last good one", Generation: generation, Err: err}}
@@ -163,7 +163,7 @@
 	t.platformUp, t.readingSince = false, time.Time{}
 	wait := t.timing.PollInterval
 	if t.failures < 8 {
-		wait = min(wait, firstRetry<<t.failures)
+		wait = min(wait, firstRetryDelay<<t.failures)
 	}
 	t.failures++
 	t.nextRead = now.Add(t.withJitter(wait))
--- a/publisher/tracker_test.go
+++ b/publisher/tracker_test.go
@@ -36,12 +36,12 @@
 	{prover.Freeze, allSteps, func(_ *fleet, h *host) { h.frozen = true }, func(_ *fleet, h *host) { h.frozen = false }},
 	{prover.CutBothWays, allSteps, func(_ *fleet, h *host) { h.noPeers, h.noStore = true, true }, func(_ *fleet, h *host) { h.noPeers, h.noStore = false, false }},
 	{prover.CutOneWay, allSteps, func(_ *fleet, h *host) { h.noReceive = true }, func(_ *fleet, h *host) { h.noReceive = false }},
-	{prover.Blackhole, allSteps, func(f *fleet, h *host) { h.watchStalled, f.store.outcomes = true, []outcome{dropped} }, func(_ *fleet, h *host) { h.watchStalled = false }},
+	{prover.Blackhole, allSteps, func(f *fleet, h *host) { h.watchStalled, f.store.outcomes = true, []outcome{writeLost} }, func(_ *fleet, h *host) { h.watchStalled = false }},
 	{prover.StoreDown, allSteps, func(f *fleet, _ *host) { f.store.down = true }, func(f *fleet, _ *host) { f.store.down = false }},
 	{prover.StoreSlow, allSteps, func(f *fleet, _ *host) { f.storeDelay = 2 * time.Second }, func(f *fleet, _ *host) { f.storeDelay = 0 }},
 	{prover.WatchGap, afterWrite, func(f *fleet, _ *host) { f.skipEvents() }, func(*fleet, *host) {}},
 	{prover.Reorder, afterWrite, func(f *fleet, _ *host) { f.duplicate = true }, func(f *fleet, _ *host) { f.duplicate = false }},
-	{prover.LostReply, atPush, func(f *fleet, _ *host) { f.store.outcomes = []outcome{lost} }, func(*fleet, *host) {}},
+	{prover.LostReply, atPush, func(f *fleet, _ *host) { f.store.outcomes = []outcome{replyLost} }, func(*fleet, *host) {}},
 	{prover.PushRace, allSteps, func(f *fleet, _ *host) { _ = f.push(newOperator(f.store), "race") }, func(*fleet, *host) {}},
 }
 
@@ -73,9 +73,9 @@
 
 // simulate pushes configurations while the given faults occur. Each starts at its step:
 // before the push, between its read and its write, after the write, or once the push is in
-// force. The faults last for twice the time hold, with another push in the middle. It
+// force. The faults last for twice halfDuration, with another push in the middle. It
 // returns the violations.
-func simulate(hold time.Duration, faults ...cell) []string {
+func simulate(halfDuration time.Duration, faults ...cell) []string {
 	f := newFleet(3)
 	if err := f.push(newOperator(f.store), "first"); err != nil {
 		return []string{err.Error()}
@@ -99,9 +99,9 @@
 	begin(prover.Watched)
 	f.run(2 * step)
 	begin(prover.InForce)
-	f.run(hold)
+	f.run(halfDuration)
 	_ = f.push(newOperator(f.store), "third")
-	f.run(hold)
+	f.run(halfDuration)
 	for i, c := range faults {
 		c.end(f, f.hosts[i])
 	}
@@ -165,7 +165,7 @@
 
 	// Guards against a host that stays ready with a configuration that was replaced, while it
 	// is disconnected from the platform and all other hosts.
-	It("becomes unready when nobody confirms its generation, and ready again", Label(prover.Cell(prover.InForce, prover.CutBothWays)), func() {
+	It("becomes unready when no source confirms its generation, and ready again", Label(prover.Cell(prover.InForce, prover.CutBothWays)), func() {
 		f.hosts[0].noPeers, f.hosts[0].noStore = true, true
 		f.run(11 * time.Second)
 		Expect(f.hosts[0].ready).To(BeFalse())
--- a/router/failure.go
+++ b/router/failure.go
@@ -48,10 +48,10 @@
 // function decides between a status that guarantees that the request was not run and
 // never will be, and a status without this guarantee. mayHaveRun reports whether a
 // worker may have run the request.
-func unanswered(mayHaveRun bool, code string, after time.Duration) *failure {
+func unanswered(mayHaveRun bool, code string, retryAfter time.Duration) *failure {
 	switch {
 	case !mayHaveRun:
-		return &failure{status: http.StatusServiceUnavailable, code: code, retryAfter: after}
+		return &failure{status: http.StatusServiceUnavailable, code: code, retryAfter: retryAfter}
 	case code == codeTimeout:
 		return &failure{status: http.StatusGatewayTimeout, code: code}
 	default:
--- a/router/index.go
+++ b/router/index.go
@@ -106,9 +106,9 @@
 	for _, s := range t.Services {
 		sum += s.Weight
 	}
-	at := share * float64(sum)
+	position := share * float64(sum)
 	for _, s := range t.Services {
-		if at -= float64(s.Weight); at < 0 {
+		if position -= float64(s.Weight); position < 0 {
 			return s.Service
 		}
 	}
--- a/router/metrics.go
+++ b/router/metrics.go
@@ -113,9 +113,9 @@
 	m.refusedWanted.WithLabelValues(tier, r.Reason).Observe(float64(b.Wanted))
 }
 
-// observeFailedSend counts a failed send; again reports whether another send follows.
-func (m *Metrics) observeFailedSend(err error, again bool) {
-	m.failedSends.WithLabelValues(causeLabel(err), strconv.FormatBool(again)).Inc()
+// observeFailedSend counts a failed send; resent reports whether another send follows.
+func (m *Metrics) observeFailedSend(err error, resent bool) {
+	m.failedSends.WithLabelValues(causeLabel(err), strconv.FormatBool(resent)).Inc()
 }
 
 // causeLabel returns the metric label for the error of a failed send.
--- a/router/router.go
+++ b/router/router.go
@@ -190,7 +190,7 @@
 	}
 	if len(req.TransferEncoding) > 0 {
 		// A request that states its length in two ways can be read in two ways, and
-		// bytes after it can be taken for a request that nobody sent (request
+		// bytes after it can be taken for a request that no caller sent (request
 		// smuggling). net/http follows the chunks and silently drops the other length,
 		// so a connection is not reused after a chunked request.
 		w.Header().Set("Connection", "close")
@@ -316,11 +316,11 @@
 
 // timeLeft returns the time until the request's deadline.
 func (q *request) timeLeft(now time.Time) time.Duration {
-	whole := q.Timeout.Std()
+	timeout := q.Timeout.Std()
 	if q.Deadline > 0 {
-		whole = min(whole, q.Deadline)
+		timeout = min(timeout, q.Deadline)
 	}
-	return whole - now.Sub(q.started)
+	return timeout - now.Sub(q.started)
 }
 
 // withTimeout returns a context that ends at the request's deadline.
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -35,8 +35,8 @@
 func (plainDialect) Key(h http.Header) (string, bool) { return h.Get("Key"), h.Get("Key") != "" }
 func (plainDialect) ReadRequest(h http.Header) router.RequestHead {
 	output, _ := strconv.Atoi(h.Get("Output")) // 0 if missing
-	hint, _ := strconv.Atoi(h.Get("Hint"))
-	return router.RequestHead{ID: h.Get("Id"), Deadline: 2 * time.Second, MaxOutput: output, ExpectedOutput: hint, LastEventID: h.Get("After")}
+	expected, _ := strconv.Atoi(h.Get("Hint"))
+	return router.RequestHead{ID: h.Get("Id"), Deadline: 2 * time.Second, MaxOutput: output, ExpectedOutput: expected, LastEventID: h.Get("After")}
 }
 
 func (plainDialect) WriteRequest(h http.Header, o router.WorkerHead) {
@@ -48,9 +48,9 @@
 	return router.AnswerHead{ID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != ""}
 }
 
-func (plainDialect) WriteAnswer(h http.Header, _ string, after time.Duration) {
-	if after > 0 {
-		h.Set("Retry-After", fmt.Sprint(after.Seconds()))
+func (plainDialect) WriteAnswer(h http.Header, _ string, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		h.Set("Retry-After", fmt.Sprint(retryAfter.Seconds()))
 	}
 }
 
@@ -64,11 +64,11 @@
 	outcomes []placer.Outcome
 }
 
-func (p *listPlacer) Place(_ context.Context, a placer.Request, again bool) (router.Placement, error) {
+func (p *listPlacer) Place(_ context.Context, a placer.Request, retry bool) (router.Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests = append(p.requests, a)
-	if again {
+	if retry {
 		if p.budget--; p.budget < 0 {
 			return router.Placement{}, router.Refused{Reason: "retry_budget", RetryAfter: time.Second}
 		}
@@ -97,10 +97,10 @@
 	return append([]placer.Outcome(nil), p.outcomes...)
 }
 
-// fixed is a configuration that does not change.
-type fixed struct{ folder *loader.Folder }
+// fixedConfiguration is a configuration that does not change.
+type fixedConfiguration struct{ folder *loader.Folder }
 
-func (f fixed) Folder() (*loader.Folder, uint64) { return f.folder, 1 }
+func (f fixedConfiguration) Folder() (*loader.Folder, uint64) { return f.folder, 1 }
 
 func folder() *loader.Folder {
 	route := func(prefix string, change func(*loader.HostRoute)) loader.HostRoute {
@@ -132,10 +132,10 @@
 
 var _ = Describe("Router", func() {
 	var (
-		place    *listPlacer
-		url      string
-		seen     chan *http.Request
-		registry *prometheus.Registry
+		fakePlacer *listPlacer
+		url        string
+		seen       chan *http.Request
+		registry   *prometheus.Registry
 	)
 	worker := func(name string, h http.HandlerFunc) {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -144,7 +144,7 @@
 			h(w, r)
 		}))
 		DeferCleanup(s.Close)
-		place.workers = append(place.workers, placer.Worker{Name: name, Address: strings.TrimPrefix(s.URL, "http://")})
+		fakePlacer.workers = append(fakePlacer.workers, placer.Worker{Name: name, Address: strings.TrimPrefix(s.URL, "http://")})
 	}
 	status := func(code int, headers ...string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -156,11 +156,11 @@
 		}
 	}
 	BeforeEach(func() {
-		place, seen, registry = &listPlacer{budget: 100}, make(chan *http.Request, 2000), prometheus.NewRegistry()
+		fakePlacer, seen, registry = &listPlacer{budget: 100}, make(chan *http.Request, 2000), prometheus.NewRegistry()
 		pool, clean := connector.New()
 		DeferCleanup(clean)
 		r := router.New(router.Config{
-			Dialect: plainDialect{}, Configuration: fixed{folder()}, Placer: place, Pool: pool, Log: zap.NewNop(),
+			Dialect: plainDialect{}, Configuration: fixedConfiguration{folder()}, Placer: fakePlacer, Pool: pool, Log: zap.NewNop(),
 			Metrics: router.NewMetrics(registry), MaxAnswer: 1 << 20, WriteTimeout: time.Second, MaxBuffered: 1 << 20,
 		})
 		s := httptest.NewServer(r)
@@ -192,13 +192,13 @@
 			code, _, err := call(bg, path, "s")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(code).To(Equal(http.StatusOK))
-			Expect(place.requests[len(place.requests)-1].Service).To(Equal(service))
+			Expect(fakePlacer.requests[len(fakePlacer.requests)-1].Service).To(Equal(service))
 		}
 		count := map[string]int{}
 		for range 400 {
 			_, _, err := call(bg, "/split/x", "s")
 			Expect(err).NotTo(HaveOccurred())
-			count[place.requests[len(place.requests)-1].Service]++
+			count[fakePlacer.requests[len(fakePlacer.requests)-1].Service]++
 		}
 		Expect(count["x"]).To(BeNumerically("~", 360, 35))
 		Expect(count).NotTo(HaveKey("z"))
@@ -253,13 +253,13 @@
 		code, _, err = call(bg, "/a/x", "s") // repeatable, but there is no other worker
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(http.StatusInternalServerError))
-		Expect(place.ended()).To(Equal([]placer.Outcome{placer.Errored, placer.Errored}))
+		Expect(fakePlacer.ended()).To(Equal([]placer.Outcome{placer.Errored, placer.Errored}))
 	})
 
 	It("repeats only within the budget, and then passes on the stored error response", func() {
 		worker("w-1", status(http.StatusInternalServerError, "Seal"))
 		worker("w-2", status(http.StatusOK, "Seal"))
-		place.budget = 1
+		fakePlacer.budget = 1
 		code, _, err := call(bg, "/a/x", "s")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(code).To(Equal(http.StatusOK))
@@ -304,18 +304,18 @@
 	// delayed.
 	It("does not send a request whose caller disconnected during its delay", func() {
 		worker("w", status(http.StatusOK, "Seal"))
-		place.pause = 300 * time.Millisecond
+		fakePlacer.pause = 300 * time.Millisecond
 		ctx, leave := context.WithTimeout(bg, 50*time.Millisecond)
 		defer leave()
 		_, _, err := call(ctx, "/a/x", "s")
 		Expect(err).To(MatchError(context.DeadlineExceeded))
-		Eventually(place.ended, time.Second).Should(Equal([]placer.Outcome{placer.Canceled}))
+		Eventually(fakePlacer.ended, time.Second).Should(Equal([]placer.Outcome{placer.Canceled}))
 		Expect(seen).To(BeEmpty())
 	})
 
 	// A long stream breaks after most of its events and resumes at another worker.
-	// Judged by its original expected length, it would be refused there for lack of
-	// time, and the caller would be left with a partial answer.
+	// If its original expected length were assumed, it would be refused there for lack of
+	// time, and the caller would have only part of the answer.
 	It("passes the expected output to the placer, except for resumed streams", func() {
 		broken := true
 		events := func(w http.ResponseWriter, _ *http.Request) {
@@ -331,12 +331,12 @@
 		worker("w", events)
 		worker("w-2", events)
 		expected := func(header ...string) []int {
-			place.requests = nil
+			fakePlacer.requests = nil
 			code, _, err := call(bg, "/flow/x", "s", header...)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(code).To(Equal(http.StatusOK))
 			var out []int
-			for _, a := range place.requests {
+			for _, a := range fakePlacer.requests {
 				out = append(out, a.Expected)
 			}
 			return out
--- a/router/stream.go
+++ b/router/stream.go
@@ -98,11 +98,11 @@
 }
 
 // isLater reports whether an event ID follows another. IDs increase within a stream.
-func isLater(id, than string) bool {
+func isLater(id, previous string) bool {
 	a, errA := strconv.ParseUint(id, 10, 64)
-	b, errB := strconv.ParseUint(than, 10, 64)
+	b, errB := strconv.ParseUint(previous, 10, 64)
 	if errA != nil || errB != nil {
-		return id != than
+		return id != previous
 	}
 	return a > b
 }
--- a/router/trip.go
+++ b/router/trip.go
@@ -75,19 +75,19 @@
 		if t.lastEventID != "" {
 			t.q.placement.Expected = 0 // the remaining length is unknown
 		}
-		place, err := t.router.Placer.Place(ctx, t.q.placement, t.transmitted > 0)
+		placement, err := t.router.Placer.Place(ctx, t.q.placement, t.transmitted > 0)
 		if err != nil {
 			return t.notPlaced(caller, err)
 		}
-		if !sleep(ctx, place.Delay) {
-			t.router.Placer.Ended(place, placer.Canceled)
+		if !sleep(ctx, placement.Delay) {
+			t.router.Placer.Ended(placement, placer.Canceled)
 			return t.timedOut(caller)
 		}
 		t.sends++
-		t.worker, t.expectedWait, t.promptTokens, t.placedBy, t.source = place.Worker.Name, place.ExpectedWait, place.PromptTokens, place.PlacedBy, place.Source
+		t.worker, t.expectedWait, t.promptTokens, t.placedBy, t.source = placement.Worker.Name, placement.ExpectedWait, placement.PromptTokens, placement.PlacedBy, placement.Source
 		t.sentAt = time.Now()
-		err = t.send(ctx, place)
-		t.router.Placer.Ended(place, t.outcome(caller, err))
+		err = t.send(ctx, placement)
+		t.router.Placer.Ended(placement, t.outcome(caller, err))
 		if err == nil {
 			return nil
 		}
@@ -96,12 +96,12 @@
 			t.transmitted++
 		}
 		f, final := t.afterFailure(caller, ctx, err)
-		t.log(place, final)
+		t.log(placement, final)
 		t.router.Metrics.observeFailedSend(err, !final)
 		if final {
 			return f
 		}
-		t.q.placement.Exclude = append(t.q.placement.Exclude, place.Worker.Name)
+		t.q.placement.Exclude = append(t.q.placement.Exclude, placement.Worker.Name)
 	}
 }
 
@@ -198,7 +198,7 @@
 	return t.delivery.write(k.body) == nil
 }
 
-// outcome returns what a send reveals about its worker.
+// outcome returns the outcome of a send, from which the placer assesses the worker.
 func (t *transaction) outcome(caller context.Context, err error) placer.Outcome {
 	switch {
 	case err == nil:
@@ -220,9 +220,9 @@
 // errOtherWorker accompanies errNotRun: the address now belongs to another worker.
 var errOtherWorker = errors.New("another worker has the address")
 
-// silenceTimeout returns the maximum wait for an answer to begin, with its first event
-// or as a whole, which leaves time
-// to try another worker. 0 allows the whole time: only repeatable requests have a limit.
+// silenceTimeout returns the maximum wait until an answer begins, with its first event or
+// as a whole. It leaves time to try another worker. 0 allows the whole time: only
+// repeatable requests have a limit.
 func (t *transaction) silenceTimeout(p Placement) time.Duration {
 	if !t.q.Repeatable() || t.mayHaveRunCount+1 >= t.q.MaxAttempts {
 		return 0
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -54,10 +54,10 @@
 	c.send(now, k.owner, k.ask)
 }
 
-// handleGrant applies a grant, or gives it back if it is of no use: the caller has gone
-// away, the call already has a place from another dispatcher, or the dispatcher is older
-// than one that this host knows. Such a dispatcher resumed after a freeze and does not
-// know what its successor granted.
+// handleGrant applies a grant, or returns its place if that is not needed: the caller has
+// disconnected, the call already has a place from another dispatcher, or the dispatcher is
+// older than one that this host knows. Such a dispatcher resumed after a freeze and does
+// not know the grants of its successor.
 func (c *control) handleGrant(now time.Time, from string, g messenger.Grant) {
 	c.chooser.RecordWait(now, g.Cell, g.Class, g.Wait)
 	k := c.calls[g.Request]
--- a/runner/catching.go
+++ b/runner/catching.go
@@ -17,16 +17,16 @@
 // catchUp sends the running requests, and the limits that workers reported, to hosts that
 // have just started or become listeners. Where each host decides, each sends its own
 // requests; where a few decide, the first of those that were listeners before sends all.
-func (p *selector) catchUp(now time.Time, before registrar.Roster, listened []registrar.Record) {
-	few := len(p.deciderSet.deciders) > 0
-	if len(listened) == 0 {
-		listened = before.Hosts() // each received all updates
+func (p *selector) catchUp(now time.Time, previousRoster registrar.Roster, previousListeners []registrar.Record) {
+	hasDeciders := len(p.deciderSet.deciders) > 0
+	if len(previousListeners) == 0 {
+		previousListeners = previousRoster.Hosts() // each received all updates
 	}
-	if few && !p.sendsCatchUp(listened) {
+	if hasDeciders && !p.sendsCatchUp(previousListeners) {
 		return
 	}
-	added := p.newListeners(listened)
-	running := p.view.RunningFlights(now, few)
+	added := p.newListeners(previousListeners)
+	running := p.view.RunningFlights(now, hasDeciders)
 	limits := limitMessages(p.view.Limits())
 	if len(added) == 0 || len(running) == 0 && len(limits) == 0 {
 		return
@@ -52,10 +52,10 @@
 
 // newListeners returns the addresses of hosts that receive flight updates and did not
 // before.
-func (p *selector) newListeners(listened []registrar.Record) []string {
+func (p *selector) newListeners(previousListeners []registrar.Record) []string {
 	var out []string
 	for _, h := range p.flightListeners() {
-		if h.Name != p.self && !containsHost(listened, h.Name) {
+		if h.Name != p.self && !containsHost(previousListeners, h.Name) {
 			out = append(out, h.Control)
 		}
 	}
@@ -72,9 +72,9 @@
 
 // sendsCatchUp reports whether this host is the first of those that were listeners before
 // and still are.
-func (p *selector) sendsCatchUp(listened []registrar.Record) bool {
+func (p *selector) sendsCatchUp(previousListeners []registrar.Record) bool {
 	for _, h := range p.deciderSet.listeners {
-		if containsHost(listened, h.Name) {
+		if containsHost(previousListeners, h.Name) {
 			return h.Name == p.self
 		}
 	}
--- a/runner/catching_test.go
+++ b/runner/catching_test.go
@@ -26,7 +26,7 @@
 		}
 		return registrar.NewRoster(records...)
 	}
-	span := func(n int) []int {
+	hostNumbers := func(n int) []int {
 		out := make([]int, n)
 		for i := range out {
 			out[i] = i
@@ -48,7 +48,7 @@
 		var out []sent
 		now := time.Now()
 		c := runner.NewSelector("h-00", workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
-		c.SetRoster(now, roster(span(4)...))
+		c.SetRoster(now, roster(hostNumbers(4)...))
 		for range 3 {
 			Eventually(c.Ask(now, quote)).Should(Receive())
 		}
@@ -64,7 +64,7 @@
 
 	It("receives all running requests from one earlier listener, when it becomes a listener in a large fleet", func() {
 		now := time.Now()
-		before := roster(span(20)...)
+		before := roster(hostNumbers(20)...)
 		owners := before.Owners("decide", 20)
 		var rest []registrar.Record
 		for _, h := range before.Hosts() {
--- a/runner/choosing.go
+++ b/runner/choosing.go
@@ -37,7 +37,7 @@
 	retryPolicy  retrier.WindowPolicy
 	events       chan event
 	ended        chan struct{}
-	loaded       atomic.Bool // the list of workers was received
+	loaded       atomic.Bool // the first list of workers was received
 	watchesStore atomic.Bool // this host watches the store, as no other does it for it; false until its first list
 
 	view          *placer.View
@@ -45,7 +45,7 @@
 	relay         *relayer.Relay
 	onEra         func(era uint64, source string) // if set, receives the era of each list that another host sent
 	lastHeartbeat time.Time                       // when this host last announced that its list is up to date
-	announced     bool                            // it announced so and has not withdrawn it
+	announced     bool                            // this host announced that its list is up to date, and has not withdrawn it since
 	updatedAt     time.Time                       // when the store, or a host that watches it, last sent the list or its changes
 	folder        *loader.Folder
 	self          string
@@ -220,11 +220,11 @@
 			p.view.HostLost(now, h.Name)
 		}
 	}
-	before, listened := p.roster, p.deciderSet.listeners
+	previousRoster, previousListeners := p.roster, p.deciderSet.listeners
 	p.roster = r
 	p.relay.SetHosts(r)
 	p.deciderSet.setRoster(r)
-	p.catchUp(now, before, listened)
+	p.catchUp(now, previousRoster, previousListeners)
 	p.quarantine.setRoster(now, r)
 	p.view.SetDeciders(len(p.deciderSet.deciders), p.deciderSet.index(p.self))
 	p.maxHosts = max(p.maxHosts, len(r.Hosts()))
--- a/runner/choosing_port.go
+++ b/runner/choosing_port.go
@@ -23,16 +23,16 @@
 		}
 		return r.placement, nil
 	case <-ctx.Done():
-		// The reply may be on its way: its place is given back when it arrives.
-		go p.giveBack(reply)
+		// The reply may be on its way: its place is released when it arrives.
+		go p.releaseUnclaimed(reply)
 		return router.Placement{}, ctx.Err()
 	case <-p.ended:
 		return router.Placement{}, router.Refused{Reason: "host_stopping", RetryAfter: time.Second}
 	}
 }
 
-// giveBack releases the place of a request that no longer waits for it.
-func (p *selector) giveBack(reply <-chan workerReply) {
+// releaseUnclaimed releases the place of a request that no longer waits for it.
+func (p *selector) releaseUnclaimed(reply <-chan workerReply) {
 	select {
 	case r := <-reply:
 		if r.refused == nil {
--- a/runner/deciding.go
+++ b/runner/deciding.go
@@ -18,10 +18,10 @@
 const (
 	// decidersRole is the role whose first owners are the deciders.
 	decidersRole = "decide"
-	// maxSelfDeciding is the number of hosts up to which each host decides for itself by
-	// what all hosts send one another: messages grow with the square of the number of
-	// hosts. In a larger fleet a few deciders place requests for all, and a request costs
-	// about a dozen messages at any size.
+	// maxSelfDeciding is the number of hosts up to which each host decides for itself, by
+	// updates that all hosts send one another: their number grows with the square of the
+	// number of hosts. In a larger fleet a few deciders place requests for all, and a
+	// request costs about a dozen messages at any size.
 	maxSelfDeciding = 16
 	// deciderCount is the number of deciders. A single one would have the most complete
 	// view, but a successor would have to be found at the moment when it fails.
@@ -115,7 +115,7 @@
 // timeout returns how long a decider may take to reply. It follows the measured
 // round-trip time: under heavy load a host's own link is the slow part. With the minimum
 // alone, the host would treat deciders that reply later as failed and decide by itself,
-// although it knows almost nothing of what other hosts send.
+// although it knows almost nothing of the requests that other hosts send.
 func (d *deciderSet) timeout() time.Duration {
 	return min(max(d.rtt+deviationFactor*d.rttDeviation, minDecideTimeout), maxDecideTimeout)
 }
@@ -128,9 +128,9 @@
 		d.rtt, d.rttDeviation = took, took/2
 		return
 	}
-	off := took - d.rtt
-	d.rttDeviation += time.Duration(deviationWeight * float64(off.Abs()-d.rttDeviation))
-	d.rtt += time.Duration(rttWeight * float64(off))
+	deviation := took - d.rtt
+	d.rttDeviation += time.Duration(deviationWeight * float64(deviation.Abs()-d.rttDeviation))
+	d.rtt += time.Duration(rttWeight * float64(deviation))
 }
 
 // sweep removes timed-out requests whose late reply is not awaited any longer.
@@ -219,7 +219,7 @@
 	}
 }
 
-// handleReply handles a decider's reply. A place that arrives too late is given back.
+// handleReply handles a decider's reply. A place that arrives too late is released.
 func (p *selector) handleReply(now time.Time, e placementReplied) {
 	s := e.reply
 	x, known := p.deciderSet.pending[s.ID]
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -98,14 +98,14 @@
 	It("asks a decider again whose reply was late, with a longer timeout", func() {
 		c := newHost(names[10], roster)
 		c.Ask(now, quote)
-		late := map[string]uint64{}
+		requestIDs := map[string]uint64{}
 		for range 3 {
 			to, s := lastRequest()
-			late[to.to] = s.ID
+			requestIDs[to.to] = s.ID
 			c.DeciderTimedOut(now, s.ID)
 		}
 		minTimeout := c.DeciderTimeout()
-		for name, id := range late {
+		for name, id := range requestIDs {
 			c.Receive(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
 		}
 		Expect(c.DeciderTimeout()).To(And(BeNumerically(">", minTimeout), BeNumerically("<=", 200*time.Millisecond)))
--- a/runner/entries.go
+++ b/runner/entries.go
@@ -17,7 +17,7 @@
 // for each other.
 const workersList = "watch/workers"
 
-// storeCallRequested asks whether the host is to call the store next.
+// storeCallRequested asks for the next call of the store.
 type storeCallRequested struct{ reply chan<- storeCall }
 
 // listUpdateReceived is another host's update of the workers' entries.
@@ -39,18 +39,18 @@
 
 // updateWatching records whether this host has to watch the store, and logs a change.
 func (p *selector) updateWatching(now time.Time, why string) {
-	call := p.planCall(now).call
-	if p.watchesStore.Swap(call) == call {
+	required := p.planCall(now).required
+	if p.watchesStore.Swap(required) == required {
 		return
 	}
-	p.log.Info("watching the store", zap.Bool("self", call), zap.Bool("for_all", p.relay.Watching()), zap.String("why", why),
+	p.log.Info("watching the store", zap.Bool("self", required), zap.Bool("for_all", p.relay.Watching()), zap.String("why", why),
 		zap.Duration("age", now.Sub(p.updatedAt)))
 }
 
 // planCall returns the next call of the store that the relay requires.
 func (p *selector) planCall(now time.Time) storeCall {
-	after, call, behind := p.relay.Next(now)
-	n := storeCall{after: after, call: call, wait: relayer.WatchTimeout, forAll: p.relay.Watching()}
+	after, required, behind := p.relay.Next(now)
+	n := storeCall{after: after, required: required, wait: relayer.WatchTimeout, forAll: p.relay.Watching()}
 	if behind {
 		n.wait = catchUpWait
 	}
--- a/runner/entry_test.go
+++ b/runner/entry_test.go
@@ -60,7 +60,7 @@
 	})
 
 	// Guards against a place that is granted to another call during an answer of most of a
-	// minute, as nobody renewed it.
+	// minute, because it was not renewed.
 	It("keeps its place while it renews it", func() {
 		w := newCluster("a", "b")
 		c := holdPlace(w, 10*time.Millisecond)
@@ -86,7 +86,7 @@
 		w := newCluster("a", "b", "c")
 		holdPlace(w, 10*time.Millisecond)
 		old := w.owner()
-		old.left = true
+		old.removed = true
 		w.roster()
 		Expect(old.control.State().Cells).To(BeEmpty())
 	})
@@ -96,7 +96,7 @@
 		w := newCluster("a", "b", "c")
 		c := holdPlace(w, 10*time.Millisecond)
 		old := w.owner()
-		old.crashed, old.left = true, true
+		old.crashed, old.removed = true, true
 		w.frames = nil
 		w.roster()
 		w.advance(10 * time.Millisecond)
--- a/runner/era.go
+++ b/runner/era.go
@@ -31,8 +31,8 @@
 // advance records an era reported by a source. One that is not later has no effect.
 func (e *eraTracker) advance(n uint64, source string) {
 	e.mu.Lock()
-	before, first := e.latest, !e.known
-	if !first && n <= before {
+	previous, first := e.latest, !e.known
+	if !first && n <= previous {
 		e.mu.Unlock()
 		return
 	}
@@ -41,7 +41,7 @@
 	if first || e.restored == nil {
 		return
 	}
-	e.log.Warn("store came back from an older copy", zap.Uint64("before", before), zap.Uint64("era", n), zap.String("from", source))
+	e.log.Warn("store came back from an older copy", zap.Uint64("before", previous), zap.Uint64("era", n), zap.String("from", source))
 	go e.restored(n) // advance is also called by the goroutines that restored notifies
 }
 
--- a/runner/event.go
+++ b/runner/event.go
@@ -30,7 +30,7 @@
 	refusal *server.Refusal
 }
 
-// placeCanceled withdraws a request whose caller went away while it waited.
+// placeCanceled withdraws a request whose caller disconnected while it waited.
 type placeCanceled struct{ request string }
 
 // placeReleased returns a place to its dispatcher.
--- a/runner/export_test.go
+++ b/runner/export_test.go
@@ -187,7 +187,7 @@
 	x.c.handle(now, flightEnded{id: p.ID, outcome: placer.Answered, halfFull: p.HalfFull})
 }
 
-// UpdateDelay returns how long after now the other hosts are notified of what happened.
+// UpdateDelay returns the time from now until the next update to the other hosts.
 func (x Selector) UpdateDelay(now time.Time) time.Duration { return x.c.updateDue.Sub(now) }
 
 // Receive handles a message of another host. The test drives the time, see DeciderTimedOut:
@@ -215,7 +215,7 @@
 // RequestOf returns the request that a message asks a decider to place.
 func RequestOf(s messenger.PlacementRequest) placer.Request { return decodeRequest(s) }
 
-// SendUpdate notifies the other hosts of what happened since it was last called.
+// SendUpdate sends the events since it was last called to the other hosts.
 func (x Selector) SendUpdate() { x.c.sendUpdate() }
 
 // Flights returns the number of requests that the host counts at a worker.
--- a/runner/faults_test.go
+++ b/runner/faults_test.go
@@ -51,14 +51,14 @@
 	},
 	prover.RoleTaken: func(w *cluster) { // by the next host, in its claim window
 		holdPlace(w, 10*time.Millisecond)
-		w.owner().left = true
+		w.owner().removed = true
 		w.roster()
 		w.ask(w.entry())
 		w.advance(100 * time.Millisecond)
 	},
 	prover.RoleHandedOver: func(w *cluster) { // by a leaving host
 		holdPlace(w, 10*time.Millisecond)
-		w.owner().left = true
+		w.owner().removed = true
 		w.roster()
 	},
 }
@@ -78,24 +78,24 @@
 	case prover.Kill:
 		h.crashed = true
 		w.advance(time.Second)
-		h.left = true
+		h.removed = true
 		w.roster()
-		return func() { h.crashed, h.left, h.incarnation = false, false, h.incarnation+1; w.restart(h); w.roster() }
+		return func() { h.crashed, h.removed, h.incarnation = false, false, h.incarnation+1; w.restart(h); w.roster() }
 	case prover.Freeze:
 		h.frozen = true
 		w.advance(lease)
-		h.left = true
+		h.removed = true
 		w.roster()
-		return func() { h.frozen, h.left = false, false; w.advance(50 * time.Millisecond); w.roster() }
+		return func() { h.frozen, h.removed = false, false; w.advance(50 * time.Millisecond); w.roster() }
 	case prover.CutOneWay:
 		h.dropsSent = true
 		return func() { h.dropsSent = false }
 	case prover.CutBothWays:
 		h.dropsSent, h.dropsReceived = true, true
 		w.advance(lease)
-		h.left = true
+		h.removed = true
 		w.roster()
-		return func() { h.dropsSent, h.dropsReceived, h.left = false, false, false; w.roster() }
+		return func() { h.dropsSent, h.dropsReceived, h.removed = false, false, false; w.roster() }
 	case prover.Blackhole: // the roster does not notice it
 		h.dropsSent, h.dropsReceived = true, true
 		return func() { h.dropsSent, h.dropsReceived = false, false }
@@ -139,8 +139,8 @@
 
 // A host fails, freezes, is cut off, falls silent or slows down, or its frames are
 // duplicated and reordered, while a caller waits for a place or has one. Guards against a
-// caller that gets no answer or two, and against a place that is held by nobody and never
-// released: such places add up until none is left.
+// caller that gets no answer or two, and against a place that no call holds and that is
+// never released: such places add up until none is free.
 var _ = Describe("Places of a cell", func() {
 	for _, s := range faultSteps {
 		for _, f := range faultKinds {
--- a/runner/following.go
+++ b/runner/following.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// receive handles a frame before the control goroutine sees it, and returns whether that
-// was all. Configurations bypass the control state, so that one of a megabyte does not
-// delay grants.
+// receive handles a frame before the control goroutine receives it, and returns whether the
+// frame needs no further handling. Configurations bypass the control state, so that one of
+// a megabyte does not delay grants.
 func (g *configFollower) receive(e messenger.Envelope, m messenger.Message) bool {
 	g.ReceiveGeneration(e.From, e.Generation, time.Now())
 	switch m := m.(type) {
--- a/runner/hosts_test.go
+++ b/runner/hosts_test.go
@@ -32,7 +32,7 @@
 	incarnation   uint64
 	crashed       bool
 	frozen        bool
-	left          bool // removed from the roster
+	removed       bool // from the roster
 	delay         time.Duration
 	dropsSent     bool
 	dropsReceived bool
@@ -62,7 +62,7 @@
 // cluster is a few hosts, the frames between them, and their calls.
 type cluster struct {
 	now     time.Time
-	all     []*host
+	hosts   []*host
 	frames  []frame
 	calls   []*call
 	random  *rand.Rand
@@ -74,7 +74,7 @@
 	for _, n := range names {
 		h := &host{name: n, incarnation: 1}
 		w.restart(h)
-		w.all = append(w.all, h)
+		w.hosts = append(w.hosts, h)
 	}
 	w.roster()
 	w.advance(time.Second) // past the claim window
@@ -111,7 +111,7 @@
 }
 
 func (w *cluster) host(name string) *host {
-	for _, h := range w.all {
+	for _, h := range w.hosts {
 		if h.name == name {
 			return h
 		}
@@ -122,13 +122,13 @@
 // roster applies the current roster at all hosts that run.
 func (w *cluster) roster() {
 	var records []registrar.Record
-	for _, h := range w.all {
-		if !h.left {
+	for _, h := range w.hosts {
+		if !h.removed {
 			records = append(records, registrar.Record{Name: h.name, Control: h.name, Incarnation: h.incarnation})
 		}
 	}
 	r := registrar.NewRoster(records...)
-	for _, h := range w.all {
+	for _, h := range w.hosts {
 		if !h.crashed && !h.frozen {
 			h.control.SetRoster(w.now, r)
 		}
@@ -138,8 +138,8 @@
 // owner returns the host that dispatches the cell according to the roster.
 func (w *cluster) owner() *host {
 	var records []registrar.Record
-	for _, h := range w.all {
-		if !h.left {
+	for _, h := range w.hosts {
+		if !h.removed {
 			records = append(records, registrar.Record{Name: h.name})
 		}
 	}
@@ -149,8 +149,8 @@
 
 // entry returns a host that does not dispatch the cell.
 func (w *cluster) entry() *host {
-	for _, h := range w.all {
-		if h != w.owner() && !h.left {
+	for _, h := range w.hosts {
+		if h != w.owner() && !h.removed {
 			return h
 		}
 	}
@@ -170,7 +170,7 @@
 		w.now = w.now.Add(time.Millisecond)
 		w.deliver()
 		if w.now.Sub(startTime)%tick == 0 {
-			for _, h := range w.all {
+			for _, h := range w.hosts {
 				if !h.crashed && !h.frozen {
 					h.control.Tick(w.now)
 				}
@@ -245,7 +245,7 @@
 			ExpectWithOffset(2, c.answers).To(Equal(1), c.id)
 		}
 	}
-	for _, h := range w.all {
+	for _, h := range w.hosts {
 		if h.crashed {
 			continue
 		}
--- a/runner/keeping.go
+++ b/runner/keeping.go
@@ -135,7 +135,7 @@
 
 // receiveCall accepts a call for a partition. A host that is not responsible for it replies
 // that the partition has moved: two keepers that both serve a partition would seal each
-// other out repeatedly.
+// other's logs repeatedly.
 func (k *onceManager) receiveCall(now time.Time, from string, m messenger.Once) {
 	if !k.accepts(m) || len(m.ID) != len(keeper.ID{}) || len(m.Hash) != len(keeper.ID{}) {
 		k.control.send(now, from, messenger.OnceVerdict{Request: m.Request, Kind: uint8(keeper.KindMoved), Reason: keeper.ReasonMoved})
@@ -262,9 +262,9 @@
 		if !c.post(inFlightRequested{reply: reply}) {
 			return 0
 		}
-		left := <-reply
-		if left == 0 || ctx.Err() != nil {
-			return left
+		remaining := <-reply
+		if remaining == 0 || ctx.Err() != nil {
+			return remaining
 		}
 		select {
 		case <-ctx.Done():
--- a/runner/keeping_entry.go
+++ b/runner/keeping_entry.go
@@ -70,7 +70,7 @@
 // sendToKeeper sends the call to the keeper of its partition: the one asked before while
 // its host is on the roster, otherwise the current owner. A leaving host finishes the calls
 // that it has started, and only it knows their answers: a call to its successor would seal
-// it out, and the caller would be told that its call may have run.
+// its log, and the caller would receive the reply that its call may have run.
 func (k *onceManager) sendToKeeper(now time.Time, c *onceCall) {
 	c.nextSend = now.Add(keeperTimeout)
 	if !k.keeperHostAlive(c) {
--- a/runner/keeping_owning.go
+++ b/runner/keeping_owning.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	loadAfter         = 2 * time.Second        // of ownership, before a log is loaded without a call for it
+	loadDelay         = 2 * time.Second        // from the start of ownership until a log is loaded without a call for it
 	loadCheckInterval = 500 * time.Millisecond // between checks for logs to load
 )
 
@@ -26,7 +26,7 @@
 	k.lastLoadCheck = now
 	leaving := slices.ContainsFunc(k.control.roster.Hosts(), func(h registrar.Record) bool { return h.Leaving })
 	for partition, since := range k.ownedSince {
-		if p := k.keeperOf(partition); !leaving && now.Sub(since) >= loadAfter && !p.keeper.Summary().Ready {
+		if p := k.keeperOf(partition); !leaving && now.Sub(since) >= loadDelay && !p.keeper.Summary().Ready {
 			k.handle(now, p, keeper.LoadRequested{})
 		}
 	}
--- a/runner/keeping_place.go
+++ b/runner/keeping_place.go
@@ -51,12 +51,12 @@
 	ask.Exclude = p.triedWorkers[o.ID]
 	ask.Deadline = max(p.payloads[o.Request].deadline.Sub(now), 0)
 	ctx, cancel := context.WithCancel(context.Background())
-	at := attempt{o.ID, o.Attempt}
-	p.acquisitions[at] = &acquisition{cancel: cancel}
+	key := attempt{o.ID, o.Attempt}
+	p.acquisitions[key] = &acquisition{cancel: cancel}
 	go func() {
 		place, err := k.control.Acquire(ctx, m.Service, ask)
 		if err == nil {
-			k.control.post(placeAcquired{keeper: p, attempt: at, place: place})
+			k.control.post(placeAcquired{keeper: p, attempt: key, place: place})
 			return
 		}
 		u := keeper.Unplaced{ID: o.ID, Attempt: o.Attempt, Reason: keeper.ReasonCaller}
@@ -79,12 +79,12 @@
 }
 
 func (k *onceManager) release(now time.Time, p *partitionKeeper, o keeper.Release) {
-	at := attempt{o.ID, o.Attempt}
-	x := p.acquisitions[at]
+	key := attempt{o.ID, o.Attempt}
+	x := p.acquisitions[key]
 	if x == nil {
 		return
 	}
-	delete(p.acquisitions, at)
+	delete(p.acquisitions, key)
 	x.cancel()
 	if x.place != nil {
 		k.control.finishCall(now, placeReleased{place: *x.place, usage: x.usage})
@@ -144,8 +144,8 @@
 	k.handle(now, e.keeper, a)
 }
 
-// callWorker sends one call and returns what is known of its outcome. An answer whose end
-// can't be told from a cut connection counts as cut.
+// callWorker sends one call and returns what is known of its outcome. An answer whose
+// end can't be distinguished from a broken connection counts as cut off.
 func (k *onceManager) callWorker(ctx context.Context, address string, c forwarder.Call) (keeper.CallResult, *keeper.Answer, error) {
 	answer, err := k.forward.Do(ctx, address, c)
 	switch {
--- a/runner/leaving.go
+++ b/runner/leaving.go
@@ -33,18 +33,18 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	defer h.cancelOn(abort, cancel)()
-	settleTimer := time.NewTimer(h.settings.Limits.UnreadyDelay.Std())
-	defer settleTimer.Stop()
+	unreadyTimer := time.NewTimer(h.settings.Limits.UnreadyDelay.Std())
+	defer unreadyTimer.Stop()
 	select {
-	case <-settleTimer.C:
+	case <-unreadyTimer.C:
 	case <-ctx.Done():
 	}
 	if err := h.server.Shutdown(ctx); err != nil {
 		return h.abort(err)
 	}
-	if left := h.control.waitOnceIdle(ctx); left > 0 {
-		h.log.Error("left", zap.Int("operations", left), zap.Int64("cut", 0))
-		return fmt.Errorf("%w: %d operations of other hosts", ErrAborted, left)
+	if remaining := h.control.waitOnceIdle(ctx); remaining > 0 {
+		h.log.Error("left", zap.Int("operations", remaining), zap.Int64("cut", 0))
+		return fmt.Errorf("%w: %d operations of other hosts", ErrAborted, remaining)
 	}
 	h.log.Info("left", zap.Int64("cut", 0))
 	return nil
--- a/runner/listing.go
+++ b/runner/listing.go
@@ -25,9 +25,9 @@
 	gapWaitSpread = 600 * time.Millisecond
 	// minGapInterval is the time after a gap within which another gap delays the next list.
 	minGapInterval = 2 * time.Second
-	// turnCheckInterval is how often a host for which others watch checks whether it has to
+	// watchCheckInterval is how often a host for which others watch checks whether it has to
 	// call the store itself.
-	turnCheckInterval = 100 * time.Millisecond
+	watchCheckInterval = 100 * time.Millisecond
 )
 
 // storeWatch reads the workers' entries from the platform's store when the host's relay
@@ -50,9 +50,9 @@
 // storeCall is the next call of the store: whether the host makes it, and after which
 // version.
 type storeCall struct {
-	after storer.Version
-	call  bool
-	wait  time.Duration // how long the call waits for a change
+	after    storer.Version
+	required bool
+	wait     time.Duration // how long the call waits for a change
 
 	forAll bool // the host watches for all others
 }
@@ -95,9 +95,9 @@
 	if call.forAll {
 		return
 	}
-	until := time.Now().Add(minGapWait + rand.N(gapWaitSpread))
-	for time.Now().Before(until) && ctx.Err() == nil && l.nextCall(ctx).after.Era() == call.after.Era() {
-		pause(ctx, turnCheckInterval)
+	deadline := time.Now().Add(minGapWait + rand.N(gapWaitSpread))
+	for time.Now().Before(deadline) && ctx.Err() == nil && l.nextCall(ctx).after.Era() == call.after.Era() {
+		pause(ctx, watchCheckInterval)
 	}
 }
 
@@ -125,8 +125,8 @@
 func (l *storeWatch) watch(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n := l.nextCall(ctx)
-		if !n.call {
-			pause(ctx, turnCheckInterval)
+		if !n.required {
+			pause(ctx, watchCheckInterval)
 			continue
 		}
 		objects, version, err := l.store.Watch(ctx, platform.WorkersPrefix, n.after, n.wait)
--- a/runner/marking.go
+++ b/runner/marking.go
@@ -49,7 +49,7 @@
 	}
 	q.recordReport(now, m)
 	if owner, ok := q.roster.Owner(quarantineRole); ok && owner.Name != q.self {
-		// A lost report costs one more worker.
+		// If the report is lost, the request can crash one more worker.
 		if err := q.sender.Send(owner.Control, m); err != nil {
 			q.log.Warn("mark", zap.String("peer", owner.Name), zap.Error(err))
 		}
--- a/runner/naming.go
+++ b/runner/naming.go
@@ -20,13 +20,13 @@
 // updateLimit applies a worker's limit and forwards a new one to the other hosts: it
 // applies to all hosts together.
 func (p *selector) updateLimit(now time.Time, e limitReported) {
-	was := p.view.RateLimit(e.worker)
+	oldRate := p.view.RateLimit(e.worker)
 	if !p.view.UpdateLimit(now, e.worker, e.rate, e.previous) {
 		return
 	}
 	rate := p.view.RateLimit(e.worker)
-	if rate != was {
-		p.log.Info("limit", zap.String("worker", e.worker), zap.Float64("was", was), zap.Float64("rate", rate))
+	if rate != oldRate {
+		p.log.Info("limit", zap.String("worker", e.worker), zap.Float64("was", oldRate), zap.Float64("rate", rate))
 	}
 	p.pendingUpdate.Limits = append(p.pendingUpdate.Limits, messenger.WorkerLimit{Worker: e.worker, Rate: rate})
 	p.scheduleUpdate(now, p.delayFor(sentDelay, sentDelayToListeners))
@@ -35,8 +35,8 @@
 // receiveLimits applies the limits that workers reported to another host.
 func (p *selector) receiveLimits(now time.Time, from string, limits []messenger.WorkerLimit) {
 	for _, l := range limits {
-		if was := p.view.RateLimit(l.Worker); was != l.Rate {
-			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", was), zap.Float64("rate", l.Rate), zap.String("by", from))
+		if oldRate := p.view.RateLimit(l.Worker); oldRate != l.Rate {
+			p.log.Info("limit", zap.String("worker", l.Worker), zap.Float64("was", oldRate), zap.Float64("rate", l.Rate), zap.String("by", from))
 		}
 		p.view.ReceiveLimit(now, placer.WorkerLimit{Worker: l.Worker, Rate: l.Rate})
 	}
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -18,7 +18,7 @@
 const (
 	reportInterval     = time.Second
 	listInterval       = 5 * time.Second
-	maxParallelReports = 8 // calls for load reports
+	maxParallelReports = 8 // concurrent calls for load reports
 )
 
 // workersListed is a new host list.
@@ -70,8 +70,8 @@
 func (o *workerPoller) postRefusal(address string) { o.control.post(workerRefused{address: address}) }
 
 func (o *workerPoller) run(ctx context.Context) {
-	client, clean := observer.NewClient(o.platform)
-	defer clean()
+	client, closeClient := observer.NewClient(o.platform)
+	defer closeClient()
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	var listed time.Time
--- a/runner/operator.go
+++ b/runner/operator.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// operatorPollInterval is the pause between reads in addition to the watch.
+	// operatorPollInterval is the interval of the reads made in addition to the watch.
 	operatorPollInterval = 25 * time.Second
 	// operatorRetries bounds the pause after failed watches to a second: after an outage of
 	// the platform, too, a change must be in force within seconds.
--- a/runner/quarantining.go
+++ b/runner/quarantining.go
@@ -22,8 +22,8 @@
 	introducerCount = 5
 )
 
-// quarantineSync keeps a host's quarantine of requests that crash workers in step with
-// the other hosts and with the platform's store. One goroutine owns it and the tracker.
+// quarantineSync synchronizes a host's quarantine of requests that crash workers with the
+// other hosts and with the platform's store. One goroutine owns it and the tracker.
 type quarantineSync struct {
 	self    string
 	sender  sender
@@ -41,7 +41,7 @@
 	return &quarantineSync{self: self, sender: s, log: log, tracker: tracker, store: newQuarantineStore(store)}
 }
 
-// quarantineReceived is what another host has quarantined.
+// quarantineReceived contains the requests that another host has quarantined.
 type quarantineReceived struct {
 	from    string
 	entries []quarantiner.Entry
@@ -97,12 +97,12 @@
 
 // publish makes the quarantine visible to other goroutines.
 func (q *quarantineSync) publish(now time.Time) {
-	until := map[quarantiner.Fingerprint]time.Time{}
+	ends := map[quarantiner.Fingerprint]time.Time{}
 	for _, h := range q.tracker.List(now) {
-		until[h.Fingerprint] = now.Add(h.Remaining)
+		ends[h.Fingerprint] = now.Add(h.Remaining)
 	}
-	q.count.Store(int64(len(until)))
-	q.published.Store(&until)
+	q.count.Store(int64(len(ends)))
+	q.published.Store(&ends)
 }
 
 // Quarantined implements server.Quarantine.
@@ -111,8 +111,8 @@
 	if published == nil {
 		return 0, false
 	}
-	left := time.Until((*published)[f])
-	return left, left > 0
+	remaining := time.Until((*published)[f])
+	return remaining, remaining > 0
 }
 
 func (q *quarantineSync) logQuarantined(why string, h quarantiner.Entry) {
@@ -120,7 +120,7 @@
 		zap.Strings("workers", h.Workers), zap.Duration("for", h.Remaining), zap.Duration("span", h.Duration))
 }
 
-// receive merges what another host has quarantined.
+// receive merges the entries of another host.
 func (q *quarantineSync) receive(now time.Time, e quarantineReceived) {
 	if q == nil {
 		return
@@ -128,8 +128,8 @@
 	q.merge(now, "another host holds it back: "+e.from, e.entries)
 }
 
-// merge quarantines what others have quarantined, and returns the entries that are new to
-// this host.
+// merge adds entries of other hosts or of the store to the quarantine, and returns those
+// that are new to this host.
 func (q *quarantineSync) merge(now time.Time, why string, entries []quarantiner.Entry) []quarantiner.Entry {
 	var added []quarantiner.Entry
 	for _, h := range entries {
@@ -142,8 +142,8 @@
 	return added
 }
 
-// handleStoreResult handles the result of a call to the store. What was read is sent to
-// all hosts: they may have started at the same time as this one.
+// handleStoreResult handles the result of a call to the store. New entries that were read
+// are sent to all hosts: they may have started at the same time as this one.
 func (q *quarantineSync) handleStoreResult(now time.Time, e quarantineStoreResult) {
 	if e.malformed != nil {
 		q.log.Warn("quarantine store", zap.String("call", e.call), zap.NamedError("left_out", e.malformed))
@@ -168,15 +168,15 @@
 	if q == nil {
 		return
 	}
-	before := q.roster
+	previousRoster := q.roster
 	q.roster = r
 	entries := q.tracker.List(now)
-	if len(entries) == 0 || !q.introducesHosts(before) {
+	if len(entries) == 0 || !q.introducesHosts(previousRoster) {
 		return
 	}
 	var started []registrar.Record
 	for _, h := range r.Hosts() {
-		if _, old := before.Find(h.Name); !old {
+		if _, old := previousRoster.Find(h.Name); !old {
 			started = append(started, h)
 		}
 	}
@@ -185,9 +185,9 @@
 
 // introducesHosts reports whether this host is the first owner of the role that was on the
 // previous roster.
-func (q *quarantineSync) introducesHosts(before registrar.Roster) bool {
+func (q *quarantineSync) introducesHosts(previousRoster registrar.Roster) bool {
 	for _, h := range q.roster.Owners(quarantineRole, introducerCount) {
-		if _, old := before.Find(h.Name); old {
+		if _, old := previousRoster.Find(h.Name); old {
 			return h.Name == q.self
 		}
 	}
--- a/runner/quarantining_store.go
+++ b/runner/quarantining_store.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// nextJob returns the next call that brings the store in step, or false if it is.
+// nextJob returns the next call that updates the store, or false if it is up to date.
 func (q *quarantineStore) nextJob(entries []quarantiner.Entry) (quarantineJob, bool) {
 	if !q.loaded {
 		return quarantineJob{}, true
--- a/runner/quarantining_test.go
+++ b/runner/quarantining_test.go
@@ -52,7 +52,7 @@
 		}
 	})
 
-	// Guards against a new owner that releases what its predecessor quarantined.
+	// Guards against a new owner that releases requests that its predecessor quarantined.
 	It("gives a new owner its predecessor's entries, with their full duration", func() {
 		own(entry)
 		sweep(time.Second, true, entry)
@@ -62,7 +62,7 @@
 		Expect(read[0]).To(Equal(quarantiner.Entry{Fingerprint: 7, Remaining: 10 * time.Minute, Duration: 10 * time.Minute, Workers: entry.Workers}))
 	})
 
-	// Guards against losing what is quarantined while the store is down.
+	// Guards against losing requests that are quarantined while the store is down.
 	It("is written once the store answers again", func() {
 		own()
 		fake.SetFaults(faker.Faults{Down: true})
--- a/runner/rejoining.go
+++ b/runner/rejoining.go
@@ -8,8 +8,8 @@
 )
 
 // detectRejoin handles that this host was declared dead, for example while it was frozen,
-// and has rejoined. The others have reclaimed the places of its calls. Its cells went with
-// the roster that it was not on; its calls are registered again here, also where the owner
+// and has rejoined. The others have reclaimed the places of its calls. Its dispatchers ended
+// with the roster that it was not on; its calls are registered again here, even if the owner
 // is unchanged. Its keepers' logs may have been sealed.
 func (c *control) detectRejoin(now time.Time, r registrar.Roster) {
 	self, ok := r.Find(c.self)
--- a/runner/routing.go
+++ b/runner/routing.go
@@ -103,15 +103,15 @@
 }
 
 // readyHandler answers the balancer. A host that knows no workers yet is unready: it would
-// refuse what another host can serve.
+// refuse requests that another host can serve.
 func (h *Host) readyHandler() http.Handler {
-	own := h.server.ReadyHandler()
+	ownHandler := h.server.ReadyHandler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !h.routes.selector.loaded.Load() {
 			http.Error(w, "no workers known", http.StatusServiceUnavailable)
 			return
 		}
-		own.ServeHTTP(w, r)
+		ownHandler.ServeHTTP(w, r)
 	})
 }
 
--- a/runner/sharing.go
+++ b/runner/sharing.go
@@ -18,7 +18,7 @@
 	// plans that met their deadline fell from 85 to 65 of 100 with stand-in workers.
 	sentDelay = time.Millisecond
 	// updateDelay is how long first events and ends wait, so that one message reports all
-	// that happens in that time. This delay costs less than one plan in 100.
+	// events of that time. This delay costs less than one plan in 100.
 	updateDelay = 20 * time.Millisecond
 	// updateDelayToListeners is updateDelay where a few hosts decide for all. A listener
 	// receives such a message from every host: with 64 hosts and 20 ms that is 3,200 a
@@ -86,13 +86,13 @@
 	return out
 }
 
-// delayFor returns the delay that applies: each where each host decides for itself,
-// few where a few hosts decide for all.
-func (p *selector) delayFor(each, few time.Duration) time.Duration {
+// delayFor returns the delay that applies: toAll where updates go to all hosts, as each
+// decides for itself, and toListeners where a few hosts decide for all.
+func (p *selector) delayFor(toAll, toListeners time.Duration) time.Duration {
 	if len(p.deciderSet.deciders) == 0 {
-		return each
+		return toAll
 	}
-	return few
+	return toListeners
 }
 
 // scheduleUpdate makes the next update leave within the given time at the latest.
@@ -104,7 +104,7 @@
 	}
 }
 
-// sendUpdate sends what happened on this host since the last update to the other hosts.
+// sendUpdate sends the events on this host since the last update to the other hosts.
 func (p *selector) sendUpdate() {
 	p.updateDue = time.Time{}
 	m := p.pendingUpdate
--- a/server/admit.go
+++ b/server/admit.go
@@ -24,8 +24,8 @@
 	if lowest <= 0 || tier <= 0 {
 		return int64(limit)
 	}
-	part := (1 - lowestTierShare) * float64(min(tier, lowest)) / float64(lowest)
-	return int64(float64(limit) * (1 - part))
+	reservedShare := (1 - lowestTierShare) * float64(min(tier, lowest)) / float64(lowest)
+	return int64(float64(limit) * (1 - reservedShare))
 }
 
 // maxConnsPerCall is the number of caller connections accepted per place of a host. It
--- a/server/bench_test.go
+++ b/server/bench_test.go
@@ -29,10 +29,10 @@
 // benchEngine streams events without delay, or sends a whole answer if no stream is
 // requested. It keeps a stream open if the prompt is "hold".
 func benchEngine(w http.ResponseWriter, r *http.Request) {
-	asked, _ := io.ReadAll(r.Body)
+	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("X-Request-Id")
 	w.Header().Set("X-Request-Id", id)
-	if !bytes.Contains(asked, []byte(`"stream":true`)) {
+	if !bytes.Contains(body, []byte(`"stream":true`)) {
 		w.Header().Set("Content-Type", "application/json")
 		fmt.Fprintf(w, `{"id":%q,"choices":[{"message":{"content":"x"}}],"usage":{"completion_tokens":1}}`, id)
 		return
@@ -43,7 +43,7 @@
 		fmt.Fprintf(w, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":\"lm\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"token \"},\"finish_reason\":null}]}\n\n", id)
 		_ = control.Flush()
 	}
-	if bytes.Contains(asked, []byte(`"hold"`)) {
+	if bytes.Contains(body, []byte(`"hold"`)) {
 		<-r.Context().Done()
 		return
 	}
@@ -79,7 +79,7 @@
 	engine := httptest.NewServer(http.HandlerFunc(benchEngine))
 	proxy := httptest.NewServer(copyProxy(engine.URL))
 	s := newFixture(options{resume: true, silence: time.Minute, limits: func(l *loader.Limits) { l.MaxCalls = 20000 }})
-	s.places.workers = []loader.Worker{{Name: "bench", Address: strings.TrimPrefix(engine.URL, "http://"), Slots: 1 << 20}}
+	s.allocator.workers = []loader.Worker{{Name: "bench", Address: strings.TrimPrefix(engine.URL, "http://"), Slots: 1 << 20}}
 	b.Cleanup(func() {
 		s.close()
 		proxy.Close()
@@ -97,7 +97,7 @@
 	return client.Do(r)
 }
 
-func benchmark(b *testing.B, body string, per int) {
+func benchmark(b *testing.B, body string, eventsPerCall int) {
 	for _, path := range enginePaths(b) {
 		b.Run(path.name, func(b *testing.B) {
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
@@ -110,7 +110,7 @@
 				_, _ = io.Copy(io.Discard, resp.Body)
 				_ = resp.Body.Close()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*per), "ns/event")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*eventsPerCall), "ns/event")
 		})
 	}
 }
@@ -124,13 +124,13 @@
 func BenchmarkOpen(b *testing.B) {
 	const streams = 1000
 	body := strings.Replace(completionBody(true), `"trip"`, `"hold"`, 1)
-	for _, way := range enginePaths(b) {
-		b.Run(way.name, func(b *testing.B) {
+	for _, path := range enginePaths(b) {
+		b.Run(path.name, func(b *testing.B) {
 			for b.Loop() {
 				client := &http.Client{Transport: &http.Transport{}}
 				ctx, leave := context.WithCancel(context.Background())
 				before := inUse()
-				openStreams(ctx, client, way.url, body, streams)
+				openStreams(ctx, client, path.url, body, streams)
 				b.ReportMetric(float64(inUse()-before)/streams, "B/stream")
 				leave()
 				client.CloseIdleConnections()
--- a/server/delivery.go
+++ b/server/delivery.go
@@ -40,9 +40,9 @@
 	return &delivery{w: w, control: http.NewResponseController(w), q: q, writeTimeout: writeTimeout}
 }
 
-// total returns the number of tokens of the answer, as counted by the engine if it
+// totalTokens returns the number of tokens of the answer, as counted by the engine if it
 // states it.
-func (d *delivery) total() int { return max(d.tokens, d.usage) }
+func (d *delivery) totalTokens() int { return max(d.tokens, d.usage) }
 
 // extendDeadline allows the caller writeTimeout to accept the next write. Without a
 // deadline, a caller that stops reading would occupy its place, and memory,
--- a/server/failure.go
+++ b/server/failure.go
@@ -108,11 +108,11 @@
 	if s.quarantine == nil {
 		return nil
 	}
-	after, quarantined := s.quarantine.Quarantined(q.fingerprint)
+	retryAfter, quarantined := s.quarantine.Quarantined(q.fingerprint)
 	if !quarantined {
 		return nil
 	}
-	return &failure{status: http.StatusServiceUnavailable, code: codeQuarantine, message: "the request ended the backend servers that ran it, and is held back", run: RunNo, retryAfter: after}
+	return &failure{status: http.StatusServiceUnavailable, code: codeQuarantine, message: "the request ended the backend servers that ran it, and is held back", run: RunNo, retryAfter: retryAfter}
 }
 
 func deadlineFailure() *failure {
--- a/server/fixture_test.go
+++ b/server/fixture_test.go
@@ -33,8 +33,8 @@
 	key     = "quay"
 )
 
-// places is a server.Allocator that hands out a list of workers in turn.
-type places struct {
+// fakeAllocator is a server.Allocator that hands out a list of workers in turn.
+type fakeAllocator struct {
 	mu       sync.Mutex
 	workers  []loader.Worker
 	next     int
@@ -48,16 +48,16 @@
 	granted func(p *server.Place) // called with each place before it is handed out
 }
 
-func (p *places) Acquire(ctx context.Context, _ string, a messenger.Ask) (server.Place, error) {
+func (p *fakeAllocator) Acquire(ctx context.Context, _ string, a messenger.Ask) (server.Place, error) {
 	p.mu.Lock()
-	n, hold := len(p.asks), p.gate
+	n, gate := len(p.asks), p.gate
 	p.asks = append(p.asks, a)
 	p.mu.Unlock()
-	if hold != nil {
+	if gate != nil {
 		select {
 		case <-ctx.Done():
 			return server.Place{}, server.ErrCallerGone
-		case <-hold:
+		case <-gate:
 		}
 	}
 	if p.refusal != nil {
@@ -87,22 +87,22 @@
 	return place, nil
 }
 
-func (p *places) Progress(server.Place, int) {}
+func (p *fakeAllocator) Progress(server.Place, int) {}
 
-func (p *places) Release(_ server.Place, u server.Usage) {
+func (p *fakeAllocator) Release(_ server.Place, u server.Usage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.released = append(p.released, u)
 }
 
 // counts returns how many places were requested and released.
-func (p *places) counts() (asked, released int) {
+func (p *fakeAllocator) counts() (asked, released int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.asks), len(p.released)
 }
 
-func (p *places) preemptLast() {
+func (p *fakeAllocator) preemptLast() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	close(p.preempt)
@@ -180,11 +180,11 @@
 // fixture is an entry in front of a set of workers.
 type fixture struct {
 	*workerSet
-	places *places
-	server *server.Server
-	url    string
-	client *http.Client
-	clean  []func()
+	allocator *fakeAllocator
+	server    *server.Server
+	url       string
+	client    *http.Client
+	clean     []func()
 }
 
 // options configure a fixture.
@@ -197,8 +197,8 @@
 }
 
 func newFixture(o options) *fixture {
-	s := &fixture{workerSet: acquireWorkers(), places: &places{}}
-	s.places.workers = s.workers
+	s := &fixture{workerSet: acquireWorkers(), allocator: &fakeAllocator{}}
+	s.allocator.workers = s.workers
 	f := s.folder(o)
 	limits := loader.Limits{
 		MaxBody: 1 << 20, MaxHeader: 64 << 10, MaxAnswer: 1 << 20, MaxBuffered: 64 << 20, MaxCalls: 100,
@@ -209,7 +209,7 @@
 	}
 	forward, closeForward := forwarder.New(cmp.Or(o.silence, silence))
 	s.clean = append(s.clean, closeForward)
-	s.server = server.New(limits, configuration{f}, s.places, forward, zap.NewNop(), server.NewMetrics(prometheus.NewRegistry()))
+	s.server = server.New(limits, configuration{f}, s.allocator, forward, zap.NewNop(), server.NewMetrics(prometheus.NewRegistry()))
 	s.server.SetLimiter(o.limiter)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -271,18 +271,18 @@
 	body   string
 }
 
-// whole checks that the caller received the whole answer to its own request, each token
-// once.
-func (g response) whole() error {
+// checkComplete checks that the caller received the whole answer to its own request,
+// each token once.
+func (g response) checkComplete() error {
 	if !g.done || g.code != "" || g.broken {
 		return fmt.Errorf("status %d, done %t, code %q, broken %t, %d tokens", g.status, g.done, g.code, g.broken, len(g.tokens))
 	}
-	return g.exactTokens(tokens)
+	return g.checkTokens(tokens)
 }
 
-// exactTokens checks that the caller received exactly the first n tokens, in order, each
+// checkTokens checks that the caller received exactly the first n tokens, in order, each
 // once.
-func (g response) exactTokens(n int) error {
+func (g response) checkTokens(n int) error {
 	if len(g.tokens) != n {
 		return fmt.Errorf("%d tokens, not %d: %q", len(g.tokens), n, g.tokens)
 	}
@@ -294,13 +294,13 @@
 	return nil
 }
 
-// markedBroken checks that the caller received a correct part from the start of its
+// checkMarkedBroken checks that the caller received a correct part from the start of its
 // answer, and an indication that the rest is missing.
-func (g response) markedBroken() error {
+func (g response) checkMarkedBroken() error {
 	if g.done || (g.code == "" && !g.broken) {
 		return fmt.Errorf("broken, but not marked as such: done %t, %d tokens", g.done, len(g.tokens))
 	}
-	return g.exactTokens(len(g.tokens))
+	return g.checkTokens(len(g.tokens))
 }
 
 func completionBody(stream bool) string {
--- a/server/matrix_test.go
+++ b/server/matrix_test.go
@@ -16,8 +16,8 @@
 
 // stepPositions gives the position of each step in a worker's answer.
 var stepPositions = []struct {
-	step prover.Step
-	at   int
+	step     prover.Step
+	position int
 }{
 	{prover.Sent, faker.AtHead},
 	{prover.FirstToken, 0},
@@ -63,16 +63,16 @@
 
 // faultPoint is one cell of the matrix.
 type faultPoint struct {
-	step  prover.Step
-	at    int
-	fault prover.Fault
+	step     prover.Step
+	position int
+	fault    prover.Fault
 }
 
 func faultPoints() []faultPoint {
 	var out []faultPoint
 	for _, f := range faults {
 		for _, p := range stepPositions {
-			out = append(out, faultPoint{p.step, p.at, f})
+			out = append(out, faultPoint{p.step, p.position, f})
 		}
 	}
 	return out
@@ -103,9 +103,9 @@
 	s := newFixture(options{resume: true})
 	defer s.close()
 	var hit atomic.Int32
-	s.faults.Plan(s.workerFaults(t.fault, t.at, &hit))
-	err := s.stream().whole()
-	if asked, released := s.places.counts(); err == nil && (hit.Load() != 1 || asked != released) {
+	s.faults.Plan(s.workerFaults(t.fault, t.position, &hit))
+	err := s.stream().checkComplete()
+	if asked, released := s.allocator.counts(); err == nil && (hit.Load() != 1 || asked != released) {
 		err = fmt.Errorf("hit %d times, %d places requested, %d released", hit.Load(), asked, released)
 	}
 	if err != nil {
@@ -123,7 +123,7 @@
 // failAtGrants makes the workers of the first places fail before they are called, one
 // fault per place.
 func (s *fixture) failAtGrants(hit *atomic.Int32, faults ...prover.Fault) {
-	s.places.granted = func(p *server.Place) {
+	s.allocator.granted = func(p *server.Place) {
 		if n := int(hit.Load()); n < len(faults) {
 			hit.Add(1)
 			s.links[p.Worker.Name].Set(grantFaults[faults[n]], 0)
@@ -140,11 +140,11 @@
 	if b.step == prover.Granted {
 		s.failAtGrants(&hit, f, b.fault)
 	} else {
-		s.faults.Plan(s.workerFaults(b.fault, b.at, &hit))
+		s.faults.Plan(s.workerFaults(b.fault, b.position, &hit))
 		var first atomic.Int32
 		s.failAtGrants(&first, f)
 	}
-	err := s.stream().whole()
+	err := s.stream().checkComplete()
 	want := int32(1)
 	if b.step == prover.Granted {
 		want = 2
@@ -164,13 +164,13 @@
 	s := newFixture(options{resume: true})
 	defer s.close()
 	var first, second atomic.Int32
-	x, y := s.workerFaults(a.fault, a.at, &first), s.workerFaults(b.fault, b.at, &second)
+	x, y := s.workerFaults(a.fault, a.position, &first), s.workerFaults(b.fault, b.position, &second)
 	if a.fault == prover.Slow {
 		s.faults.Plan(append(x, y...))
 	} else {
 		s.faults.Plan(x, y)
 	}
-	err := s.stream().whole()
+	err := s.stream().checkComplete()
 	if err == nil && (first.Load() != 1 || second.Load() != 1) {
 		err = fmt.Errorf("hit %d and %d times", first.Load(), second.Load())
 	}
@@ -238,9 +238,9 @@
 var _ = Describe("an answer that can't be resumed", func() {
 	end := func(g response) error {
 		if g.done {
-			return g.whole()
+			return g.checkComplete()
 		}
-		return g.markedBroken()
+		return g.checkMarkedBroken()
 	}
 	It("is whole or marked as broken", func() {
 		all := faultPoints()
@@ -248,7 +248,7 @@
 			s := newFixture(options{})
 			defer s.close()
 			var hit atomic.Int32
-			s.faults.Plan(s.workerFaults(all[i].fault, all[i].at, &hit))
+			s.faults.Plan(s.workerFaults(all[i].fault, all[i].position, &hit))
 			if err := end(s.stream()); err != nil {
 				return fmt.Errorf("stream, %s/%s: %w", all[i].step, all[i].fault, err)
 			}
@@ -263,7 +263,7 @@
 			var hit atomic.Int32
 			f := []prover.Fault{prover.Kill, prover.CutBothWays, prover.MismatchedAnswer, prover.Slow}[i/2]
 			s.faults.Plan(s.workerFaults(f, []int{faker.AtHead, faker.AtEnd}[i%2], &hit))
-			return s.json().whole()
+			return s.json().checkComplete()
 		})).To(Succeed())
 	})
 
--- a/server/metrics.go
+++ b/server/metrics.go
@@ -24,27 +24,27 @@
 // NewMetrics registers the entry role's metrics.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	buckets := prometheus.ExponentialBuckets(0.005, 2, 14)
-	count := func(name, help string, labels ...string) *prometheus.CounterVec {
+	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "cicadawood_" + name + "_total", Help: help}, labels)
 		r.MustRegister(c)
 		return c
 	}
-	times := func(name, help string) *prometheus.HistogramVec {
+	histogram := func(name, help string) *prometheus.HistogramVec {
 		h := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "cicadawood_" + name + "_seconds", Help: help, Buckets: buckets}, []string{"class"})
 		r.MustRegister(h)
 		return h
 	}
 	return &Metrics{
-		requests:  count("requests", "Requests by class and outcome; a refusal's outcome is its reason.", "class", "outcome"),
-		firstByte: times("first", "Time to the first byte of an answer."),
-		completed: times("whole", "Time to the end of an answer that was whole."),
-		broken:    count("broken", "Answers that broke off after they had begun, and were marked so.", "class", "outcome"),
-		retries:   count("retries", "Further tries of a request, by what the last one failed of.", "class", "cause"),
-		resumes:   count("resumes", "Further tries that went on after tokens the caller had.", "class", "cause"),
-		denied:    count("retries_denied", "Retries that the budgets did not allow.", "class"),
-		wasted:    count("wasted_tokens", "Tokens passed of answers that did not become whole.", "class", "cause"),
-		repeated:  count("repeated_tokens", "Tokens of prompts and of answers so far that a further try had an engine read again.", "class", "cause"),
-		tokens:    count("tokens", "Tokens passed.", "class"),
+		requests:  counter("requests", "Requests by class and outcome; a refusal's outcome is its reason.", "class", "outcome"),
+		firstByte: histogram("first", "Time to the first byte of an answer."),
+		completed: histogram("whole", "Time to the end of an answer that was whole."),
+		broken:    counter("broken", "Answers that broke off after they had begun, and were marked so.", "class", "outcome"),
+		retries:   counter("retries", "Further tries of a request, by what the last one failed of.", "class", "cause"),
+		resumes:   counter("resumes", "Further tries that went on after tokens the caller had.", "class", "cause"),
+		denied:    counter("retries_denied", "Retries that the budgets did not allow.", "class"),
+		wasted:    counter("wasted_tokens", "Tokens passed of answers that did not become whole.", "class", "cause"),
+		repeated:  counter("repeated_tokens", "Tokens of prompts and of answers so far that a further try had an engine read again.", "class", "cause"),
+		tokens:    counter("tokens", "Tokens passed.", "class"),
 	}
 }
 
@@ -52,7 +52,7 @@
 func (m *Metrics) observeRequest(q *request, d *delivery, outcome string) {
 	m.requests.WithLabelValues(q.class, outcome).Inc()
 	if q.engine {
-		m.tokens.WithLabelValues(q.class).Add(float64(d.total()))
+		m.tokens.WithLabelValues(q.class).Add(float64(d.totalTokens()))
 	}
 	if d.headSent {
 		m.firstByte.WithLabelValues(q.class).Observe(d.headSentAt.Sub(q.started).Seconds())
--- a/server/once.go
+++ b/server/once.go
@@ -70,7 +70,7 @@
 // hasKey reports whether the caller sent a key.
 func hasKey(h http.Header) bool { return len(h.Values(HeaderKey)) > 0 }
 
-// assignKey sets a generated key on a call without one. As nobody else knows the key,
+// assignKey sets a generated key on a call without one. As no other party knows the key,
 // the call can't be repeated by its caller and needs no keeper and no record: this host
 // sends it once and never again, even during an outage of the platform. The key is not
 // returned to the caller, because repeating it would run the call again.
--- a/server/once_test.go
+++ b/server/once_test.go
@@ -98,7 +98,7 @@
 	// The caller learns one of three outcomes: it ran, it did not run and may be sent
 	// again, or it may have run and must not be sent again.
 	DescribeTable("reports its outcome",
-		func(v messenger.OnceVerdict, status int, code, run string, again bool) {
+		func(v messenger.OnceVerdict, status int, code, run string, wantRetryAfter bool) {
 			call := onceServer(&onceKeeper{verdict: v})
 			resp, text := call("dock", "{}", http.Header{server.HeaderKey: {"k1"}})
 			Expect(resp.status).To(Equal(status))
@@ -110,7 +110,7 @@
 			Expect(e.Error.Run).To(Equal(run))
 			Expect(resp.header.Get(server.HeaderRun)).To(Equal(run))
 			_, hasRetryAfter := resp.header["Retry-After"]
-			Expect(hasRetryAfter).To(Equal(again))
+			Expect(hasRetryAfter).To(Equal(wantRetryAfter))
 			Expect(resp.header.Get(server.HeaderKey)).To(Equal("k1"))
 		},
 		Entry("not run", messenger.OnceVerdict{Kind: uint8(keeper.KindNotRun), Reason: keeper.ReasonStore, RetryAfter: time.Second}, 503, "store_down", "no", true),
--- a/server/port.go
+++ b/server/port.go
@@ -60,7 +60,7 @@
 type Limiter interface {
 	// Admit charges a request of about tokens, or returns how long the caller should
 	// wait before retrying. Usage by less urgent tiers is no reason to refuse a request.
-	Admit(organisation string, tier, tokens int) (after time.Duration, ok bool)
+	Admit(organisation string, tier, tokens int) (retryAfter time.Duration, ok bool)
 	// Settle corrects the tokens charged by Admit by the difference to the actual
 	// number, which may be negative.
 	Settle(organisation string, tier, tokens int)
--- a/server/preempt_test.go
+++ b/server/preempt_test.go
@@ -23,18 +23,18 @@
 		func(at int, streamed bool) {
 			s := startFixture(options{resume: true})
 			s.faults.Plan([]faker.Fault{
-				{Kind: faker.CallHook, At: at, Hook: func(string) { s.places.preemptLast() }},
+				{Kind: faker.CallHook, At: at, Hook: func(string) { s.allocator.preemptLast() }},
 				{Kind: faker.Silent, At: at}, // keeps the answer from ending first
 			})
 			g := s.json
 			if streamed {
 				g = s.stream
 			}
-			Expect(g().whole()).To(Succeed())
-			Expect(s.places.asks).To(HaveLen(2))
-			Expect(s.places.released[0].Failed).To(BeFalse(), "the worker is not at fault")
-			Expect(s.places.asks[1].Request).NotTo(Equal(s.places.asks[0].Request), "messages for the old place can't be taken for the new one")
-			Expect(s.places.asks[1].Exclude).To(BeEmpty())
+			Expect(g().checkComplete()).To(Succeed())
+			Expect(s.allocator.asks).To(HaveLen(2))
+			Expect(s.allocator.released[0].Failed).To(BeFalse(), "the worker is not at fault")
+			Expect(s.allocator.asks[1].Request).NotTo(Equal(s.allocator.asks[0].Request), "messages for the old place can't be taken for the new one")
+			Expect(s.allocator.asks[1].Exclude).To(BeEmpty())
 		},
 		Entry("before it starts", faker.AtHead, true),
 		Entry("before its first token", 0, true),
@@ -45,17 +45,17 @@
 
 	It("does not affect a stream that has begun and can't be resumed", func() {
 		s := startFixture(options{})
-		s.faults.Plan([]faker.Fault{{Kind: faker.CallHook, At: 5, Hook: func(string) { s.places.preemptLast() }}})
-		Expect(s.stream().whole()).To(Succeed())
-		Expect(s.places.asks).To(HaveLen(1))
-		Expect(s.places.asks[0].NonPreemptible).To(BeTrue(), "the dispatcher is informed beforehand")
+		s.faults.Plan([]faker.Fault{{Kind: faker.CallHook, At: 5, Hook: func(string) { s.allocator.preemptLast() }}})
+		Expect(s.stream().checkComplete()).To(Succeed())
+		Expect(s.allocator.asks).To(HaveLen(1))
+		Expect(s.allocator.asks[0].NonPreemptible).To(BeTrue(), "the dispatcher is informed beforehand")
 	})
 
 	It("does not affect a call that must not be repeated", func() {
 		s := startFixture(options{resume: true})
-		s.faults.Plan([]faker.Fault{{Kind: faker.Delayed, Delay: silence, At: faker.AtHead, Hook: func(string) { s.places.preemptLast() }}})
+		s.faults.Plan([]faker.Fault{{Kind: faker.Delayed, Delay: silence, At: faker.AtHead, Hook: func(string) { s.allocator.preemptLast() }}})
 		Expect(s.send(s.request(context.Background(), "/services/desk/holds", "{}")).status).To(Equal(http.StatusOK))
-		Expect(s.places.asks).To(HaveLen(1))
+		Expect(s.allocator.asks).To(HaveLen(1))
 	})
 })
 
@@ -73,20 +73,20 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.engine[0].ActiveSequences()).To(BeNumerically("<=", 1))
 		leave()
-		Eventually(func() int { _, released := s.places.counts(); return released }).Should(Equal(1))
+		Eventually(func() int { _, released := s.allocator.counts(); return released }).Should(Equal(1))
 		Eventually(func() int {
 			return s.engine[0].ActiveSequences() + s.engine[1].ActiveSequences() + s.engine[2].ActiveSequences()
 		}).Should(BeZero())
-		Consistently(func() int { asked, _ := s.places.counts(); return asked }, 2*silence).Should(Equal(1), "there is no retry after the caller has disconnected")
+		Consistently(func() int { asked, _ := s.allocator.counts(); return asked }, 2*silence).Should(Equal(1), "there is no retry after the caller has disconnected")
 	})
 
 	It("loses its place in the queue", Label(prover.Cell(prover.Queued, prover.CutBothWays), prover.Cell(prover.Queued, prover.Kill)), func() {
 		s := startFixture(options{})
-		s.places.gate = make(chan struct{})
+		s.allocator.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		ended := make(chan response, 1)
 		go func() { ended <- s.send(s.request(ctx, "/v1/chat/completions", completionBody(true))) }()
-		Eventually(func() int { asked, _ := s.places.counts(); return asked }).Should(Equal(1))
+		Eventually(func() int { asked, _ := s.allocator.counts(); return asked }).Should(Equal(1))
 		leave()
 		Eventually(ended).Should(Receive())
 		Eventually(s.server.InFlight).Should(BeZero())
@@ -106,14 +106,14 @@
 		_, err := s.client.Do(r)
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(s.server.InFlight, 10*time.Second).Should(BeZero())
-		Expect(s.places.released).To(HaveLen(1))
+		Expect(s.allocator.released).To(HaveLen(1))
 	})
 })
 
 // Callers decide by this whether to send a request again: "no" must be true for every
 // try.
 var _ = Describe("whether it ran", func() {
-	full := func(n int) error {
+	refuseRetries := func(n int) error {
 		if n == 0 {
 			return nil
 		}
@@ -122,24 +122,24 @@
 	DescribeTable("is reported with a refusal",
 		func(plan []faker.Fault, refusal func(int) error, code, run string) {
 			s := startFixture(options{resume: true})
-			s.places.refusal = refusal
+			s.allocator.refusal = refusal
 			s.faults.Plan(plan)
 			g := s.stream()
-			Expect(g.markedBroken()).To(Succeed())
+			Expect(g.checkMarkedBroken()).To(Succeed())
 			Expect(g.code).To(Equal(code))
 			Expect(g.run).To(Equal(run))
 			Expect(g.after).To(BeNumerically(">=", 3*time.Second), "not before the stated time")
 			Expect(g.after).To(BeNumerically("<=", 4500*time.Millisecond), "plus jitter of up to half of it")
 		},
 		Entry("before any try", Label(prover.Cell(prover.Queued, prover.Slow)), nil, func(int) error { return server.Refusal{Reason: "queue", RetryAfter: 3 * time.Second} }, "queue", "no"),
-		Entry("after a try that was refused", []faker.Fault{{Kind: faker.Refuse}}, full, "queue", "no"),
-		Entry("after a try that crashed", []faker.Fault{{Kind: faker.Crash, At: faker.AtHead}}, full, "queue", "unknown"),
-		Entry("after part of the answer was passed on", []faker.Fault{{Kind: faker.Crash, At: 3}}, full, "queue", "unknown"),
+		Entry("after a try that was refused", []faker.Fault{{Kind: faker.Refuse}}, refuseRetries, "queue", "no"),
+		Entry("after a try that crashed", []faker.Fault{{Kind: faker.Crash, At: faker.AtHead}}, refuseRetries, "queue", "unknown"),
+		Entry("after part of the answer was passed on", []faker.Fault{{Kind: faker.Crash, At: 3}}, refuseRetries, "queue", "unknown"),
 	)
 
 	It("is no at a deadline in the queue", Label(prover.Cell(prover.Queued, prover.Blackhole), prover.Cell(prover.Asked, prover.Kill), prover.Cell(prover.Asked, prover.Blackhole)), func() {
 		s := startFixture(options{})
-		s.places.gate = make(chan struct{})
+		s.allocator.gate = make(chan struct{})
 		r := s.request(context.Background(), "/v1/chat/completions", completionBody(true))
 		r.Header.Set("Cicadawood-Deadline", "50")
 		g := s.send(r)
@@ -154,9 +154,9 @@
 		func(fail func(s *fixture)) {
 			s := startFixture(options{})
 			fail(s)
-			Expect(s.stream().whole()).To(Succeed())
-			Expect(s.places.released[0].Failed).To(BeTrue())
-			Expect(s.places.asks[1].Exclude).To(ConsistOf("w0"))
+			Expect(s.stream().checkComplete()).To(Succeed())
+			Expect(s.allocator.released[0].Failed).To(BeTrue())
+			Expect(s.allocator.asks[1].Exclude).To(ConsistOf("w0"))
 		},
 		Entry("crashed", Label(prover.Cell(prover.Granted, prover.Kill), prover.Cell(prover.Granted, prover.CutBothWays)), func(s *fixture) { s.links["w0"].Set(faker.Cut, 0) }),
 		Entry("receiving nothing", Label(prover.Cell(prover.Granted, prover.CutOneWay), prover.Cell(prover.Granted, prover.Blackhole), prover.Cell(prover.Granted, prover.Freeze)), func(s *fixture) { s.links["w0"].Set(faker.BackwardOnly, 0) }),
@@ -167,37 +167,37 @@
 		s := startFixture(options{})
 		var hit atomic.Int32
 		s.faults.Plan(s.workerFaults(prover.Blackhole, faker.AtHead, &hit))
-		Expect(s.stream().whole()).To(Succeed())
-		Expect(s.places.asks).To(HaveLen(1), "a new connection to the same worker was tried")
-		Expect(s.places.released[0].Failed).To(BeFalse())
+		Expect(s.stream().checkComplete()).To(Succeed())
+		Expect(s.allocator.asks).To(HaveLen(1), "a new connection to the same worker was tried")
+		Expect(s.allocator.released[0].Failed).To(BeFalse())
 	})
 
 	// The middlebox drops all connections, including idle ones, which further tries
 	// would otherwise use one after the other.
 	It("does not reuse other connections after one was dropped", Label(prover.Cell(prover.Granted, prover.Blackhole)), func() {
 		s := startFixture(options{})
-		s.places.workers = s.workers[:1]
-		Expect(inParallel(3, func(int) error { return s.stream().whole() })).To(Succeed())
+		s.allocator.workers = s.workers[:1]
+		Expect(inParallel(3, func(int) error { return s.stream().checkComplete() })).To(Succeed())
 		s.links["w0"].Set(faker.SilenceOpen, 0)
-		Expect(s.stream().whole()).To(Succeed())
-		Expect(s.places.asks).To(HaveLen(4))
-		Expect(s.places.released[3].Failed).To(BeFalse())
+		Expect(s.stream().checkComplete()).To(Succeed())
+		Expect(s.allocator.asks).To(HaveLen(4))
+		Expect(s.allocator.released[3].Failed).To(BeFalse())
 	})
 
 	It("treats a rejected fencing number as not run, and acquires a new place", func() {
 		s := startFixture(options{})
 		s.engine[0].SetFencing(true)
-		s.places.granted = func(p *server.Place) {
+		s.allocator.granted = func(p *server.Place) {
 			if p.Worker.Name == "w0" {
 				p.Fence += 10
 			}
 		}
 		for range 4 {
-			Expect(s.stream().whole()).To(Succeed())
-			s.places.granted = nil
+			Expect(s.stream().checkComplete()).To(Succeed())
+			s.allocator.granted = nil
 		}
-		Expect(s.places.released).To(HaveLen(5), "one was rejected and requested again")
-		for _, u := range s.places.released {
+		Expect(s.allocator.released).To(HaveLen(5), "one was rejected and requested again")
+		for _, u := range s.allocator.released {
 			Expect(u.Failed).To(BeFalse())
 		}
 	})
--- a/server/request.go
+++ b/server/request.go
@@ -57,18 +57,19 @@
 
 // ask returns the request as sent to its dispatcher. Each place is requested under a
 // name of its own, so that late messages about a previous place can't be taken for the
-// current one. made is the number of tokens generated at previous places.
-func (q *request) ask(n, made int, exclude []string) messenger.Ask {
+// current one. number is the number of places requested before, and generated is
+// the number of tokens generated at them.
+func (q *request) ask(number, generated int, exclude []string) messenger.Ask {
 	name := q.id
-	if n > 0 {
-		name = fmt.Sprintf("%s.%d", q.id, n)
+	if number > 0 {
+		name = fmt.Sprintf("%s.%d", q.id, number)
 	}
 	output := q.maxOutput
 	if output > 0 {
-		output = max(output-made, 1)
+		output = max(output-generated, 1)
 	}
 	return messenger.Ask{
-		Request: name, Made: made, Class: q.class, Organisation: q.organisation, Prompt: q.promptTokens, Output: output,
+		Request: name, Made: generated, Class: q.class, Organisation: q.organisation, Prompt: q.promptTokens, Output: output,
 		Deadline: max(q.deadline-time.Since(q.started), 0), Waited: time.Since(q.started), Prefix: q.prefixHash,
 		Exclude: exclude, NonPreemptible: q.once || q.engine && q.stream && !q.resumable,
 	}
@@ -88,10 +89,10 @@
 
 // usedTokens returns the tokens that a request actually used.
 func (q *request) usedTokens(d *delivery) int {
-	if !q.engine || d.total() == 0 {
+	if !q.engine || d.totalTokens() == 0 {
 		return 0
 	}
-	return q.promptTokens + d.total()
+	return q.promptTokens + d.totalTokens()
 }
 
 func newID() string {
@@ -102,19 +103,19 @@
 
 // chooseClass sets the class to the one requested in the header if the organisation may
 // use it, or to the route's by default.
-func (q *request) chooseClass(f *loader.Folder, route loader.Route, asked string) *failure {
+func (q *request) chooseClass(f *loader.Folder, route loader.Route, requested string) *failure {
 	q.class = route.Class
-	if asked == "" {
-		asked = route.Class
+	if requested == "" {
+		requested = route.Class
 	}
 	allowed := f.Organisations[q.organisation].Classes
-	class, known := f.Classes[asked]
-	if !known || !slices.Contains(allowed, asked) {
-		return &failure{status: http.StatusForbidden, code: "class_not_allowed", message: fmt.Sprintf("class %q is not one of this organisation's: %s", asked, strings.Join(allowed, ", ")), run: RunNo}
+	class, known := f.Classes[requested]
+	if !known || !slices.Contains(allowed, requested) {
+		return &failure{status: http.StatusForbidden, code: "class_not_allowed", message: fmt.Sprintf("class %q is not one of this organisation's: %s", requested, strings.Join(allowed, ", ")), run: RunNo}
 	}
 	// An unknown name from a header must not be used further: it would become a metric
 	// label.
-	q.class = asked
+	q.class = requested
 	q.tier = class.Tier
 	q.once = route.Once
 	q.firstByteTarget, q.deadline = class.FirstByteTarget.Std(), class.AnswerTarget.Std()
--- a/server/request_test.go
+++ b/server/request_test.go
@@ -21,16 +21,16 @@
 
 // countingLimiter is a server.Limiter that admits a fixed number of requests.
 type countingLimiter struct {
-	mu      sync.Mutex
-	left    int
-	settled []int
+	mu        sync.Mutex
+	remaining int
+	settled   []int
 }
 
 func (l *countingLimiter) Admit(string, int, int) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.left--
-	return 10 * time.Second, l.left >= 0
+	l.remaining--
+	return 10 * time.Second, l.remaining >= 0
 }
 
 func (l *countingLimiter) Settle(_ string, _, tokens int) {
@@ -51,7 +51,7 @@
 			Expect(g.run).To(Equal("no"))
 			Expect(g.header.Get("Cicadawood-Run")).To(Equal("no"))
 			Expect(g.id).NotTo(BeEmpty())
-			Expect(s.places.asks).To(BeEmpty())
+			Expect(s.allocator.asks).To(BeEmpty())
 		},
 		Entry("without a key", func(r *http.Request) { r.Header.Del("Authorization") }, 401, "invalid_api_key"),
 		Entry("with a wrong key", func(r *http.Request) { r.Header.Set("Authorization", "Bearer x") }, 401, "invalid_api_key"),
@@ -65,9 +65,9 @@
 	)
 
 	It("is refused over its limit, with a time to retry", func() {
-		l := &countingLimiter{left: 1}
+		l := &countingLimiter{remaining: 1}
 		s := startFixture(options{limiter: l})
-		Expect(s.stream().whole()).To(Succeed())
+		Expect(s.stream().checkComplete()).To(Succeed())
 		g := s.stream()
 		Expect(g.status).To(Equal(429))
 		Expect(g.code).To(Equal("rate_limited"))
@@ -90,7 +90,7 @@
 var _ = Describe("a host that is nearly full", func() {
 	It("refuses the lowest tier first, and reserves places for the most urgent", func() {
 		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxCalls = 10 }})
-		s.places.gate = make(chan struct{})
+		s.allocator.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		var callers sync.WaitGroup
 		begin := func(class string) {
@@ -122,7 +122,7 @@
 
 	It("limits the bytes that it buffers", func() {
 		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxBuffered = 100 << 10 }})
-		s.places.gate = make(chan struct{})
+		s.allocator.gate = make(chan struct{})
 		ctx, leave := context.WithCancel(context.Background())
 		big := func() *http.Request { return s.request(ctx, "/services/desk/log", strings.Repeat("x", 60<<10)) }
 		var caller sync.WaitGroup
@@ -132,7 +132,7 @@
 		leave()
 		caller.Wait()
 		Eventually(s.server.InFlight).Should(BeZero())
-		close(s.places.gate)
+		close(s.allocator.gate)
 		ctx = context.Background()
 		Expect(s.send(big()).status).To(Equal(http.StatusOK), "the memory was released")
 	})
@@ -159,7 +159,7 @@
 		_, err = last.Read(make([]byte, 1))
 		Expect(err).To(Or(MatchError(io.EOF), MatchError(syscall.ECONNRESET)), "a connection over the limit is closed")
 		_ = open[0].Close()
-		Eventually(func() bool { return s.stream().whole() == nil }).Should(BeTrue())
+		Eventually(func() bool { return s.stream().checkComplete() == nil }).Should(BeTrue())
 	})
 
 	// A caller sends its head and half of its body, and then nothing: disconnected,
@@ -175,7 +175,7 @@
 		Expect(err).NotTo(HaveOccurred(), "the host closes the connection")
 		Expect(string(answer)).To(ContainSubstring("body_unreadable"))
 		Expect(string(answer)).To(ContainSubstring(`"run":"no"`))
-		Expect(s.places.asks).To(BeEmpty())
+		Expect(s.allocator.asks).To(BeEmpty())
 	})
 })
 
@@ -190,7 +190,7 @@
 			Expect(g.status).To(Equal(http.StatusOK))
 			Expect(g.body).To(ContainSubstring(g.id))
 			Expect(g.body).To(HaveSuffix("}"))
-			Expect(s.places.asks).To(HaveLen(2))
+			Expect(s.allocator.asks).To(HaveLen(2))
 		},
 		Entry("before its head", faker.Fault{Kind: faker.Crash, At: faker.AtHead}),
 		Entry("inside its body", faker.Fault{Kind: faker.Crash, At: faker.AtEnd}),
@@ -206,7 +206,7 @@
 			g := s.send(s.request(context.Background(), "/services/desk/holds", "{}"))
 			Expect(g.code).To(Equal(code))
 			Expect(g.run).To(Equal(run))
-			Expect(s.places.asks).To(HaveLen(asks))
+			Expect(s.allocator.asks).To(HaveLen(asks))
 			Expect(s.calls.Counts()).To(HaveLen(ran))
 		},
 		Entry("lost", faker.Fault{Kind: faker.Crash, At: faker.AtHead}, "answer_lost", "unknown", 1, 1),
@@ -226,13 +226,13 @@
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtEnd}})
 		g = large()
 		Expect(g.broken).To(BeTrue(), "it must not end cleanly")
-		Expect(s.places.asks).To(HaveLen(2), "it must not be sent again from its start")
+		Expect(s.allocator.asks).To(HaveLen(2), "it must not be sent again from its start")
 	})
 
 	It("of unknown length that is too large to buffer is reset if it breaks", func() {
 		s := startFixture(options{limits: func(l *loader.Limits) { l.MaxAnswer = 16 }})
 		address, _ := rawWorker("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n64\r\n" + strings.Repeat("x", 100) + "\r\n")
-		s.places.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
+		s.allocator.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
 		g := s.send(s.request(context.Background(), "/services/desk/log", ""))
 		Expect(g.broken).To(BeTrue(), "after a clean end, half an answer would look complete")
 	})
@@ -241,7 +241,7 @@
 		func(method, answer string, status int) {
 			s := startFixture(options{})
 			address, heads := rawWorker(answer)
-			s.places.workers = []loader.Worker{{Name: "old", Address: address, Slots: 1}}
+			s.allocator.workers = []loader.Worker{{Name: "old", Address: address, Slots: 1}}
 			r := s.request(context.Background(), "/services/desk/holds", "")
 			r.Method = method
 			Expect(s.send(r).status).To(Equal(status))
@@ -257,7 +257,7 @@
 	It("of an engine is not requested in a compressed form", func() {
 		s := startFixture(options{})
 		address, heads := rawWorker("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-		s.places.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
+		s.allocator.workers = []loader.Worker{{Name: "raw", Address: address, Slots: 1}}
 		r := s.request(context.Background(), "/v1/chat/completions", completionBody(false))
 		r.Header.Set("Accept-Encoding", "gzip")
 		Expect(s.send(r).status).To(Equal(http.StatusOK))
@@ -292,16 +292,16 @@
 	It("that lacks only its end marker is completed with it", Label(prover.Cell(prover.Acked, prover.CutBothWays)), func() {
 		s := startFixture(options{})
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: faker.AtDone}})
-		Expect(s.stream().whole()).To(Succeed(), "the engine sent a finish reason: nothing is missing")
-		Expect(s.places.asks).To(HaveLen(1))
+		Expect(s.stream().checkComplete()).To(Succeed(), "the engine sent a finish reason: nothing is missing")
+		Expect(s.allocator.asks).To(HaveLen(1))
 	})
 
 	It("that ends cleanly but too early is not whole", func() {
 		s := startFixture(options{})
 		s.faults.Plan([]faker.Fault{{Kind: faker.Truncated, At: 5}})
 		g := s.stream()
-		Expect(g.markedBroken()).To(Succeed())
-		Expect(g.exactTokens(5)).To(Succeed())
+		Expect(g.checkMarkedBroken()).To(Succeed())
+		Expect(g.checkTokens(5)).To(Succeed())
 		Expect(g.code).To(Equal("answer_lost"))
 		Expect(g.run).To(Equal("unknown"))
 	})
@@ -312,9 +312,9 @@
 		s := startFixture(options{resume: true})
 		s.engine[1].SetResume(false)
 		s.faults.Plan([]faker.Fault{{Kind: faker.Crash, At: 5}})
-		Expect(s.stream().whole()).To(Succeed())
-		Expect(s.places.released).To(HaveLen(3), "the second engine started again and was given up")
-		Expect(s.places.released[1].Failed).To(BeTrue())
+		Expect(s.stream().checkComplete()).To(Succeed())
+		Expect(s.allocator.released).To(HaveLen(3), "the second engine started again and was given up")
+		Expect(s.allocator.released[1].Failed).To(BeTrue())
 	})
 
 	// Guards against retries multiplying the load when all engines are down: each
@@ -328,6 +328,6 @@
 			Expect(g.run).To(Equal("no"))
 			Expect(g.after).To(BeNumerically(">=", time.Second))
 		}
-		Expect(len(s.places.asks)-40).To(BeNumerically("<=", 30+8+10), "burst, a fifth of the first tries, and the minimum")
+		Expect(len(s.allocator.asks)-40).To(BeNumerically("<=", 30+8+10), "burst, a fifth of the first tries, and the minimum")
 	})
 })
--- a/server/serve.go
+++ b/server/serve.go
@@ -71,7 +71,7 @@
 	t := &try{transaction: r, place: place}
 	defer func() { r.server.allocator.Release(place, t.usage(err)) }()
 	err = t.do(ctx)
-	if err != nil && ctx.Err() == nil && r.facts(err, false).next() == reconnect && r.spendRetry(err) {
+	if err != nil && ctx.Err() == nil && r.facts(err, false).nextAction() == reconnect && r.spendRetry(err) {
 		err = t.do(ctx)
 	}
 	return err
@@ -84,7 +84,7 @@
 	if !preempted {
 		r.tries++
 	}
-	if r.facts(err, true).next() == giveUp {
+	if r.facts(err, true).nextAction() == giveUp {
 		return false
 	}
 	if preempted {
--- a/server/server.go
+++ b/server/server.go
@@ -113,13 +113,13 @@
 // handler returns the handler of host routes if set, or else that of the package's own
 // interface.
 func (s *Server) handler() http.Handler {
-	own := s.router()
+	ownHandler := s.router()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.hostRoutes != nil {
 			s.serveHostRoute(w, r)
 			return
 		}
-		own.ServeHTTP(w, r)
+		ownHandler.ServeHTTP(w, r)
 	})
 }
 
@@ -264,7 +264,7 @@
 	}
 	s.metrics.observeRequest(q, d, outcome)
 	s.log.Info("request", zap.String("request", q.id), zap.Stringer("fingerprint", q.fingerprint), zap.String("org", q.organisation), zap.String("service", q.service),
-		zap.String("class", q.class), zap.String("outcome", outcome), zap.Int("tokens", d.total()), zap.Duration("took", time.Since(q.started)))
+		zap.String("class", q.class), zap.String("outcome", outcome), zap.Int("tokens", d.totalTokens()), zap.Duration("took", time.Since(q.started)))
 	if abort {
 		panic(http.ErrAbortHandler)
 	}
@@ -278,9 +278,9 @@
 		return fail
 	}
 	if s.limiter != nil {
-		after, ok := s.limiter.Admit(q.organisation, q.tier, q.estimatedTokens())
+		retryAfter, ok := s.limiter.Admit(q.organisation, q.tier, q.estimatedTokens())
 		if !ok {
-			return &failure{status: http.StatusTooManyRequests, code: "rate_limited", message: "the organisation is over its limit", run: RunNo, retryAfter: after}
+			return &failure{status: http.StatusTooManyRequests, code: "rate_limited", message: "the organisation is over its limit", run: RunNo, retryAfter: retryAfter}
 		}
 		defer func() { s.limiter.Settle(q.organisation, q.tier, q.usedTokens(d)-q.estimatedTokens()) }()
 	}
--- a/server/stream.go
+++ b/server/stream.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// isRepeat reports whether an event of a resumed stream repeats what the caller has: the
-// opening events, or the finish reason.
+// isRepeat reports whether an event of a resumed stream repeats a part that the caller
+// has: the opening events, or the finish reason.
 func (t *try) isRepeat(v forwarder.Event) bool {
 	if v.Done || v.Tokens > 0 || v.Usage > 0 {
 		return false
@@ -72,7 +72,7 @@
 }
 
 // passEvent writes one event to the caller.
-func (t *try) passEvent(v forwarder.Event, more bool) error {
+func (t *try) passEvent(v forwarder.Event, nextBuffered bool) error {
 	d := t.delivery
 	if !d.headSent {
 		if err := t.commit(); err != nil {
@@ -85,7 +85,7 @@
 		return err
 	}
 	t.countEvent(v)
-	if more && !v.Done {
+	if nextBuffered && !v.Done {
 		return nil // the next event is already buffered: both are sent in one write
 	}
 	return d.flush()
--- a/server/tries.go
+++ b/server/tries.go
@@ -22,16 +22,16 @@
 	errNotResumed   = errors.New("the engine did not resume at the requested token")
 )
 
-// step is the action after a failed try.
-type step int
+// action is the reaction to a failed try.
+type action int
 
 const (
-	giveUp    step = iota
-	reconnect      // same place, new connection
+	giveUp    action = iota
+	reconnect        // same place, new connection
 	nextPlace
 )
 
-// facts are the inputs to the choice of a step.
+// facts are the inputs to the choice of an action.
 type facts struct {
 	once        bool // the call must not be repeated
 	headSent    bool // the caller has part of the answer
@@ -41,11 +41,11 @@
 	err         error
 }
 
-// next returns the step after a failed try. A call that must not be repeated is sent
+// nextAction returns the action after a failed try. A call that must not be repeated is sent
 // again only after a try that certainly did not run. Once the caller has part of an
 // answer, only the remaining part may follow: an answer from the start would repeat that
 // part.
-func (f facts) next() step {
+func (f facts) nextAction() action {
 	switch {
 	case f.once && !errors.Is(f.err, forwarder.ErrNotRun), f.headSent && !f.resumable, errors.Is(f.err, errCallerWrite):
 		return giveUp
--- a/server/try.go
+++ b/server/try.go
@@ -21,7 +21,7 @@
 
 	call       forwarder.Call
 	answer     *forwarder.Answer
-	sent       time.Time
+	sentAt     time.Time
 	timeToHead time.Duration // time to the head of the answer
 	tokens     int           // received at this place
 	nextReport int           // number of tokens at which progress is reported next
@@ -42,7 +42,7 @@
 	if t.delivery.headSent {
 		t.call.Body = withResume(t.call.Body, t.delivery.tokens)
 	}
-	t.sent = time.Now()
+	t.sentAt = time.Now()
 	answer, err := t.server.forwarder.Do(t.ctx, t.place.Worker.Address, t.call)
 	if err != nil {
 		return t.wrapError(ctx, err)
@@ -50,7 +50,7 @@
 	defer answer.Body.Close()
 	t.answer = answer
 	if t.timeToHead == 0 {
-		t.timeToHead = time.Since(t.sent)
+		t.timeToHead = time.Since(t.sentAt)
 	}
 	if err := t.passAnswer(); err != nil {
 		return t.wrapError(ctx, err)
@@ -79,7 +79,7 @@
 func (t *try) usage(err error) Usage {
 	u := Usage{
 		Tokens: t.tokens, FirstByte: t.timeToHead, Failed: blamesWorker(err),
-		Fingerprint: t.q.fingerprint, ClosedByPeer: errors.Is(err, forwarder.ErrClosedByPeer), Took: time.Since(t.sent),
+		Fingerprint: t.q.fingerprint, ClosedByPeer: errors.Is(err, forwarder.ErrClosedByPeer), Took: time.Since(t.sentAt),
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		u.Failed = t.timeToHead == 0
@@ -92,11 +92,11 @@
 // that are not tried again, and engine answers that are not streamed, may use the whole
 // time; for them it returns 0.
 func (t *try) firstByteTimeout(ctx context.Context) time.Duration {
-	until, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok || t.q.once || (t.q.engine && !t.q.stream) {
 		return 0
 	}
-	bound := time.Until(until) / 2
+	bound := time.Until(deadline) / 2
 	if t.q.firstByteTarget > 0 {
 		bound = min(bound, firstByteFactor*t.q.firstByteTarget)
 	}
