--- a/commander/cmd_diff.go
+++ b/commander/cmd_diff.go
@@ -24,7 +24,7 @@
 	run: func(ctx context.Context, c *cobra.Command, args []string) error {
 		checkout, err := publisher.OpenCheckout(args[0])
 		if err != nil {
-			return usage(err)
+			return usageError(err)
 		}
 		head, err := readHead(ctx, c)
 		if err != nil {
@@ -32,17 +32,17 @@
 		}
 		merged, err := checkout.Merged(head)
 		if err != nil {
-			return pushFailed(err)
+			return withExitCode(err)
 		}
-		changes := changesOf(head.Files, merged)
+		changes := listChanges(head.Files, merged)
 		if asJSON, _ := c.Flags().GetBool("json"); asJSON {
 			if err := json.NewEncoder(c.OutOrStdout()).Encode(changes); err != nil {
 				return err
 			}
 		} else {
 			for _, k := range changes {
-				shown := diff.Diff("head/"+k.File, []byte(head.Files[k.File]), "folder/"+k.File, []byte(merged[k.File]))
-				if _, err := c.OutOrStdout().Write(shown); err != nil {
+				patch := diff.Diff("head/"+k.File, []byte(head.Files[k.File]), "folder/"+k.File, []byte(merged[k.File]))
+				if _, err := c.OutOrStdout().Write(patch); err != nil {
 					return err
 				}
 			}
@@ -54,18 +54,20 @@
 	},
 }
 
-// change is one file that differs.
+// change is one file that a push would add, edit or remove.
 type change struct {
 	File   string `json:"file"`
 	Change string `json:"change"` // added, edited or removed
 }
 
-func changesOf(old, changed loader.Files) []change {
+// listChanges returns the files that differ between old and changed: added and edited ones
+// first, then removed ones, each sorted by name.
+func listChanges(old, changed loader.Files) []change {
 	list := []change{}
 	for _, name := range slices.Sorted(maps.Keys(changed)) {
-		text, there := old[name]
+		text, exists := old[name]
 		switch {
-		case !there:
+		case !exists:
 			list = append(list, change{File: name, Change: "added"})
 		case text != changed[name]:
 			list = append(list, change{File: name, Change: "edited"})
--- a/faker/link.go
+++ b/faker/link.go
@@ -7,38 +7,38 @@
 	"time"
 )
 
-// Link is a TCP link between two ends that can fail: it listens, and passes
-// bytes to a target.
+// Link is a TCP link that can fail: it listens on an address and forwards bytes to a
+// target.
 type Link struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	mode  Mode
+	mode  LinkMode
 	delay time.Duration
 	conns map[*conn]bool
 }
 
-// Mode is what a Link does with bytes.
-type Mode string
+// LinkMode is what a Link does with bytes.
+type LinkMode string
 
 // Modes of a Link.
 const (
-	Pass       Mode = "pass"        // as they come
-	Cut        Mode = "cut"         // every connection closed, none accepted
-	SilentOpen Mode = "silent-open" // connections open now carry nothing more; new ones work
-	Forward    Mode = "forward"     // towards the target only
-	Backward   Mode = "backward"    // from the target only
+	Pass         LinkMode = "pass"        // forwards all bytes as they arrive
+	Cut          LinkMode = "cut"         // closes every connection, and new ones immediately
+	SilenceOpen  LinkMode = "silent-open" // drops the bytes of the connections open now; new ones work
+	ForwardOnly  LinkMode = "forward"     // forwards bytes towards the target only
+	BackwardOnly LinkMode = "backward"    // forwards bytes from the target only
 )
 
-// conn is one connection through a Link, and the way it was silenced.
+// conn is one connection through a Link.
 type conn struct {
 	near, far net.Conn
 	silent    bool
 }
 
-// NewLink listens on address and passes bytes to target; the second result is
-// its clean-up.
+// NewLink listens on address and forwards bytes to target; the function returned stops the
+// link.
 func NewLink(address, target string) (*Link, func(), error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,11 +52,11 @@
 	}, nil
 }
 
-// Address is where the link listens.
+// Address returns the address on which the link listens.
 func (k *Link) Address() string { return k.listener.Addr().String() }
 
-// Set changes what the link does, at once.
-func (k *Link) Set(m Mode, delay time.Duration) {
+// Set changes the mode and the delay with immediate effect.
+func (k *Link) Set(m LinkMode, delay time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.mode, k.delay = m, delay
@@ -65,11 +65,11 @@
 		case Cut:
 			_ = c.near.Close()
 			_ = c.far.Close()
-		case SilentOpen:
+		case SilenceOpen:
 			c.silent = true
 		}
 	}
-	if m == SilentOpen {
+	if m == SilenceOpen {
 		k.mode = Pass
 	}
 }
@@ -80,11 +80,11 @@
 		if err != nil {
 			return
 		}
-		go k.join(near)
+		go k.connect(near)
 	}
 }
 
-func (k *Link) join(near net.Conn) {
+func (k *Link) connect(near net.Conn) {
 	k.mu.Lock()
 	cut := k.mode == Cut
 	k.mu.Unlock()
@@ -102,17 +102,17 @@
 	k.conns[c] = true
 	k.mu.Unlock()
 	var ends sync.WaitGroup
-	ends.Go(func() { k.pump(c, far, near, Backward) })
-	ends.Go(func() { k.pump(c, near, far, Forward) })
+	ends.Go(func() { k.pump(c, far, near, BackwardOnly) })
+	ends.Go(func() { k.pump(c, near, far, ForwardOnly) })
 	ends.Wait()
 	k.mu.Lock()
 	delete(k.conns, c)
 	k.mu.Unlock()
 }
 
-// pump copies until either end closes. A silenced connection swallows bytes
-// without an error, as a middlebox does that has forgotten it.
-func (k *Link) pump(c *conn, dst, src net.Conn, blocked Mode) {
+// pump copies until either end closes. A silenced connection drops bytes without an error,
+// like a middlebox that has lost the state of the connection.
+func (k *Link) pump(c *conn, dst, src net.Conn, blocked LinkMode) {
 	defer dst.Close()
 	defer src.Close()
 	buf := make([]byte, 32<<10)
