--- a/commander/commander_test.go
+++ b/commander/commander_test.go
@@ -69,7 +69,7 @@
 	})
 
 	// Both change the same file; the second operator gets its name and loses no change.
-	It("see which files conflict", Label(prover.Cell(prover.Pushed, prover.Race)), func() {
+	It("see which files conflict", Label(prover.Cell(prover.Pushed, prover.PushRace)), func() {
 		write(ann, "10.json", `{"classes": {"hold": {"tier": 1, "whole": "1s"}}}`)
 		write(ben, "10.json", `{"classes": {"hold": {"tier": 2, "whole": "1s"}}}`)
 		_, _, code := run("", "push", ann)
--- a/prover/cells.go
+++ b/prover/cells.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// reach is where a fault can occur, and why it can't elsewhere.
-type reach struct {
+// matrixRow declares at which steps a fault can occur, and why it can't at the others.
+type matrixRow struct {
 	fault  Fault
 	steps  []Step
 	reason string // why it can't occur at the other steps
@@ -13,32 +13,33 @@
 	requestSteps = Steps()[:11]
 	configSteps  = Steps()[11:15]
 	hostSteps    = Steps()[15:]
-	storeSteps   = []Step{Intent, Outcome, Pushed, Written, Watched, InForce, Renewed, Taken, HandedOver, Draining}
+	storeSteps   = []Step{IntentRecorded, OutcomeRecorded, Pushed, Written, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}
 )
 
-// reaches is the whole table, one line a fault.
-var reaches = []reach{
+// matrix is the fault matrix, one line for each fault.
+var matrix = []matrixRow{
 	{Kill, Steps(), ""},
 	{Freeze, Steps(), ""},
-	{CutOne, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
-	{CutBoth, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
-	{Silence, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
+	{CutOneWay, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
+	{CutBothWays, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
+	{Blackhole, slices.Concat(requestSteps, configSteps, hostSteps[:4]), "a host that has left needs no connection"},
 	{Slow, slices.Concat(requestSteps, hostSteps), "a slow push or watch is the store's slowness: see storeslow"},
-	{LostReply, []Step{Intent, Outcome, Pushed, Renewed, Taken, HandedOver, Draining}, "the step writes nothing to the store"},
+	{LostReply, []Step{IntentRecorded, OutcomeRecorded, Pushed, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}, "the step writes nothing to the store"},
 	{StoreDown, storeSteps, "the step does not use the store"},
 	{StoreSlow, storeSteps, "the step does not use the store"},
-	{WatchGap, []Step{Watched, InForce, Renewed, Taken, HandedOver, Draining}, "the step follows from no watch"},
-	{LateList, []Step{Granted, Sent, Draining}, "the host list decides only which worker gets a new request, and which is leaving"},
-	{Reorder, []Step{Received, Queued, Asked, Granted, Intent, Sent, First, Mid, Answered, Outcome, Acked, Watched, InForce, Renewed, Taken, HandedOver, Draining}, "the step is reached by no frame, answer or reply that could come twice or late"},
-	{Crossed, []Step{Sent, First, Mid, Answered, Acked}, "only what answers a call that was sent can belong to another request"},
-	{Race, configSteps, "operators race each other in pushes only"},
+	{WatchGap, []Step{Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}, "the step follows from no watch"},
+	{LateHostList, []Step{Granted, Sent, Draining}, "the host list decides only which worker gets a new request, and which is leaving"},
+	{Reorder, []Step{Received, Queued, Asked, Granted, IntentRecorded, Sent, FirstToken, MidStream, Answered, OutcomeRecorded, Acked, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining}, "the step is reached by no frame, answer or reply that could come twice or late"},
+	{MismatchedAnswer, []Step{Sent, FirstToken, MidStream, Answered, Acked}, "only what answers a call that was sent can belong to another request"},
+	{PushRace, configSteps, "operators race each other in pushes only"},
 }
 
-// Cells is every step and fault that can meet, as Cell labels in order.
+// Cells returns the Cell labels of all steps and faults that can occur together, ordered
+// by step.
 func Cells() []string {
 	var out []string
 	for _, s := range Steps() {
-		for _, r := range reaches {
+		for _, r := range matrix {
 			if slices.Contains(r.steps, s) {
 				out = append(out, Cell(s, r.fault))
 			}
@@ -47,9 +48,9 @@
 	return out
 }
 
-// Impossible is why a fault can't occur at a step; "" where it can.
-func Impossible(s Step, f Fault) string {
-	for _, r := range reaches {
+// ImpossibleReason returns why a fault can't occur at a step, or "" if it can.
+func ImpossibleReason(s Step, f Fault) string {
+	for _, r := range matrix {
 		if r.fault == f && !slices.Contains(r.steps, s) {
 			return r.reason
 		}
--- a/prover/prover.go
+++ b/prover/prover.go
@@ -1,7 +1,7 @@
-// Package prover declares the fault matrix: the steps of a request, of a
-// configuration and of a host's life, the faults that can hit them, and the
-// cells that can't occur. Tests name the cells they prove with ginkgo labels;
-// cmd/matrix reads the reports and lists what is not proved.
+// Package prover declares the fault matrix: the steps in the life of a request, of a
+// configuration and of a host, the faults that can occur at them, and the cells that are
+// impossible. Tests declare the cells that they cover with ginkgo labels; cmd/matrix reads
+// the test reports and lists the cells that are not covered.
 package prover
 
 import (
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// Step is a point in the life of a request, a configuration or a host.
+// Step is a point in the life of a request, of a configuration or of a host.
 type Step string
 
 // Steps of a request.
 const (
-	Received Step = "received"
-	Queued   Step = "queued"
-	Asked    Step = "asked"
-	Granted  Step = "granted"
-	Intent   Step = "intent" // recorded
-	Sent     Step = "sent"
-	First    Step = "first" // token
-	Mid      Step = "mid"   // stream
-	Answered Step = "answered"
-	Outcome  Step = "outcome" // recorded
-	Acked    Step = "acked"
+	Received        Step = "received"
+	Queued          Step = "queued"
+	Asked           Step = "asked"
+	Granted         Step = "granted"
+	IntentRecorded  Step = "intent"
+	Sent            Step = "sent"
+	FirstToken      Step = "first"
+	MidStream       Step = "mid"
+	Answered        Step = "answered"
+	OutcomeRecorded Step = "outcome"
+	Acked           Step = "acked"
 )
 
 // Steps of a configuration.
@@ -37,45 +37,45 @@
 
 // Steps of a host.
 const (
-	Renewed    Step = "renewed" // its lease
-	Taken      Step = "taken"   // a role
-	HandedOver Step = "handed"  // a role
-	Draining   Step = "draining"
-	Drained    Step = "drained"
+	LeaseRenewed   Step = "renewed"
+	RoleTaken      Step = "taken"
+	RoleHandedOver Step = "handed"
+	Draining       Step = "draining"
+	Drained        Step = "drained"
 )
 
-// Fault is something that goes wrong.
+// Fault is a kind of failure.
 type Fault string
 
-// Faults.
+// Faults of hosts, connections, the store and operators.
 const (
-	Kill      Fault = "kill"   // SIGKILL
-	Freeze    Fault = "freeze" // beyond the lease, and return
-	CutOne    Fault = "cut1"   // one way
-	CutBoth   Fault = "cut2"   // both ways
-	Silence   Fault = "silence"
-	Slow      Fault = "slow"
-	LostReply Fault = "lostreply" // after the write took effect
-	StoreDown Fault = "down"
-	StoreSlow Fault = "storeslow"
-	WatchGap  Fault = "gap"
-	LateList  Fault = "latelist" // host list late
-	Reorder   Fault = "reorder"  // duplicate or reordered frame
-	Crossed   Fault = "crossed"  // answer of another request
-	Race      Fault = "race"     // operators
+	Kill             Fault = "kill"   // SIGKILL
+	Freeze           Fault = "freeze" // for longer than the lease, then resumed
+	CutOneWay        Fault = "cut1"
+	CutBothWays      Fault = "cut2"
+	Blackhole        Fault = "silence" // packets are lost without an error
+	Slow             Fault = "slow"
+	LostReply        Fault = "lostreply" // the write took effect
+	StoreDown        Fault = "down"
+	StoreSlow        Fault = "storeslow"
+	WatchGap         Fault = "gap"
+	LateHostList     Fault = "latelist"
+	Reorder          Fault = "reorder" // a frame is duplicated or arrives out of order
+	MismatchedAnswer Fault = "crossed" // an answer belongs to another request
+	PushRace         Fault = "race"    // operators push at the same time
 )
 
-// Steps is every step, in order.
+// Steps returns all steps in order: of a request, of a configuration, of a host.
 func Steps() []Step {
 	return []Step{
-		Received, Queued, Asked, Granted, Intent, Sent, First, Mid, Answered, Outcome, Acked,
-		Pushed, Written, Watched, InForce, Renewed, Taken, HandedOver, Draining, Drained,
+		Received, Queued, Asked, Granted, IntentRecorded, Sent, FirstToken, MidStream, Answered, OutcomeRecorded, Acked,
+		Pushed, Written, Watched, InForce, LeaseRenewed, RoleTaken, RoleHandedOver, Draining, Drained,
 	}
 }
 
-// Faults is every fault.
+// Faults returns all faults.
 func Faults() []Fault {
-	return []Fault{Kill, Freeze, CutOne, CutBoth, Silence, Slow, LostReply, StoreDown, StoreSlow, WatchGap, LateList, Reorder, Crossed, Race}
+	return []Fault{Kill, Freeze, CutOneWay, CutBothWays, Blackhole, Slow, LostReply, StoreDown, StoreSlow, WatchGap, LateHostList, Reorder, MismatchedAnswer, PushRace}
 }
 
 const (
@@ -83,17 +83,17 @@
 	pairPrefix = "pair:"
 )
 
-// Cell is the label of a test that proves a fault at a step. Ginkgo allows no
-// slash in a label.
+// Cell returns the label of a test that covers a fault at a step. It has no slash, which
+// ginkgo forbids in labels.
 func Cell(s Step, f Fault) string { return fmt.Sprintf("%s%s.%s", cellPrefix, s, f) }
 
-// Pair is the label of a test that proves two faults together or in sequence.
+// Pair returns the label of a test that covers two faults together or in sequence.
 func Pair(s1 Step, f1 Fault, s2 Step, f2 Fault) string {
 	return fmt.Sprintf("%s%s.%s+%s.%s", pairPrefix, s1, f1, s2, f2)
 }
 
-// IsCell says whether a label is a Cell.
+// IsCell reports whether a label was made by Cell.
 func IsCell(label string) bool { return strings.HasPrefix(label, cellPrefix) }
 
-// IsPair says whether a label is a Pair.
+// IsPair reports whether a label was made by Pair.
 func IsPair(label string) bool { return strings.HasPrefix(label, pairPrefix) }
--- a/prover/prover_suite_test.go
+++ b/prover/prover_suite_test.go
@@ -14,12 +14,12 @@
 	RunSpecs(t, "prover")
 }
 
-var _ = Describe("the table of cells", func() {
-	It("gives a reason for each cell that can't occur, and no other", func() {
+var _ = Describe("The fault matrix", func() {
+	It("gives a reason for exactly the cells that can't occur", func() {
 		possible := prover.Cells()
 		for _, s := range prover.Steps() {
 			for _, f := range prover.Faults() {
-				if prover.Impossible(s, f) == "" {
+				if prover.ImpossibleReason(s, f) == "" {
 					Expect(possible).To(ContainElement(prover.Cell(s, f)))
 				} else {
 					Expect(possible).NotTo(ContainElement(prover.Cell(s, f)))
--- a/publisher/checkout.go
+++ b/publisher/checkout.go
@@ -84,7 +84,7 @@
 // newer than the base, which the next push treats as the same change on both sides.
 func (c *Checkout) write(files loader.Files, base Base) error {
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		if !loader.IsFile(name) {
+		if !loader.IsSettingsFile(name) {
 			return fmt.Errorf("%w: %q is not a valid file name", ErrCheckout, name)
 		}
 		if text, ok := c.files[name]; ok && text == files[name] {
--- a/runner/calling.go
+++ b/runner/calling.go
@@ -23,8 +23,8 @@
 }
 
 // startCall chooses a cell for a request and registers the call there.
-func (c *control) startCall(now time.Time, e placeAsked) {
-	cells := c.byService[e.service]
+func (c *control) startCall(now time.Time, e placeRequested) {
+	cells := c.cellsByService[e.service]
 	if len(cells) == 0 {
 		e.reply <- placeReply{refusal: &server.Refusal{Reason: "no_workers", RetryAfter: time.Second}}
 		return
@@ -44,9 +44,9 @@
 	if !k.sentAt.IsZero() {
 		k.ask.Waited += now.Sub(k.sentAt)
 	}
-	c.attempt++
+	c.lastAttempt++
 	k.owner, k.sentAt = owner.Name, now
-	k.ask.Attempt, k.ask.Epoch, k.ask.Deadline = c.attempt, c.epochs[k.ask.Cell], max(k.deadline.Sub(now), 0)
+	k.ask.Attempt, k.ask.Epoch, k.ask.Deadline = c.lastAttempt, c.cellEpochs[k.ask.Cell], max(k.deadline.Sub(now), 0)
 	if k.worker != "" {
 		c.send(now, k.owner, messenger.Claim{Ask: k.ask, Worker: k.worker, Tokens: k.tokens})
 		return
@@ -66,14 +66,14 @@
 		return // a duplicate of the one in use
 	}
 	worker, known := c.worker(g.Cell, g.Worker)
-	if !matches || !known || k.worker != "" || g.Epoch < c.epochs[g.Cell] {
+	if !matches || !known || k.worker != "" || g.Epoch < c.cellEpochs[g.Cell] {
 		c.send(now, from, messenger.Done{Request: g.Request, Attempt: g.Attempt, Cell: g.Cell, Worker: g.Worker})
 		if matches && k.worker == "" && k.owner == from {
 			c.register(now, k)
 		}
 		return
 	}
-	c.epochs[g.Cell] = g.Epoch
+	c.cellEpochs[g.Cell] = g.Epoch
 	k.worker = g.Worker
 	// The fencing number is the epoch, the same for all grants of a dispatcher. A number per
 	// grant fails: calls sent in parallel arrive out of order, and a worker that refuses
@@ -116,22 +116,22 @@
 	c.send(now, k.owner, messenger.Cancel{Request: request, Attempt: k.ask.Attempt, Cell: k.ask.Cell})
 }
 
-func (c *control) finishCall(now time.Time, e placeDone) {
+func (c *control) finishCall(now time.Time, e placeReleased) {
 	k := c.calls[e.place.Request]
 	if k == nil {
 		return
 	}
 	delete(c.calls, e.place.Request)
-	c.quarantine.reportUsage(now, e.place.Worker.Name, e.use)
+	c.quarantine.reportUsage(now, e.place.Worker.Name, e.usage)
 	c.send(now, k.owner, messenger.Done{
 		Request: e.place.Request, Attempt: k.ask.Attempt, Cell: e.place.Cell, Worker: e.place.Worker.Name,
-		Tokens: e.use.Tokens, First: e.use.FirstByte, Failed: e.use.Failed,
+		Tokens: e.usage.Tokens, First: e.usage.FirstByte, Failed: e.usage.Failed,
 	})
 }
 
 // recordProgress records how many tokens a call has generated and reports it to the
 // dispatcher.
-func (c *control) recordProgress(now time.Time, e placeProgressed) {
+func (c *control) recordProgress(now time.Time, e progressReported) {
 	k := c.calls[e.place.Request]
 	if k == nil || k.worker == "" {
 		return
--- a/runner/catching.go
+++ b/runner/catching.go
@@ -27,7 +27,7 @@
 	}
 	added := p.newListeners(listened)
 	running := p.view.RunningFlights(now, few)
-	limits := limitsOf(p.view.Limits())
+	limits := limitMessages(p.view.Limits())
 	if len(added) == 0 || len(running) == 0 && len(limits) == 0 {
 		return
 	}
--- a/runner/deciding_test.go
+++ b/runner/deciding_test.go
@@ -30,9 +30,9 @@
 		quote   = placer.Request{Service: "desk", Left: time.Second, Target: 300 * time.Millisecond}
 		workers = []placer.Worker{{Name: "d-1", Service: "desk", Zone: "z", Slots: 8}, {Name: "d-2", Service: "desk", Zone: "z", Slots: 8}}
 	)
-	newHost := func(name string, r registrar.Roster) runner.Choosing {
-		c := runner.NewChoosing(name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
-		c.Enroll(now, r)
+	newHost := func(name string, r registrar.Roster) runner.Selector {
+		c := runner.NewSelector(name, workers, func(to string, m messenger.Message) { out = append(out, sent{to, m}) })
+		c.SetRoster(now, r)
 		return c
 	}
 	lastRequest := func() (sent, messenger.PlacementRequest) {
@@ -59,11 +59,11 @@
 		to, s := lastRequest()
 		Expect(names[:3]).To(ContainElement(to.to))
 		Expect(got).NotTo(Receive())
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
+		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 		got = c.Ask(now, quote)
 		to, s = lastRequest()
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Reason: "overload", RetryAfter: time.Second})
+		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Reason: "overload", RetryAfter: time.Second})
 		Eventually(got).Should(Receive(Equal("refused overload")))
 	})
 
@@ -82,7 +82,7 @@
 		for range 3 {
 			to, s := lastRequest()
 			asked[to.to] = true
-			c.Silent(now, s.ID)
+			c.DeciderTimedOut(now, s.ID)
 		}
 		Expect(asked).To(HaveLen(3))
 		Eventually(got).Should(Receive(HaveSuffix(" by ")))
@@ -102,18 +102,18 @@
 		for range 3 {
 			to, s := lastRequest()
 			late[to.to] = s.ID
-			c.Silent(now, s.ID)
+			c.DeciderTimedOut(now, s.ID)
 		}
-		minTimeout := c.Patience()
+		minTimeout := c.DeciderTimeout()
 		for name, id := range late {
-			c.Hear(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
+			c.Receive(now.Add(90*time.Millisecond), name, messenger.PlacementReply{ID: id, Reason: "slots", RetryAfter: time.Second})
 		}
-		Expect(c.Patience()).To(And(BeNumerically(">", minTimeout), BeNumerically("<=", 200*time.Millisecond)))
+		Expect(c.DeciderTimeout()).To(And(BeNumerically(">", minTimeout), BeNumerically("<=", 200*time.Millisecond)))
 		before := len(out)
 		got := c.Ask(now.Add(100*time.Millisecond), quote)
 		Expect(out).To(HaveLen(before + 1))
 		to, s := lastRequest()
-		c.Hear(now.Add(103*time.Millisecond), to.to, messenger.PlacementReply{ID: s.ID, Flight: 9, Worker: "d-2"})
+		c.Receive(now.Add(103*time.Millisecond), to.to, messenger.PlacementReply{ID: s.ID, Flight: 9, Worker: "d-2"})
 		Eventually(got).Should(Receive(Equal("d-2 by " + to.to)))
 	})
 
@@ -123,10 +123,10 @@
 		c := newHost(names[10], roster)
 		c.Ask(now, quote)
 		to, s := lastRequest()
-		c.Silent(now, s.ID)
-		c.Hear(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
+		c.DeciderTimedOut(now, s.ID)
+		c.Receive(now, to.to, messenger.PlacementReply{ID: s.ID, Flight: 7, Worker: "d-2"})
 		out = nil
-		c.Tell()
+		c.SendUpdate()
 		Expect(out).To(HaveLen(5), "the deciders and the two hosts next in order")
 		for _, x := range out {
 			Expect(names[:5]).To(ContainElement(x.to))
@@ -139,14 +139,14 @@
 	It("counts the requests of a host until that host is gone", func() {
 		c := newHost(names[0], roster)
 		for id := range uint64(4) {
-			c.Hear(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
+			c.Receive(now, names[10], messenger.PlacementRequest{ID: id, Reply: names[10], Service: "desk", Left: time.Minute})
 		}
-		c.Tell()
+		c.SendUpdate()
 		update := out[len(out)-1].m.(messenger.FlightUpdate)
 		Expect(update.Sent).To(HaveLen(4))
 		other := newHost(names[1], roster)
-		other.Hear(now, names[0], update)
-		for _, x := range []runner.Choosing{c, other} {
+		other.Receive(now, names[0], update)
+		for _, x := range []runner.Selector{c, other} {
 			Expect(x.Flights(now, "d-1") + x.Flights(now, "d-2")).To(Equal(4))
 			var rest []registrar.Record
 			for _, h := range roster.Hosts() {
@@ -154,7 +154,7 @@
 					rest = append(rest, h)
 				}
 			}
-			x.Enroll(now, registrar.NewRoster(rest...))
+			x.SetRoster(now, registrar.NewRoster(rest...))
 			Expect(x.Flights(now, "d-1") + x.Flights(now, "d-2")).To(BeZero())
 		}
 	})
@@ -167,21 +167,21 @@
 		const shortDelay = 5 * time.Millisecond
 		small := newHost("h-03", registrar.NewRoster(roster.Hosts()[:16]...))
 		decider := newHost(names[0], roster)
-		for _, c := range []runner.Choosing{small, decider} {
+		for _, c := range []runner.Selector{small, decider} {
 			var places []router.Placement
 			for range 8 { // half the slots of both
 				p, ok := c.Place(now, quote)
 				Expect(ok).To(BeTrue())
 				places = append(places, p)
 			}
-			c.Tell()
+			c.SendUpdate()
 			c.End(now, places[0])
-			Expect(c.Due(now)).To(BeNumerically(">", shortDelay), "the worker had room")
+			Expect(c.UpdateDelay(now)).To(BeNumerically(">", shortDelay), "the worker had room")
 			c.End(now, places[7])
-			Expect(c.Due(now)).To(BeNumerically("<", shortDelay))
+			Expect(c.UpdateDelay(now)).To(BeNumerically("<", shortDelay))
 		}
 		// The decider reports to the host that asked that the worker is half full.
-		decider.Hear(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
+		decider.Receive(now, names[10], messenger.PlacementRequest{ID: 1, Reply: names[10], Service: "desk", Left: time.Minute})
 		Expect(out[len(out)-1].m.(messenger.PlacementReply).HalfFull).To(BeTrue())
 	})
 
@@ -196,6 +196,6 @@
 		}
 		c.Ask(now, ask)
 		_, s := lastRequest()
-		Expect(runner.AskOf(s)).To(Equal(ask))
+		Expect(runner.RequestOf(s)).To(Equal(ask))
 	})
 })
--- a/runner/due.go
+++ b/runner/due.go
@@ -6,15 +6,15 @@
 // fifty checks a second, a host would spend most of its control's processor time on
 // finding nothing to do.
 func (c *control) nextTick() time.Time {
-	next := earlier(c.due, c.limiting.nextCheck)
+	next := earlier(c.nextDispatcherTick, c.limits.nextCheck)
 	if len(c.calls) > 0 {
-		next = earlier(next, c.again)
+		next = earlier(next, c.nextCallCheck)
 	}
 	if c.quarantine != nil {
 		next = earlier(next, c.quarantine.sweepDue)
 	}
-	if c.keeping != nil {
-		next = earlier(next, c.keeping.due)
+	if c.once != nil {
+		next = earlier(next, c.once.nextTick)
 	}
 	return next
 }
@@ -30,7 +30,7 @@
 // schedule makes sure that the next tick is not after the time when d is due.
 func (c *control) schedule(d scheduled) {
 	if at, ok := d.Next(); ok {
-		c.due = earlier(c.due, at)
+		c.nextDispatcherTick = earlier(c.nextDispatcherTick, at)
 	}
 }
 
@@ -39,11 +39,11 @@
 
 // tickDispatchers runs the dispatchers that are due.
 func (c *control) tickDispatchers(now time.Time) {
-	if c.due.IsZero() || now.Before(c.due) {
+	if c.nextDispatcherTick.IsZero() || now.Before(c.nextDispatcherTick) {
 		return
 	}
-	c.due = time.Time{}
-	for _, d := range c.owned {
+	c.nextDispatcherTick = time.Time{}
+	for _, d := range c.dispatchers {
 		if at, ok := d.Next(); ok && !now.Before(at) {
 			out := d.Tick(now)
 			c.emit(now, out)
--- a/runner/observing.go
+++ b/runner/observing.go
@@ -59,7 +59,7 @@
 
 func newWorkerPoller(c *control, platform string, log *zap.Logger) *workerPoller {
 	o := &workerPoller{control: c, platform: platform, log: log}
-	c.away = &o.unavailable
+	c.unavailable = &o.unavailable
 	return o
 }
 
@@ -149,7 +149,7 @@
 		removed = c.observer.Sweep(now)
 	}
 	if changed := c.updateWorkers(now); c.folder != nil && (changed || removed) {
-		c.configure(now, folderChanged{folder: c.folder, generation: c.generation})
+		c.configure(now, configChanged{folder: c.folder, generation: c.generation})
 	}
 }
 
@@ -166,11 +166,11 @@
 		if !s.Available {
 			unavailable++
 		}
-		if wasAvailable, known := c.present[workerName{s.Service, s.Name}]; !known || wasAvailable != s.Available {
+		if wasAvailable, known := c.available[workerName{s.Service, s.Name}]; !known || wasAvailable != s.Available {
 			changed = append(changed, s)
 		}
 	}
-	c.away.Store(unavailable)
+	c.unavailable.Store(unavailable)
 	observer.Sort(changed)
 	for _, s := range changed {
 		c.recordWorker(s)
@@ -182,8 +182,8 @@
 // available.
 func (c *control) recordWorker(s observer.State) {
 	n := workerName{s.Service, s.Name}
-	_, known := c.present[n]
-	c.present[n] = s.Available
+	_, known := c.available[n]
+	c.available[n] = s.Available
 	if known || !s.Available {
 		c.log.Info("worker", zap.String("service", s.Service), zap.String("worker", s.Name), zap.Bool("present", s.Available), zap.String("why", s.Reason))
 	}
@@ -192,14 +192,14 @@
 // forgetWorkers removes the workers that are no longer among the count known now. It
 // reports whether there were any.
 func (c *control) forgetWorkers(now time.Time, count int) bool {
-	if len(c.present) == count {
+	if len(c.available) == count {
 		return false
 	}
 	seen := map[workerName]bool{}
 	for s := range c.observer.All(now) {
 		seen[workerName{s.Service, s.Name}] = true
 	}
-	maps.DeleteFunc(c.present, func(n workerName, _ bool) bool { return !seen[n] })
+	maps.DeleteFunc(c.available, func(n workerName, _ bool) bool { return !seen[n] })
 	return true
 }
 
@@ -228,7 +228,7 @@
 	}
 	if c.folder != nil {
 		for _, s := range c.folder.Services {
-			w.list = w.list || s.Hosts
+			w.list = w.list || s.UseHostList
 		}
 	}
 	return w
--- a/runner/observing_test.go
+++ b/runner/observing_test.go
@@ -23,7 +23,7 @@
 			a, b := t.start("a", "z1", nil), t.start("b", "z2", nil)
 			Eventually(t.settled(2)).WithTimeout(10 * time.Second).Should(Succeed())
 			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			send := func(h *running) int {
+			send := func(h *runningHost) int {
 				status, _, _, err := post(client, h.listen, chatPath, chat(2))
 				Expect(err).NotTo(HaveOccurred())
 				return status
@@ -50,11 +50,11 @@
 		},
 		Entry("by the host list", func(t *fixture) { t.list("lm1") }),
 		Entry("by its report and its refusal", func(t *fixture) { t.postLeave("lm1") }),
-		Entry("by its report and its refusal, with the platform down", Label(prover.Pair(prover.Granted, prover.StoreDown, prover.Granted, prover.LateList)), func(t *fixture) {
+		Entry("by its report and its refusal, with the platform down", Label(prover.Pair(prover.Granted, prover.StoreDown, prover.Granted, prover.LateHostList)), func(t *fixture) {
 			t.platform.SetFaults(faker.Faults{Down: true})
 			t.postLeave("lm1")
 		}),
-		Entry("by its report, with a host list that is late", Label(prover.Cell(prover.Granted, prover.LateList), prover.Cell(prover.Sent, prover.LateList)), func(t *fixture) {
+		Entry("by its report, with a host list that is late", Label(prover.Cell(prover.Granted, prover.LateHostList), prover.Cell(prover.Sent, prover.LateHostList)), func(t *fixture) {
 			t.list()
 			t.postLeave("lm1")
 		}),
--- a/soaker/caller_test.go
+++ b/soaker/caller_test.go
@@ -15,39 +15,40 @@
 	"github.com/cicadawood/cicadawood/platform"
 )
 
-// callers is how many requests are under way at once.
-const callers = 12
+// concurrentCallers is the number of requests in flight at a time.
+const concurrentCallers = 12
 
-// try is one request and what its caller got.
-type try struct {
+// exchange is one request and the response that its caller received.
+type exchange struct {
 	id, route, key string
 	host           *host
-	begun          time.Time
-	bound          bool // its host had been left alone
+	sentAt         time.Time
+	undisturbed    bool // no signal or start disturbed the host's process in the undisturbedTime before
 	status         int
 	body           string
-	err            error // no answer, or one that did not come whole
+	err            error // no response, or one that was cut off
 }
 
-// callAll sends requests to hosts that say that they are ready, until it is stopped.
-func (w *world) callAll() (stop func()) {
+// startCallers polls the readiness of all hosts and sends requests to ready ones
+// until stop is called.
+func (c *cluster) startCallers() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
-	for _, h := range w.hosts {
+	for _, h := range c.hosts {
 		tasks.Go(func() {
 			for ctx.Err() == nil {
-				h.asked()
+				h.pollReady()
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
 	}
-	for i := range callers {
-		r := rand.New(rand.NewPCG(w.seed, uint64(100+i)))
+	for i := range concurrentCallers {
+		r := rand.New(rand.NewPCG(c.seed, uint64(100+i)))
 		tasks.Go(func() {
 			defer GinkgoRecover()
 			for n := 0; ctx.Err() == nil; n++ {
-				if h := w.hosts[r.IntN(*hosts)]; h.isOpen() {
-					w.note(w.call(h, r, fmt.Sprintf("t-%d-%d", i, n)))
+				if h := c.hosts[r.IntN(*hostCount)]; h.isReady() {
+					c.record(c.callRandom(h, r, fmt.Sprintf("t-%d-%d", i, n)))
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -59,52 +60,52 @@
 	}
 }
 
-func (w *world) note(t try) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.tries = append(w.tries, t)
+func (c *cluster) record(e exchange) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.exchanges = append(c.exchanges, e)
 }
 
-// call sends one request of any kind, with any key that there ever was.
-func (w *world) call(h *host, r *rand.Rand, id string) try {
-	w.mu.Lock()
-	key := w.keys[r.IntN(len(w.keys))]
-	for old := range w.revoked {
+// callRandom sends a request to a random route. In some cases it uses a revoked key.
+func (c *cluster) callRandom(h *host, r *rand.Rand, id string) exchange {
+	c.mu.Lock()
+	key := c.keys[r.IntN(len(c.keys))]
+	for old := range c.revoked {
 		if r.IntN(20) == 0 {
 			key = old
 		}
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	route := []string{"chat", "plan", "hold", "quote"}[r.IntN(4)]
 	return send(h, id, route, key, id, "")
 }
 
-// send sends a request for a thing under an id.
-func send(h *host, id, route, key, thing, body string) try {
-	t := try{id: id, route: route, key: key, host: h, begun: time.Now(), bound: h.calm(time.Now().Add(-touch))}
+// send sends a request with an ID to a route, for the resource called name.
+func send(h *host, id, route, key, name, body string) exchange {
+	e := exchange{id: id, route: route, key: key, host: h, sentAt: time.Now(), undisturbed: h.processUndisturbedSince(time.Now().Add(-undisturbedTime))}
 	method := http.MethodPost
 	if route == "quote" {
 		method = http.MethodGet
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, h.url+"/"+route+"/"+thing, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, h.url+"/"+route+"/"+name, strings.NewReader(body))
 	if err != nil {
-		t.err = err
-		return t
+		e.err = err
+		return e
 	}
 	req.Host = "desk.example"
-	req.Header.Set(platform.HeaderRequest, id)
+	req.Header.Set(platform.HeaderRequestID, id)
 	req.Header.Set(platform.HeaderDeadline, "3000")
 	req.Header.Set("Authorization", "Token "+key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		t.err = err
-		return t
+		e.err = err
+		return e
 	}
 	defer resp.Body.Close()
-	t.status = resp.StatusCode
-	text, err := io.ReadAll(resp.Body)
-	t.body, t.err = string(text), err
-	return t
+	e.status = resp.StatusCode
+	data, err := io.ReadAll(resp.Body)
+	e.body, e.err = string(data), err
+	return e
 }
